--- a/crates/pistachiotrack-core/src/refusal.rs
+++ b/crates/pistachiotrack-core/src/refusal.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{copies::SentTo, name::Name};
+use crate::{copies::CopyRecord, name::Name};
 
 /// Whether a refused request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -96,7 +96,7 @@
 /// It is the decision's own knowledge; what the caller is told also depends on the copies
 /// that were sent (see [`crate::copies`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RefusalDecision {
     /// Whether the request may have run.
     pub execution: Execution,
     /// Why it was refused.
@@ -112,7 +112,7 @@
     reason: Reason,
     retry_after_ms: Option<u64>,
     decided_by: Option<Name>,
-    sent: Vec<SentTo>,
+    sent: Vec<CopyRecord>,
 }
 
 impl Refusal {
@@ -120,7 +120,7 @@
         execution: Execution,
         reason: Reason,
         retry_after_ms: Option<u64>,
-        sent: Vec<SentTo>,
+        sent: Vec<CopyRecord>,
     ) -> Refusal {
         Refusal { execution, reason, retry_after_ms, decided_by: None, sent }
     }
@@ -152,7 +152,7 @@
     }
 
     /// Returns the copies that were sent.
-    pub fn sent(&self) -> &[SentTo] {
+    pub fn sent(&self) -> &[CopyRecord] {
         &self.sent
     }
 }
--- a/crates/pistachiotrack-core/src/shard/action.rs
+++ b/crates/pistachiotrack-core/src/shard/action.rs
@@ -7,7 +7,7 @@
     idempotency::StoredAnswer,
     name::Name,
     rate_limit::RateLimit,
-    refusal::Verdict,
+    refusal::RefusalDecision,
     request::{AttemptId, ConnectionChoice, RequestId},
     shard::ShardNews,
     time::Time,
@@ -100,7 +100,7 @@
         /// The request.
         request: RequestId,
         /// What is known of it here.
-        refusal: Verdict,
+        refusal: RefusalDecision,
     },
     /// Sends a health check.
     Probe {
--- a/crates/pistachiotrack-core/src/shard/ending.rs
+++ b/crates/pistachiotrack-core/src/shard/ending.rs
@@ -9,7 +9,7 @@
 use crate::{
     admission::Ticket,
     health::{AttemptKind, HealthAction},
-    refusal::{Execution, Reason, Verdict},
+    refusal::{Execution, Reason, RefusalDecision},
     request::{AttemptId, BodyEnd, FIRST_FAILURE_STATUS, Outcome, RequestId},
     time::Time,
 };
@@ -232,7 +232,7 @@
         let retry_after_ms = retry_after_ms.filter(|_| execution == Execution::NotRun);
         let Some(holds_key) = self.forget(id) else { return };
         self.strain.note(false);
-        let refusal = Verdict { execution, reason, retry_after_ms };
+        let refusal = RefusalDecision { execution, reason, retry_after_ms };
         self.out.push(ShardAction::Refuse { request: id, refusal });
         if holds_key {
             self.on_abandoned(now, id, execution == Execution::NotRun);
--- a/crates/pistachiotrack-core/tests/copies.rs
+++ b/crates/pistachiotrack-core/tests/copies.rs
@@ -5,9 +5,9 @@
 //! endpoint.
 
 use pistachiotrack_core::{
-    copies::{Copies, Held, SentCopy},
+    copies::{Copies, OutstandingCopy, Undispatched},
     name::Name,
-    refusal::{Execution, Reason, Verdict},
+    refusal::{Execution, Reason, RefusalDecision},
     request::Outcome,
     time::Time,
 };
@@ -41,14 +41,14 @@
     }
 }
 
-fn send(copies: &mut Copies, number: usize) -> SentCopy {
+fn send(copies: &mut Copies, number: usize) -> OutstandingCopy {
     copies.send(Name::from(format!("endpoint-{number}")), Time::ZERO)
 }
 
 quickcheck! {
     /// Compares with a plain count of copies that were sent and not certainly refused.
     fn not_run_is_said_only_if_every_copy_came_back(events: Vec<Event>) -> bool {
-        let mut copies = Copies::from(Held::on_arrival());
+        let mut copies = Copies::from(Undispatched::on_arrival());
         let (mut out, mut may_run, mut sent) = (Vec::new(), 0, 0);
         for event in events {
             if matches!(event, Event::Send) {
@@ -60,8 +60,8 @@
             let Some(copy) = out.pop() else { continue };
             let returned = match event {
                 Event::Unsent => Some(copy.unsent()),
-                Event::HolderSaysNotRun => copy.on_word(Execution::NotRun),
-                Event::HolderSaysUnknown => copy.on_word(Execution::Unknown),
+                Event::HolderSaysNotRun => copy.on_reported_execution(Execution::NotRun),
+                Event::HolderSaysUnknown => copy.on_reported_execution(Execution::Unknown),
                 Event::Shed => copy.on_outcome(Outcome::Shed),
                 Event::Broken => copy.on_outcome(Outcome::Broken { fresh_connection: true }),
                 Event::Answered => {
@@ -70,14 +70,14 @@
                 Event::Send | Event::Forgotten => None,
             };
             if let Some(copy) = returned {
-                copies.take_back(copy);
+                copies.record_not_run(copy);
                 may_run -= 1;
             }
         }
         let expected = if may_run == 0 { Execution::NotRun } else { Execution::Unknown };
-        let all_are_back = copies.all_are_back();
+        let is_certainly_not_run = copies.is_certainly_not_run();
         let refusal = copies.refuse(Reason::QueueFull, Some(40));
-        all_are_back == (may_run == 0)
+        is_certainly_not_run == (may_run == 0)
             && refusal.execution() == expected
             && refusal.sent().len() == sent
             && refusal.retry_after_ms().is_some() == (expected == Execution::NotRun)
@@ -86,25 +86,25 @@
 
 #[test]
 fn a_decision_that_says_not_run_is_not_believed_while_a_copy_is_out() {
-    let not_run = Verdict {
+    let not_run = RefusalDecision {
         execution: Execution::NotRun,
         reason: Reason::QueueFull,
         retry_after_ms: Some(40),
     };
-    let (mut copies, copy) = Held::on_arrival().send(Name::from("endpoint-0"), Time::ZERO);
+    let (mut copies, copy) = Undispatched::on_arrival().send(Name::from("endpoint-0"), Time::ZERO);
     let second = send(&mut copies, 1);
-    copies.take_back(second.unsent());
-    assert_eq!(copies.finish().refuse_by(not_run).execution(), Execution::Unknown);
+    copies.record_not_run(second.unsent());
+    assert_eq!(copies.finish().refuse_with(not_run).execution(), Execution::Unknown);
     drop(copy);
-    let (mut copies, copy) = Held::on_arrival().send(Name::from("endpoint-0"), Time::ZERO);
-    copies.take_back(copy.unsent());
-    assert_eq!(copies.refuse_by(not_run).execution(), Execution::NotRun);
+    let (mut copies, copy) = Undispatched::on_arrival().send(Name::from("endpoint-0"), Time::ZERO);
+    copies.record_not_run(copy.unsent());
+    assert_eq!(copies.refuse_with(not_run).execution(), Execution::NotRun);
 }
 
 #[test]
 fn nothing_is_said_of_a_request_that_had_its_final_answer() {
-    let mut copies = Copies::from(Held::on_arrival());
+    let mut copies = Copies::from(Undispatched::on_arrival());
     assert_eq!(copies.finish().refuse(Reason::Paused, None).execution(), Execution::NotRun);
-    assert!(!copies.all_are_back());
+    assert!(!copies.is_certainly_not_run());
     assert_eq!(copies.refuse(Reason::Paused, None).execution(), Execution::Unknown);
 }
--- a/crates/pistachiotrackd/src/answer.rs
+++ b/crates/pistachiotrackd/src/answer.rs
@@ -6,7 +6,7 @@
     header::{CONTENT_TYPE, HeaderValue},
 };
 use pistachiotrack_core::{
-    copies::Held,
+    copies::Undispatched,
     idempotency::StoredAnswer,
     refusal::{Reason, Refusal},
 };
@@ -36,7 +36,7 @@
 
 /// Returns the answer of a VM that is asked for addresses and has no configuration yet.
 pub(crate) fn no_config(dialect: &dyn Dialect) -> Response<AnswerBody> {
-    let refusal = Held::on_arrival().refuse(Reason::NoConfig, Some(NO_CONFIG_RETRY_MS));
+    let refusal = Undispatched::on_arrival().refuse(Reason::NoConfig, Some(NO_CONFIG_RETRY_MS));
     let Refused { refusal, status } = refusal.into();
     dialect.write_refusal(None, &refusal, status).map(AnswerBody::whole)
 }
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -4,9 +4,9 @@
 
 use futures_util::future::{Either, select};
 use pistachiotrack_core::{
-    copies::{Copies, Held, SentCopy},
+    copies::{Copies, OutstandingCopy, Undispatched},
     header,
-    refusal::{Refusal, Verdict},
+    refusal::{Refusal, RefusalDecision},
     request::{ConnectionChoice, remaining},
     time::Time,
     vm::Vm,
@@ -66,8 +66,8 @@
 /// How one copy ended that was sent to the owner.
 enum CopyEnd {
     Answered(Box<BegunAnswer>, Option<Duration>),
-    Refused(RefusalWord, SentCopy),
-    Failed(ForwardError, SentCopy),
+    Refused(RefusalWord, OutstandingCopy),
+    Failed(ForwardError, OutstandingCopy),
 }
 
 /// Why a copy brought no answer.
@@ -89,7 +89,7 @@
     context: &Context,
     owner: &Vm,
     inbound: &Inbound,
-    held: Held,
+    held: Undispatched,
 ) -> Forwarded {
     let sent = context.clock.now();
     let forward = Forward { context, owner, inbound, sent };
@@ -112,7 +112,7 @@
     /// wait until their deadline although both VMs are well. The guard holds because
     /// the answer on the new connection is taken, and the first connection and all
     /// unused ones are closed then.
-    async fn watched(&self, mut copies: Copies, copy: SentCopy) -> Forwarded {
+    async fn watched(&self, mut copies: Copies, copy: OutstandingCopy) -> Forwarded {
         let Forward { context, owner, inbound, .. } = self;
         let mut first = pin!(self.exchange(ConnectionChoice::Lively, copy));
         let left = remaining(inbound.deadline, context.clock.now());
@@ -184,21 +184,21 @@
                 Ok(served(self.context, *answer, endpoint_time))
             }
             CopyEnd::Refused(word, copy) => {
-                if let Some(copy) = copy.on_word(word.execution) {
-                    copies.take_back(copy);
+                if let Some(copy) = copy.on_reported_execution(word.execution) {
+                    copies.record_not_run(copy);
                 }
                 Err(NoAnswer::Refused(word))
             }
             CopyEnd::Failed(error, copy) => {
                 if error.is_unsent() {
-                    copies.take_back(copy.unsent());
+                    copies.record_not_run(copy.unsent());
                 }
                 Err(NoAnswer::Failed(error))
             }
         }
     }
 
-    async fn exchange(&self, choice: ConnectionChoice, copy: SentCopy) -> CopyEnd {
+    async fn exchange(&self, choice: ConnectionChoice, copy: OutstandingCopy) -> CopyEnd {
         let Forward { context, owner, inbound, .. } = self;
         let target = Target {
             address: owner.peer_address,
@@ -231,7 +231,7 @@
 /// Returns the refusal of a request whose owner refused it.
 fn refusal(copies: Copies, word: RefusalWord) -> Refusal {
     let RefusalWord { vm, execution, reason, retry_after_ms, .. } = word;
-    copies.refuse_by(Verdict { execution, reason, retry_after_ms }).decided_by(vm)
+    copies.refuse_with(RefusalDecision { execution, reason, retry_after_ms }).decided_by(vm)
 }
 
 fn request_head(context: &Context, inbound: &Inbound) -> RequestHead {
--- a/crates/pistachiotrackd/src/proxy.rs
+++ b/crates/pistachiotrackd/src/proxy.rs
@@ -13,7 +13,7 @@
     http::{request, uri::Authority},
 };
 use pistachiotrack_core::{
-    copies::{Copies, Held},
+    copies::{Copies, Undispatched},
     hash, header,
     name::Name,
     ownership::{ShardId, rendezvous_shard, shard_count},
@@ -65,7 +65,7 @@
     let number = context.next_request();
     let id = context.dialect.request_id(request.headers()).map(Name::from);
     let id = id.unwrap_or_else(|| context.fleet_id(number));
-    let held = Held::on_arrival();
+    let held = Undispatched::on_arrival();
     let served = match receive(&context, request, number, &id).await {
         Ok(inbound) => {
             let (customer, class) = (inbound.route.customer.clone(), inbound.route.class);
@@ -96,7 +96,7 @@
     let number = context.next_request();
     let id = headers::text(request.headers(), header::REQUEST_ID)
         .map_or_else(|| context.fleet_id(number), Name::from);
-    let held = Held::on_arrival();
+    let held = Undispatched::on_arrival();
     let served = match receive_forwarded(&context, request, number, &id).await {
         Ok(inbound) => serve_here(&context, inbound, held.into()).await,
         Err(rejection) => rejection.refuse(held),
@@ -371,7 +371,7 @@
 
 /// Has a caller's request served: here if this VM owns the shard, else by the
 /// owner, else here in careful mode.
-async fn serve(context: &Arc<Context>, inbound: Inbound, held: Held) -> Served {
+async fn serve(context: &Arc<Context>, inbound: Inbound, held: Undispatched) -> Served {
     let owner = {
         let view = context.view();
         if is_shared(&view, &inbound) {
--- a/crates/pistachiotrackd/src/refusal_log.rs
+++ b/crates/pistachiotrackd/src/refusal_log.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use pistachiotrack_core::{
-    copies::SentTo,
+    copies::CopyRecord,
     name::Name,
     refusal::{Execution, Refusal},
     time::Time,
@@ -57,7 +57,7 @@
 
 /// Writes copies as `NAME/WORD/AGE_MS`, the first one first.
 struct Sent<'a> {
-    copies: &'a [SentTo],
+    copies: &'a [CopyRecord],
     now: Time,
 }
 
@@ -66,10 +66,10 @@
         if self.copies.is_empty() {
             return f.write_str("none");
         }
-        for (index, SentTo { to, at, is_back }) in self.copies.iter().enumerate() {
+        for (index, CopyRecord { to, sent_at, is_not_run }) in self.copies.iter().enumerate() {
             let comma = if index == 0 { "" } else { "," };
-            let word = if *is_back { Execution::NotRun } else { Execution::Unknown };
-            let age_ms = self.now.since(*at).as_millis();
+            let word = if *is_not_run { Execution::NotRun } else { Execution::Unknown };
+            let age_ms = self.now.since(*sent_at).as_millis();
             write!(f, "{comma}{to}/{}/{age_ms}", word.as_str())?;
         }
         Ok(())
--- a/crates/pistachiotrackd/src/rejection.rs
+++ b/crates/pistachiotrackd/src/rejection.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use pistachiotrack_core::{copies::Held, refusal::Reason, rule::Refuse};
+use pistachiotrack_core::{copies::Undispatched, refusal::Reason, rule::Refuse};
 
 use crate::{
     answer::{NO_CONFIG_RETRY_MS, Refused},
@@ -50,7 +50,7 @@
     }
 
     /// Refuses the request.
-    pub(crate) fn refuse(self, held: Held) -> Served {
+    pub(crate) fn refuse(self, held: Undispatched) -> Served {
         let mut refused = Refused::from(held.refuse(self.reason, self.retry_after_ms));
         refused.status = self.status.unwrap_or(refused.status);
         Served::refused(refused)
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -14,7 +14,7 @@
 use hyper::Response;
 use kameo::actor::ActorRef;
 use pistachiotrack_core::{
-    copies::{Copies, SentCopy},
+    copies::{Copies, OutstandingCopy},
     endpoint::Endpoint,
     name::Name,
     quarantine::Admission,
@@ -113,7 +113,7 @@
 /// An attempt without an answer so far.
 struct RunningAttempt {
     attempt: AttemptId,
-    copy: SentCopy,
+    copy: OutstandingCopy,
     end: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
     place: Place,
     give_up: GiveUp,
@@ -150,7 +150,7 @@
 /// An attempt that has ended, or whose answer has begun.
 struct Ended {
     attempt: AttemptId,
-    copy: SentCopy,
+    copy: OutstandingCopy,
     place: Place,
     end: AttemptEnd,
 }
@@ -201,7 +201,7 @@
             }
             Command::Refuse(verdict) => {
                 self.finished = true;
-                return Some(Served::refused(self.copies.finish().refuse_by(verdict)));
+                return Some(Served::refused(self.copies.finish().refuse_with(verdict)));
             }
         }
         None
@@ -263,7 +263,7 @@
     /// a doubled booking. The guard holds because every attempt of a request
     /// passes here, and a copy counts as sent until it has come back.
     fn must_not_be_sent_again(&self) -> bool {
-        !self.copies.all_are_back() && !self.inbound.route.idempotent
+        !self.copies.is_certainly_not_run() && !self.inbound.route.idempotent
     }
 
     fn cancel(&mut self, attempt: AttemptId) {
@@ -280,7 +280,7 @@
     fn on_end(&mut self, ended: Ended) -> Option<Served> {
         let Ended { attempt, copy, place, end } = ended;
         if let Some(copy) = copy.on_outcome(end.outcome) {
-            self.copies.take_back(copy);
+            self.copies.record_not_run(copy);
         }
         self.log_end(&end);
         if matches!(end.outcome, Outcome::Broken { .. }) {
@@ -355,7 +355,7 @@
 
     /// Refuses the request without the shard's decision and tells the shard.
     fn give_up(&mut self, reason: Reason) -> Served {
-        let refusal = match self.copies.finish().settle() {
+        let refusal = match self.copies.finish().into_undispatched() {
             Ok(held) => held.refuse(reason, None),
             Err(copies) if reason == Reason::NoEndpoint => {
                 copies.refuse_as_unknown(Reason::AnswerLost)
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -22,7 +22,7 @@
     name::Name,
     ownership::ShardId,
     rate_limit::RateLimit,
-    refusal::Verdict,
+    refusal::RefusalDecision,
     request::{AttemptId, BodyEnd, Outcome, Report, Request, RequestId},
     shard::{Dispatch, Shard, ShardAction, ShardMode, ShardSettings},
     time::Time,
@@ -60,7 +60,7 @@
     /// Answers with the answer of an earlier request; final.
     Replay(Arc<StoredAnswer>),
     /// Refuses the request; final.
-    Refuse(Verdict),
+    Refuse(RefusalDecision),
 }
 
 /// What a shard's actor is started with.
--- a/crates/pistachiotrackd/tests/peer_word.rs
+++ b/crates/pistachiotrackd/tests/peer_word.rs
@@ -4,18 +4,19 @@
 
 use hyper::{HeaderMap, header::HeaderValue};
 use pistachiotrack_core::{
-    copies::{Copies, Held},
+    copies::{Copies, Undispatched},
     header,
     name::Name,
-    refusal::{Execution, Reason, Verdict},
+    refusal::{Execution, Reason, RefusalDecision},
 };
 use pistachiotrackd::peer_word::{PeerAnswer, PeerWord, RefusalWord};
 
 const REQUEST: &str = "vm-01-1a23-7";
 
 fn word(execution: Execution) -> RefusalWord {
-    let verdict = Verdict { execution, reason: Reason::QueueFull, retry_after_ms: Some(40) };
-    let refusal = Copies::from(Held::on_arrival()).refuse_by(verdict);
+    let verdict =
+        RefusalDecision { execution, reason: Reason::QueueFull, retry_after_ms: Some(40) };
+    let refusal = Copies::from(Undispatched::on_arrival()).refuse_with(verdict);
     RefusalWord::new(&Name::from("vm-02"), &Name::from(REQUEST), &refusal)
 }
 
