--- a/crates/pistachiotrack-core/src/quarantine.rs
+++ b/crates/pistachiotrack-core/src/quarantine.rs
@@ -1,13 +1,13 @@
-//! Requests that crash the endpoints that run them, and are held back.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! A request whose endpoint ended while it ran is a suspect; so is all else that ran there.
-//! VMs add up what they see, and hold a request back once several endpoints have ended under
-//! it. A whole answer clears a request. One that is held back is tried again now and then, by
-//! one VM at a time and each time later, so that it is served once it does no harm any more.
+//! Every request in flight at an endpoint that crashes becomes suspected. VMs exchange their
+//! crash counts, and a request is held back once enough endpoints have crashed while running
+//! it. A complete answer clears a request. A held request is retried by one VM at a time, with
+//! a growing delay, so that it is served again once it no longer crashes endpoints.
 
-mod note;
 mod record;
 mod settings;
+mod update;
 
 use std::time::Duration;
 
@@ -16,65 +16,65 @@
 use rustc_hash::FxHashMap;
 
 use self::record::Record;
-pub use self::{note::CrashNote, settings::QuarantineSettings};
+pub use self::{settings::QuarantineSettings, update::CrashUpdate};
 use crate::{
     admin::QuarantineStatus, fingerprint::Fingerprint, name::Name, shard::EndpointKey, time::Time,
 };
 
-/// Most records in one datagram: each takes some 80 bytes of the 1,200 that one may have.
-pub const MAX_NOTES: usize = 12;
+/// Maximum number of updates in one datagram: an update takes about 80 of the 1,200 bytes.
+pub const MAX_UPDATES_PER_DATAGRAM: usize = 12;
 
-/// What becomes of a request that is about to be sent to an endpoint.
+/// Decision on a request that is about to be sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
-    /// It is sent.
+pub enum DispatchDecision {
+    /// The request is sent.
     Send,
-    /// It is sent as a trial; no other VM may send it until that has failed.
+    /// The request is sent as a trial; no other VM may send it until the trial has failed.
     Trial,
-    /// It is held back.
+    /// The request is held back.
     Held {
-        /// Time until it is tried again.
+        /// Time until the next trial.
         retry_after: Duration,
     },
 }
 
-/// What changed about a request.
+/// Change of a request's quarantine state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// Endpoints ended under it, fewer than it takes to hold it back.
+pub enum QuarantineChange {
+    /// Endpoints crashed while running it, fewer than [`QuarantineSettings::max_crashes`].
     Suspected {
-        /// How many.
+        /// Number of crashes.
         crashes: u32,
     },
-    /// It is held back from now on, or goes on to be after another crash.
+    /// It is held back from now on, or still is after another crash.
     Held {
-        /// Endpoints that ended under it.
+        /// Number of crashes.
         crashes: u32,
     },
-    /// It brought a whole answer, and is like any other again.
+    /// It got a complete answer and is no longer suspected.
     Cleared,
 }
 
-/// Notes that other VMs have to be told.
+/// Updates to send to other VMs in one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Telling {
-    /// For all VMs that dispatch for a service.
-    Dispatchers {
+pub enum UpdateBatch {
+    /// For all VMs that dispatch requests of a service.
+    ForDispatchers {
         /// The service.
         service: Name,
-        /// What they are told.
-        notes: Vec<CrashNote>,
+        /// The updates.
+        updates: Vec<CrashUpdate>,
     },
-    /// For some VMs of the fleet, whichever.
-    Some {
-        /// How many.
-        vms: usize,
-        /// What they are told.
-        notes: Vec<CrashNote>,
+    /// For randomly chosen VMs of the fleet.
+    ForRandomVms {
+        /// Number of VMs.
+        count: usize,
+        /// The updates.
+        updates: Vec<CrashUpdate>,
     },
 }
 
-/// What this VM knows of requests that crash endpoints.
+/// Crash records of requests, as known to this VM.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     settings: QuarantineSettings,
@@ -96,98 +96,112 @@
     }
 
     /// Returns whether a request is suspected or held back.
-    pub fn knows(&self, request: Fingerprint) -> bool {
+    pub fn is_tracked(&self, request: Fingerprint) -> bool {
         self.records.get(&request).is_some_and(Record::has_crashes)
     }
 
-    /// Returns how long a request that has just come is held back, if it is: until its next
-    /// trial.
-    pub fn held_for(&mut self, now: Time, request: Fingerprint) -> Option<Duration> {
+    /// Returns the time until the next trial of a request that has just arrived, if it is held
+    /// back until then.
+    pub fn remaining_hold(&mut self, now: Time, request: Fingerprint) -> Option<Duration> {
         let record = self.records.get(&request)?;
         let retry_at = record.retry_at(&self.settings)?;
         (now < retry_at).then(|| self.retry_after(now, retry_at))
     }
 
-    /// Decides about a request that is about to be sent to an endpoint; `may_try` says
-    /// whether trials of it are up to this VM.
-    pub fn admit(&mut self, now: Time, request: Fingerprint, may_try: bool) -> Admission {
-        let Some(record) = self.records.get_mut(&request) else { return Admission::Send };
-        let Some(retry_at) = record.retry_at(&self.settings) else { return Admission::Send };
-        if may_try && now >= retry_at {
+    /// Decides whether a request may be sent to an endpoint; `may_run_trial` is set on the VM
+    /// that is responsible for trials of the request.
+    pub fn admit(
+        &mut self,
+        now: Time,
+        request: Fingerprint,
+        may_run_trial: bool,
+    ) -> DispatchDecision {
+        let Some(record) = self.records.get_mut(&request) else { return DispatchDecision::Send };
+        let Some(retry_at) = record.retry_at(&self.settings) else { return DispatchDecision::Send };
+        if may_run_trial && now >= retry_at {
             record.on_trial(now, &self.settings);
-            return Admission::Trial;
+            return DispatchDecision::Trial;
         }
-        Admission::Held { retry_after: self.retry_after(now, retry_at) }
+        DispatchDecision::Held { retry_after: self.retry_after(now, retry_at) }
     }
 
-    /// Notes that `endpoint` ended while it ran a request of `service`.
+    /// Records that `endpoint` crashed while running a request of `service`.
     pub fn on_crash(
         &mut self,
         now: Time,
         request: Fingerprint,
         service: &Name,
         endpoint: EndpointKey,
-    ) -> Option<Change> {
-        self.make_room(request);
+    ) -> Option<QuarantineChange> {
+        self.evict_for(request);
         let record = self.records.entry(request).or_insert_with(|| Record::new(now));
         let is_new = record.on_crash(now, service, endpoint, &self.settings);
         is_new.then(|| record.change(&self.settings))
     }
 
-    /// Notes that a request of `service` brought a whole answer.
+    /// Records that a request of `service` got a complete answer.
     pub fn on_answered(
         &mut self,
         now: Time,
         request: Fingerprint,
         service: &Name,
-    ) -> Option<Change> {
+    ) -> Option<QuarantineChange> {
         let record = self.records.get_mut(&request).filter(|record| record.has_crashes())?;
         record.clear(now, service, &self.settings);
-        Some(Change::Cleared)
+        Some(QuarantineChange::Cleared)
     }
 
-    /// Takes what another VM knows of a request; returns what changed here, and what the
-    /// other VM lacks, if it is behind.
-    pub fn on_note(&mut self, now: Time, note: &CrashNote) -> (Option<Change>, Option<CrashNote>) {
-        let request = note.request;
-        if !self.records.contains_key(&request) && note.crashes.is_empty() {
+    /// Merges another VM's update; returns the resulting change, and the newer state to send
+    /// back if the other VM's state is outdated.
+    pub fn on_update(
+        &mut self,
+        now: Time,
+        update: &CrashUpdate,
+    ) -> (Option<QuarantineChange>, Option<CrashUpdate>) {
+        let request = update.request;
+        if !self.records.contains_key(&request) && update.crashes.is_empty() {
             return (None, None);
         }
-        self.make_room(request);
+        self.evict_for(request);
         let record = self.records.entry(request).or_insert_with(|| Record::new(now));
-        if record.is_ahead_of(note) {
-            return (None, Some(record.note(request)));
+        if record.is_newer_than(update) {
+            return (None, Some(record.to_update(request)));
         }
-        let was = record.has_crashes();
-        let has_changed = record.merge(now, note, &self.settings);
+        let was_tracked = record.has_crashes();
+        let has_changed = record.merge(now, update, &self.settings);
         let change = match record.has_crashes() {
             true => Some(record.change(&self.settings)),
-            false => was.then_some(Change::Cleared),
+            false => was_tracked.then_some(QuarantineChange::Cleared),
         };
         (change.filter(|_| has_changed), None)
     }
 
-    /// Forgets what is old and returns what other VMs have to be told in this round.
-    pub fn on_round(&mut self, now: Time) -> Vec<Telling> {
+    /// Removes expired records and returns the updates to send in this gossip round.
+    pub fn on_gossip_round(&mut self, now: Time) -> Vec<UpdateBatch> {
         self.round += 1;
         let settings = &self.settings;
-        self.records.retain(|_, record| !record.is_old(now, settings));
-        let mut tellings = self.tell_dispatchers();
+        self.records.retain(|_, record| !record.is_expired(now, settings));
+        let mut batches = self.dispatcher_batches();
         let is_slow_round = self.round.is_multiple_of(u64::from(self.settings.slow_rounds));
-        let fast = self.notes_for_fleet();
-        let vms = self.settings.fanout;
-        tellings.extend(parts(fast).map(|notes| Telling::Some { vms, notes }));
+        let recent = self.fleet_updates();
+        let count = self.settings.fanout;
+        batches.extend(
+            datagram_chunks(recent).map(|updates| UpdateBatch::ForRandomVms { count, updates }),
+        );
         if is_slow_round {
             let held = self.records.iter().filter(|(_, record)| record.is_held(&self.settings));
-            let notes = held.map(|(request, record)| record.note(*request)).collect();
-            tellings.extend(parts(notes).map(|notes| Telling::Some { vms: 1, notes }));
+            let updates = held.map(|(request, record)| record.to_update(*request)).collect();
+            batches.extend(
+                datagram_chunks(updates)
+                    .map(|updates| UpdateBatch::ForRandomVms { count: 1, updates }),
+            );
         }
-        tellings
+        batches
     }
 
-    /// Returns all that is known, as other VMs are told.
-    pub fn notes(&self) -> Vec<CrashNote> {
-        self.records.iter().map(|(request, record)| record.note(*request)).collect()
+    /// Returns updates with the state of all records.
+    pub fn updates(&self) -> Vec<CrashUpdate> {
+        self.records.iter().map(|(request, record)| record.to_update(*request)).collect()
     }
 
     /// Returns the records for the admin port.
@@ -202,51 +216,59 @@
         statuses
     }
 
-    fn tell_dispatchers(&mut self) -> Vec<Telling> {
-        let mut by_service: FxHashMap<Name, Vec<CrashNote>> = FxHashMap::default();
-        let suspected = self.records.iter_mut().filter(|(_, record)| !record.is_for_fleet());
+    fn dispatcher_batches(&mut self) -> Vec<UpdateBatch> {
+        let mut by_service: FxHashMap<Name, Vec<CrashUpdate>> = FxHashMap::default();
+        let suspected = self.records.iter_mut().filter(|(_, record)| !record.is_fleet_wide());
         for (request, record) in suspected {
             let Some(service) = record.service().cloned() else { continue };
-            if record.take_round() {
-                by_service.entry(service).or_default().push(record.note(*request));
+            if record.take_gossip_round() {
+                by_service.entry(service).or_default().push(record.to_update(*request));
             }
         }
-        let told = by_service.into_iter().flat_map(|(service, notes)| {
-            parts(notes).map(move |notes| Telling::Dispatchers { service: service.clone(), notes })
+        let batches = by_service.into_iter().flat_map(|(service, updates)| {
+            datagram_chunks(updates).map(move |updates| UpdateBatch::ForDispatchers {
+                service: service.clone(),
+                updates,
+            })
         });
-        told.collect()
+        batches.collect()
     }
 
-    fn notes_for_fleet(&mut self) -> Vec<CrashNote> {
+    fn fleet_updates(&mut self) -> Vec<CrashUpdate> {
         let due = self.records.iter_mut().filter_map(|(request, record)| {
-            (record.is_for_fleet() && record.take_round()).then(|| record.note(*request))
+            (record.is_fleet_wide() && record.take_gossip_round())
+                .then(|| record.to_update(*request))
         });
         due.collect()
     }
 
-    /// Returns the time that a caller is asked to wait, which spreads the callers.
+    /// Returns the time for the caller to wait, with random jitter so that callers don't retry
+    /// at the same moment.
     fn retry_after(&mut self, now: Time, retry_at: Time) -> Duration {
-        let least = Duration::from_millis(self.settings.min_retry_after_ms);
-        let wait = retry_at.since(now).max(least);
+        let min_wait = Duration::from_millis(self.settings.min_retry_after_ms);
+        let wait = retry_at.since(now).max(min_wait);
         wait + wait.mul_f64(self.rng.random::<f64>() / 2.0)
     }
 
-    /// Forgets the record that matters least if there is no room for one more.
-    fn make_room(&mut self, request: Fingerprint) {
+    /// Evicts a record if there is no room for one of `request`: one that isn't held before
+    /// one that is, then the least recently changed.
+    fn evict_for(&mut self, request: Fingerprint) {
         if self.records.len() < self.settings.max_records || self.records.contains_key(&request) {
             return;
         }
         let settings = &self.settings;
-        let rank = |record: &Record| (record.is_held(settings), record.changed());
-        let least = self.records.iter().min_by_key(|(request, record)| (rank(record), **request));
-        if let Some(request) = least.map(|(request, _)| *request) {
+        let priority = |record: &Record| (record.is_held(settings), record.changed_at());
+        let lowest =
+            self.records.iter().min_by_key(|(request, record)| (priority(record), **request));
+        if let Some(request) = lowest.map(|(request, _)| *request) {
             self.records.remove(&request);
         }
     }
 }
 
-/// Cuts notes into parts that fit into a datagram each.
-fn parts(notes: Vec<CrashNote>) -> impl Iterator<Item = Vec<CrashNote>> {
-    let parts: Vec<Vec<CrashNote>> = notes.chunks(MAX_NOTES).map(<[CrashNote]>::to_vec).collect();
-    parts.into_iter()
+/// Splits updates into chunks that fit into one datagram each.
+fn datagram_chunks(updates: Vec<CrashUpdate>) -> impl Iterator<Item = Vec<CrashUpdate>> {
+    let chunks: Vec<Vec<CrashUpdate>> =
+        updates.chunks(MAX_UPDATES_PER_DATAGRAM).map(<[CrashUpdate]>::to_vec).collect();
+    chunks.into_iter()
 }
--- a/crates/pistachiotrack-core/src/quarantine/record.rs
+++ b/crates/pistachiotrack-core/src/quarantine/record.rs
@@ -1,13 +1,13 @@
-//! What is known of one request.
+//! Crash record of one request.
 
 use std::time::Duration;
 
-use super::{Change, CrashNote, QuarantineSettings};
+use super::{CrashUpdate, QuarantineChange, QuarantineSettings};
 use crate::{
     admin::QuarantineStatus, fingerprint::Fingerprint, name::Name, shard::EndpointKey, time::Time,
 };
 
-/// Endpoints that are remembered of a request; one that crashed more is held back anyway.
+/// Maximum number of endpoints kept per request; a request that crashed more is held anyway.
 const MAX_ENDPOINTS: usize = 8;
 
 /// Crashes of one endpoint under a request.
@@ -15,23 +15,23 @@
 struct EndpointCrashes {
     endpoint: EndpointKey,
     count: u8,
-    /// Moment at which this VM learned of the last of them.
-    learned: Time,
+    /// Time at which this VM learned of the last of them.
+    learned_at: Time,
 }
 
-/// What is known of one request.
+/// Crash record of one request.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     generation: u32,
     crashes: Vec<EndpointCrashes>,
     trials: u8,
-    /// Service of the crashes that this VM saw itself.
+    /// Service of the crashes that this VM observed itself.
     service: Option<Name>,
-    /// Moment of the last change.
-    changed: Time,
-    /// Whether it was ever held back, so that all VMs may know of it.
-    was_held: bool,
-    rounds_left: u32,
+    /// Time of the last change.
+    changed_at: Time,
+    /// Whether it was ever held back; all VMs may have a record of it then.
+    was_ever_held: bool,
+    gossip_rounds_left: u32,
 }
 
 impl Record {
@@ -41,9 +41,9 @@
             crashes: Vec::new(),
             trials: 0,
             service: None,
-            changed: now,
-            was_held: false,
-            rounds_left: 0,
+            changed_at: now,
+            was_ever_held: false,
+            gossip_rounds_left: 0,
         }
     }
 
@@ -51,8 +51,8 @@
         !self.crashes.is_empty()
     }
 
-    pub(super) fn changed(&self) -> Time {
-        self.changed
+    pub(super) fn changed_at(&self) -> Time {
+        self.changed_at
     }
 
     pub(super) fn service(&self) -> Option<&Name> {
@@ -63,22 +63,22 @@
         self.crash_count() >= settings.max_crashes
     }
 
-    /// Returns when a request that is held back may be tried again.
+    /// Returns the time of the next trial of a held request.
     pub(super) fn retry_at(&self, settings: &QuarantineSettings) -> Option<Time> {
-        let longer = settings.trial_factor.saturating_pow(u32::from(self.trials));
-        let wait = Duration::from_millis(settings.first_trial_ms).saturating_mul(longer);
-        self.is_held(settings).then(|| self.changed + wait)
+        let backoff = settings.trial_factor.saturating_pow(u32::from(self.trials));
+        let wait = Duration::from_millis(settings.first_trial_ms).saturating_mul(backoff);
+        self.is_held(settings).then(|| self.changed_at + wait)
     }
 
-    pub(super) fn is_old(&self, now: Time, settings: &QuarantineSettings) -> bool {
-        let kept_ms = match self.is_held(settings) {
+    pub(super) fn is_expired(&self, now: Time, settings: &QuarantineSettings) -> bool {
+        let max_age_ms = match self.is_held(settings) {
             true => settings.forget_ms,
             false => settings.suspect_ms,
         };
-        now.since(self.changed) >= Duration::from_millis(kept_ms)
+        now.since(self.changed_at) >= Duration::from_millis(max_age_ms)
     }
 
-    /// Notes a crash; returns whether it is a new one.
+    /// Records a crash; returns whether it is a new one.
     pub(super) fn on_crash(
         &mut self,
         now: Time,
@@ -87,26 +87,26 @@
         settings: &QuarantineSettings,
     ) -> bool {
         self.service = Some(service.clone());
-        let same = Duration::from_millis(settings.same_crash_ms);
+        let same_crash = Duration::from_millis(settings.same_crash_ms);
         let known = self.crashes.iter().find(|known| known.endpoint == endpoint);
-        if known.is_some_and(|known| now.since(known.learned) < same) {
+        if known.is_some_and(|known| now.since(known.learned_at) < same_crash) {
             return false;
         }
         let count = known.map_or(0, |known| known.count).saturating_add(1);
-        let is_new = self.raise(now, endpoint, count);
+        let is_new = self.raise_count(now, endpoint, count);
         if is_new {
             self.on_change(now, settings);
         }
         is_new
     }
 
-    /// Notes that the request is tried again.
+    /// Records the start of a trial.
     pub(super) fn on_trial(&mut self, now: Time, settings: &QuarantineSettings) {
         self.trials = self.trials.saturating_add(1);
         self.on_change(now, settings);
     }
 
-    /// Forgets all crashes.
+    /// Removes all crashes and starts a new generation.
     pub(super) fn clear(&mut self, now: Time, service: &Name, settings: &QuarantineSettings) {
         self.service = Some(service.clone());
         self.generation += 1;
@@ -115,61 +115,61 @@
         self.on_change(now, settings);
     }
 
-    /// Returns whether `note` is older than a clearance known here.
-    pub(super) fn is_ahead_of(&self, note: &CrashNote) -> bool {
-        self.generation > note.generation
+    /// Returns whether the request was cleared here since the state in `update`.
+    pub(super) fn is_newer_than(&self, update: &CrashUpdate) -> bool {
+        self.generation > update.generation
     }
 
-    /// Takes what another VM knows; returns whether it was news.
+    /// Merges the state of another VM; returns whether anything changed.
     pub(super) fn merge(
         &mut self,
         now: Time,
-        note: &CrashNote,
+        update: &CrashUpdate,
         settings: &QuarantineSettings,
     ) -> bool {
-        let is_cleared = note.generation > self.generation;
+        let is_cleared = update.generation > self.generation;
         if is_cleared {
-            self.generation = note.generation;
+            self.generation = update.generation;
             self.crashes.clear();
             self.trials = 0;
         }
-        let mut is_news = is_cleared;
-        for (endpoint, count) in &note.crashes {
-            is_news |= self.raise(now, *endpoint, *count);
+        let mut is_new = is_cleared;
+        for (endpoint, count) in &update.crashes {
+            is_new |= self.raise_count(now, *endpoint, *count);
         }
-        if note.trials > self.trials {
-            self.trials = note.trials;
-            is_news = true;
+        if update.trials > self.trials {
+            self.trials = update.trials;
+            is_new = true;
         }
-        if is_news {
+        if is_new {
             self.on_change(now, settings);
         }
-        is_news
+        is_new
     }
 
-    pub(super) fn note(&self, request: Fingerprint) -> CrashNote {
+    pub(super) fn to_update(&self, request: Fingerprint) -> CrashUpdate {
         let crashes = self.crashes.iter().map(|known| (known.endpoint, known.count)).collect();
-        CrashNote { request, generation: self.generation, crashes, trials: self.trials }
+        CrashUpdate { request, generation: self.generation, crashes, trials: self.trials }
     }
 
-    /// Returns whether all VMs are told of it, as the request may come to any. Before, those
-    /// that dispatch for the service add up what each of them sees.
-    pub(super) fn is_for_fleet(&self) -> bool {
-        self.was_held
+    /// Returns whether updates go to all VMs, as a held request may arrive at any of them.
+    /// Before it is held, only the dispatchers of the service exchange their crash counts.
+    pub(super) fn is_fleet_wide(&self) -> bool {
+        self.was_ever_held
     }
 
-    /// Returns whether other VMs are to be told in this round.
-    pub(super) fn take_round(&mut self) -> bool {
-        let is_due = self.rounds_left > 0;
-        self.rounds_left = self.rounds_left.saturating_sub(1);
+    /// Uses up one gossip round; returns whether an update is due in it.
+    pub(super) fn take_gossip_round(&mut self) -> bool {
+        let is_due = self.gossip_rounds_left > 0;
+        self.gossip_rounds_left = self.gossip_rounds_left.saturating_sub(1);
         is_due
     }
 
-    pub(super) fn change(&self, settings: &QuarantineSettings) -> Change {
+    pub(super) fn change(&self, settings: &QuarantineSettings) -> QuarantineChange {
         let crashes = self.crash_count();
         match self.is_held(settings) {
-            true => Change::Held { crashes },
-            false => Change::Suspected { crashes },
+            true => QuarantineChange::Held { crashes },
+            false => QuarantineChange::Suspected { crashes },
         }
     }
 
@@ -193,25 +193,25 @@
         self.crashes.iter().map(|known| u32::from(known.count)).sum()
     }
 
-    /// Takes that an endpoint crashed so often; returns whether that is more than known.
-    fn raise(&mut self, now: Time, endpoint: EndpointKey, count: u8) -> bool {
+    /// Raises the crash count of an endpoint to `count`; returns whether it was lower.
+    fn raise_count(&mut self, now: Time, endpoint: EndpointKey, count: u8) -> bool {
         if let Some(known) = self.crashes.iter_mut().find(|known| known.endpoint == endpoint) {
-            let is_more = count > known.count;
-            if is_more {
-                (known.count, known.learned) = (count, now);
+            let is_higher = count > known.count;
+            if is_higher {
+                (known.count, known.learned_at) = (count, now);
             }
-            return is_more;
+            return is_higher;
         }
         if self.crashes.len() >= MAX_ENDPOINTS {
             return false;
         }
-        self.crashes.push(EndpointCrashes { endpoint, count, learned: now });
+        self.crashes.push(EndpointCrashes { endpoint, count, learned_at: now });
         true
     }
 
     fn on_change(&mut self, now: Time, settings: &QuarantineSettings) {
-        self.changed = now;
-        self.was_held |= self.is_held(settings);
-        self.rounds_left = settings.fast_rounds;
+        self.changed_at = now;
+        self.was_ever_held |= self.is_held(settings);
+        self.gossip_rounds_left = settings.fast_rounds;
     }
 }
--- a/crates/pistachiotrack-core/src/quarantine/settings.rs
+++ b/crates/pistachiotrack-core/src/quarantine/settings.rs
@@ -2,33 +2,33 @@
 
 use serde::Deserialize;
 
-/// When a request is held back, and for how long.
+/// Thresholds, delays and gossip parameters of the quarantine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuarantineSettings {
-    /// Endpoints that end under a request before it is held back.
+    /// Number of crashes from which on a request is held back.
     pub max_crashes: u32,
-    /// Time from the last crash to the first trial of a request that is held back.
+    /// Time from the last crash to the first trial of a held request.
     pub first_trial_ms: u64,
-    /// How much longer each trial is waited for than the one before.
+    /// Factor by which the delay grows with each trial.
     pub trial_factor: u32,
-    /// Time after the last crash for which a request that is not held back is suspected.
+    /// Time after the last crash for which a request that isn't held stays suspected.
     pub suspect_ms: u64,
-    /// Time after the last crash or trial after which any request is forgotten.
+    /// Time after the last crash or trial after which the record of a held request is removed.
     pub forget_ms: u64,
-    /// Shortest time that a caller is asked to wait.
+    /// Minimum retry delay sent to callers.
     pub min_retry_after_ms: u64,
-    /// Time within which an endpoint ends once only; what breaks then is the same crash.
+    /// Time within which further failures of an endpoint count as the same crash.
     pub same_crash_ms: u64,
-    /// Requests that are remembered.
+    /// Maximum number of records.
     pub max_records: usize,
-    /// Time between two rounds of telling other VMs.
+    /// Time between two gossip rounds.
     pub round_ms: u64,
-    /// Rounds in which a change is told.
+    /// Number of gossip rounds in which a change is sent.
     pub fast_rounds: u32,
-    /// VMs that are told of a change in each of these rounds.
+    /// Number of random VMs to which a change is sent in each of these rounds.
     pub fanout: usize,
-    /// One of so many rounds in which all that is held back is told to one more VM.
+    /// Every so many gossip rounds, all held requests are sent to one random VM.
     pub slow_rounds: u32,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl QuarantineSettings {
-    /// Returns what is wrong with a setting: its name and the problem.
+    /// Returns the name of the first invalid setting and what is wrong with it.
     pub fn problem(&self) -> Option<(&'static str, String)> {
         let positive = [
             ("quarantine.max_crashes", u64::from(self.max_crashes)),
--- a/crates/pistachiotrackd/src/quarantine.rs
+++ b/crates/pistachiotrackd/src/quarantine.rs
@@ -19,7 +19,7 @@
     admin::QuarantineStatus,
     fingerprint::Fingerprint,
     name::Name,
-    quarantine::{Admission, Change, Quarantine, QuarantineSettings},
+    quarantine::{DispatchDecision, Quarantine, QuarantineChange, QuarantineSettings},
     shard::EndpointKey,
 };
 
@@ -53,21 +53,21 @@
         if self.is_empty.load(Ordering::Relaxed) {
             return None;
         }
-        self.with(|known| known.held_for(self.clock.now(), inbound.fingerprint()))
+        self.with(|known| known.remaining_hold(self.clock.now(), inbound.fingerprint()))
     }
 
     /// Decides about a request that is about to be sent to an endpoint.
-    pub(crate) fn admit(&self, inbound: &Inbound) -> Admission {
+    pub(crate) fn admit(&self, inbound: &Inbound) -> DispatchDecision {
         if self.is_empty.load(Ordering::Relaxed) {
-            return Admission::Send;
+            return DispatchDecision::Send;
         }
         let (request, service) = (inbound.fingerprint(), &inbound.route.shard.service);
-        if !self.with(|known| known.knows(request)) {
-            return Admission::Send;
+        if !self.with(|known| known.is_tracked(request)) {
+            return DispatchDecision::Send;
         }
         let may_try = self.link.is_placed_here(request, service);
         let admission = self.with(|known| known.admit(self.clock.now(), request, may_try));
-        if admission == Admission::Trial {
+        if admission == DispatchDecision::Trial {
             log::info!("event=request_tried request={} fingerprint={request}", inbound.fleet_id);
             self.tell();
         }
@@ -106,7 +106,7 @@
         };
         let mut newer = Vec::new();
         for note in notes {
-            let taken = self.with(|known| known.on_note(self.clock.now(), &note));
+            let taken = self.with(|known| known.on_update(self.clock.now(), &note));
             if let Some(change) = taken.0 {
                 log_change(note.request, change, &format!("told_by={from}"));
             }
@@ -124,7 +124,7 @@
 
     /// Tells other VMs what they have to know.
     fn tell(&self) {
-        let tellings = self.with(|known| known.on_round(self.clock.now()));
+        let tellings = self.with(|known| known.on_gossip_round(self.clock.now()));
         for telling in tellings {
             self.link.tell(telling);
         }
@@ -138,15 +138,17 @@
     }
 }
 
-fn log_change(request: Fingerprint, change: Change, cause: &str) {
+fn log_change(request: Fingerprint, change: QuarantineChange, cause: &str) {
     match change {
-        Change::Suspected { crashes } => {
+        QuarantineChange::Suspected { crashes } => {
             log::warn!("event=request_suspected fingerprint={request} crashes={crashes} {cause}");
         }
-        Change::Held { crashes } => {
+        QuarantineChange::Held { crashes } => {
             log::warn!("event=request_held fingerprint={request} crashes={crashes} {cause}");
         }
-        Change::Cleared => log::info!("event=request_cleared fingerprint={request} {cause}"),
+        QuarantineChange::Cleared => {
+            log::info!("event=request_cleared fingerprint={request} {cause}")
+        }
     }
 }
 
--- a/crates/pistachiotrackd/src/quarantine/link.rs
+++ b/crates/pistachiotrackd/src/quarantine/link.rs
@@ -8,7 +8,7 @@
     membership::MemberState,
     message::MAX_DATAGRAM_BYTES,
     name::Name,
-    quarantine::{CrashNote, Telling},
+    quarantine::{CrashUpdate, UpdateBatch},
     vm::Vm,
 };
 use rand::seq::IteratorRandom;
@@ -28,7 +28,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct QuarantineDatagram {
     deployment: u64,
-    notes: Vec<CrashNote>,
+    notes: Vec<CrashUpdate>,
 }
 
 /// Why a datagram is not used.
@@ -69,24 +69,24 @@
     }
 
     /// Tells the VMs that `telling` is for.
-    pub(crate) fn tell(&self, telling: Telling) {
+    pub(crate) fn tell(&self, telling: UpdateBatch) {
         let view = Arc::clone(&self.view.borrow());
-        let (told, notes) = match telling {
-            Telling::Dispatchers { service, notes } => {
+        let (told, updates) = match telling {
+            UpdateBatch::ForDispatchers { service, updates } => {
                 let dispatchers = view.ownership.dispatchers(&service).iter();
                 let others = dispatchers.filter(|vm| vm.name != self.me);
-                (others.map(|vm| vm.peer_address).collect(), notes)
+                (others.map(|vm| vm.peer_address).collect(), updates)
             }
-            Telling::Some { vms, notes } => (random_members(&view, vms), notes),
+            UpdateBatch::ForRandomVms { count, updates } => (random_members(&view, count), updates),
         };
-        let Some(bytes) = self.encode(notes) else { return };
+        let Some(bytes) = self.encode(updates) else { return };
         for to in told {
             self.send(to, &bytes);
         }
     }
 
     /// Tells the VM at an address.
-    pub(crate) fn answer(&self, to: SocketAddr, notes: Vec<CrashNote>) {
+    pub(crate) fn answer(&self, to: SocketAddr, notes: Vec<CrashUpdate>) {
         if let Some(bytes) = self.encode(notes) {
             self.send(to, &bytes);
         }
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// Returns an error if it is not for this VM to believe.
-    pub(crate) fn read(&self, bytes: &[u8]) -> Result<Vec<CrashNote>, QuarantineError> {
+    pub(crate) fn read(&self, bytes: &[u8]) -> Result<Vec<CrashUpdate>, QuarantineError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(QuarantineError::Length(bytes.len()));
         }
@@ -118,7 +118,7 @@
         dispatchers.max_by_key(|vm| score(vm)).is_none_or(|vm| vm.name == self.me)
     }
 
-    fn encode(&self, notes: Vec<CrashNote>) -> Option<Vec<u8>> {
+    fn encode(&self, notes: Vec<CrashUpdate>) -> Option<Vec<u8>> {
         let datagram = QuarantineDatagram { deployment: self.deployment, notes };
         postcard::to_extend(&datagram, vec![QUARANTINE_TAG])
             .inspect_err(|error| log::error!("event=quarantine_not_encoded error={error:?}"))
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -17,7 +17,7 @@
     copies::{Copies, OutstandingCopy},
     endpoint::Endpoint,
     name::Name,
-    quarantine::Admission,
+    quarantine::DispatchDecision,
     refusal::Reason,
     request::{AttemptId, BodyEnd, FIRST_FAILURE_STATUS, Outcome, Report},
     shard::Dispatch,
@@ -222,7 +222,8 @@
             self.tell_outcome(attempt, Outcome::NotSent, Report::default());
             return Some(self.give_up(Reason::NoEndpoint));
         }
-        if let Admission::Held { retry_after } = self.context.quarantine.admit(&self.inbound) {
+        if let DispatchDecision::Held { retry_after } = self.context.quarantine.admit(&self.inbound)
+        {
             return self.hold_back(attempt, retry_after);
         }
         self.context.metrics.count(Event::Dispatch);
