--- a/crates/pistachiotrack-core/src/admission.rs
+++ b/crates/pistachiotrack-core/src/admission.rs
@@ -6,7 +6,7 @@
 //! [`tier::LAG_REQUESTS`] goes before any class. Customers without a contract
 //! are served only while no customer with a contract waits.
 
-mod account;
+mod customer_queue;
 mod tier;
 
 use rustc_hash::FxHashMap;
@@ -20,7 +20,7 @@
 
 /// A place in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket {
+pub struct QueueEntry {
     /// Deadline of the request; the earliest goes first within its class.
     pub deadline: Time,
     /// The request.
@@ -32,23 +32,23 @@
 pub struct AdmissionQueue {
     weights: FxHashMap<Name, u32>,
     contracted: Tier,
-    spare: Tier,
+    uncontracted: Tier,
 }
 
 impl AdmissionQueue {
     /// Replaces the slots bought by each customer.
     pub fn set_weights(&mut self, weights: FxHashMap<Name, u32>) {
-        let waiting: Vec<(Name, Class, Ticket)> =
-            self.contracted.tickets().chain(self.spare.tickets()).collect();
+        let waiting: Vec<(Name, Class, QueueEntry)> =
+            self.contracted.entries().chain(self.uncontracted.entries()).collect();
         *self = AdmissionQueue { weights, ..AdmissionQueue::default() };
-        for (customer, class, ticket) in waiting {
-            self.push(&customer, class, ticket);
+        for (customer, class, entry) in waiting {
+            self.push(&customer, class, entry);
         }
     }
 
     /// Returns the number of requests that wait.
     pub fn len(&self) -> usize {
-        self.contracted.len() + self.spare.len()
+        self.contracted.len() + self.uncontracted.len()
     }
 
     /// Returns whether no request waits.
@@ -57,24 +57,24 @@
     }
 
     /// Adds a request.
-    pub fn push(&mut self, customer: &Name, class: Class, ticket: Ticket) {
+    pub fn push(&mut self, customer: &Name, class: Class, entry: QueueEntry) {
         let weight = self.weight(customer);
-        self.tier_mut(customer).push(customer, weight, class, ticket);
+        self.tier_mut(customer).push(customer, weight, class, entry);
     }
 
     /// Returns the request that is next.
     pub fn peek(&self) -> Option<RequestId> {
-        self.contracted.peek().or_else(|| self.spare.peek()).map(|ticket| ticket.request)
+        self.contracted.peek().or_else(|| self.uncontracted.peek()).map(|entry| entry.request)
     }
 
     /// Takes out the request that is next and charges its customer.
     pub fn pop(&mut self) -> Option<RequestId> {
-        self.contracted.pop().or_else(|| self.spare.pop()).map(|ticket| ticket.request)
+        self.contracted.pop().or_else(|| self.uncontracted.pop()).map(|entry| entry.request)
     }
 
     /// Takes out a request and returns whether it waited.
-    pub fn remove(&mut self, customer: &Name, class: Class, ticket: Ticket) -> bool {
-        self.tier_mut(customer).remove(customer, class, ticket)
+    pub fn remove(&mut self, customer: &Name, class: Class, entry: QueueEntry) -> bool {
+        self.tier_mut(customer).remove(customer, class, entry)
     }
 
     /// Returns the request that has to leave a full queue for a new one, or
@@ -83,33 +83,33 @@
     /// Customers without a contract leave first, then the customer whose
     /// waiting requests are most in proportion to what it bought; within a
     /// customer the least urgent class and the latest deadline.
-    pub fn victim(&self, customer: &Name, class: Class) -> Option<RequestId> {
-        let ticket = if self.is_contracted(customer) {
-            self.spare
-                .worst()
-                .or_else(|| self.contracted.victim(customer, self.weight(customer), class))
+    pub fn eviction_candidate(&self, customer: &Name, class: Class) -> Option<RequestId> {
+        let entry = if self.is_contracted(customer) {
+            self.uncontracted.least_urgent().or_else(|| {
+                self.contracted.eviction_candidate(customer, self.weight(customer), class)
+            })
         } else {
-            self.spare.victim(customer, 1, class)
+            self.uncontracted.eviction_candidate(customer, 1, class)
         };
-        ticket.map(|ticket| ticket.request)
+        entry.map(|entry| entry.request)
     }
 
     /// Returns how many requests are dispatched before a new one, as a bound
     /// from its customer's share and from all that wait.
-    pub fn ahead(&self, customer: &Name, class: Class) -> f64 {
+    pub fn requests_ahead(&self, customer: &Name, class: Class) -> f64 {
         if self.is_contracted(customer) {
-            return self.contracted.ahead(customer, self.weight(customer), class);
+            return self.contracted.requests_ahead(customer, self.weight(customer), class);
         }
-        self.contracted.len() as f64 + self.spare.ahead(customer, 1, class)
+        self.contracted.len() as f64 + self.uncontracted.requests_ahead(customer, 1, class)
     }
 
-    /// Notes how long a customer's request held its slot, relative to the
+    /// Notes how long a customer's request held its slot, relative_slot_time to the
     /// average of all.
     ///
     /// Contracts are bought in slots, not in requests: long requests are
     /// charged accordingly.
-    pub fn on_held(&mut self, customer: &Name, relative: f64) {
-        self.tier_mut(customer).on_held(customer, relative);
+    pub fn record_slot_time(&mut self, customer: &Name, relative_slot_time: f64) {
+        self.tier_mut(customer).record_slot_time(customer, relative_slot_time);
     }
 
     fn weight(&self, customer: &Name) -> u32 {
@@ -121,6 +121,6 @@
     }
 
     fn tier_mut(&mut self, customer: &Name) -> &mut Tier {
-        if self.is_contracted(customer) { &mut self.contracted } else { &mut self.spare }
+        if self.is_contracted(customer) { &mut self.contracted } else { &mut self.uncontracted }
     }
 }
--- a/crates/pistachiotrack-core/src/limit.rs
+++ b/crates/pistachiotrack-core/src/concurrency_limit.rs
@@ -14,16 +14,16 @@
 /// shows by answers that refuse a request unrun; the limit follows them down,
 /// never below one, so that the endpoint can show when it is well again.
 #[derive(Clone, Debug)]
-pub struct AdaptiveLimit {
+pub struct AdaptiveConcurrencyLimit {
     value: f64,
     max: u32,
     lowered_at: Option<Time>,
 }
 
-impl AdaptiveLimit {
+impl AdaptiveConcurrencyLimit {
     /// Creates a limit that starts at its maximum.
-    pub fn new(max: u32) -> AdaptiveLimit {
-        AdaptiveLimit { value: f64::from(max), max, lowered_at: None }
+    pub fn new(max: u32) -> AdaptiveConcurrencyLimit {
+        AdaptiveConcurrencyLimit { value: f64::from(max), max, lowered_at: None }
     }
 
     /// Changes the maximum; a limit that was not lowered follows it.
--- a/crates/pistachiotrack-core/src/mechanism.rs
+++ b/crates/pistachiotrack-core/src/feature_flags.rs
@@ -5,7 +5,7 @@
 /// Which mechanisms are at work; all are, outside of trials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Mechanisms {
+pub struct FeatureFlags {
     /// Endpoints are ranked by the risk that a request fails.
     pub risk: bool,
     /// Failures at once tell more than late ones.
@@ -38,9 +38,9 @@
     pub slow_start: bool,
 }
 
-impl Default for Mechanisms {
-    fn default() -> Mechanisms {
-        Mechanisms {
+impl Default for FeatureFlags {
+    fn default() -> FeatureFlags {
+        FeatureFlags {
             risk: true,
             failure_times: true,
             coverage: true,
--- a/crates/pistachiotrack-core/src/hash.rs
+++ b/crates/pistachiotrack-core/src/hash.rs
@@ -25,7 +25,7 @@
     value ^ (value >> 33)
 }
 
-/// Returns the rendezvous score of a pair of hashed keys.
-pub fn pair(left: u64, right: u64) -> u64 {
+/// Returns the rendezvous score of a rendezvous_score of hashed keys.
+pub fn rendezvous_score(left: u64, right: u64) -> u64 {
     mix(left ^ right.rotate_left(32).wrapping_mul(FNV_PRIME))
 }
--- a/crates/pistachiotrack-core/src/header.rs
+++ b/crates/pistachiotrack-core/src/header.rs
@@ -9,7 +9,7 @@
 /// Request, also towards endpoints: time left in milliseconds.
 pub const DEADLINE_MS: &str = "pistachiotrack-deadline-ms";
 /// Request: idempotency key.
-pub const KEY: &str = "pistachiotrack-key";
+pub const IDEMPOTENCY_KEY: &str = "pistachiotrack-key";
 /// Request: `true` when the caller sent the request before and does not know
 /// the outcome.
 pub const REPEAT: &str = "pistachiotrack-repeat";
@@ -33,7 +33,7 @@
 /// Between VMs: how a request that went through the receiver ended.
 pub const VIA_END: &str = "pistachiotrack-via-end";
 /// Between VMs: what the answering VM says of the request that was sent on to it.
-pub const PEER_WORD: &str = "pistachiotrack-peer-word";
+pub const PEER_RESULT: &str = "pistachiotrack-peer-word";
 /// Towards endpoints and between VMs: identity of the request. To callers: the same, on a
 /// refusal.
 pub const REQUEST_ID: &str = "pistachiotrack-request-id";
--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -12,9 +12,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    mechanism::Mechanisms,
+    feature_flags::FeatureFlags,
     name::Name,
-    request::{AttemptId, Report},
+    request::{AttemptId, EndpointReport},
     time::Time,
 };
 
@@ -50,12 +50,12 @@
     /// [`Health::risk`], and don't eject it.
     pub ranks_failures: bool,
     /// Mechanisms at work.
-    pub mechanisms: Mechanisms,
+    pub mechanisms: FeatureFlags,
 }
 
 impl Default for HealthSettings {
     fn default() -> HealthSettings {
-        let mechanisms = Mechanisms::default();
+        let mechanisms = FeatureFlags::default();
         HealthSettings { sensitivity: 0.5, ranks_failures: false, mechanisms }
     }
 }
@@ -227,7 +227,7 @@
 pub struct Health {
     threshold: f64,
     ranks_failures: bool,
-    mechanisms: Mechanisms,
+    mechanisms: FeatureFlags,
     floor: usize,
     endpoints: Vec<EndpointState>,
     positions: FxHashMap<Name, usize>,
@@ -318,7 +318,12 @@
     /// Only the mark of leaving counts; what it says about its load is left to
     /// the reader. The mark is a hint: it is disregarded where no endpoint would
     /// be left in rotation, while the configuration's mark always holds.
-    pub fn on_report(&mut self, now: Time, endpoint: &Name, report: Report) -> Vec<HealthAction> {
+    pub fn on_report(
+        &mut self,
+        now: Time,
+        endpoint: &Name,
+        report: EndpointReport,
+    ) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         let Some(&position) = self.positions.get(endpoint) else { return actions };
         let state = &mut self.endpoints[position];
--- a/crates/pistachiotrack-core/src/health/observation.rs
+++ b/crates/pistachiotrack-core/src/health/observation.rs
@@ -137,7 +137,7 @@
     ) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         let Some(flight) = self.flights.remove(&attempt) else { return actions };
-        if end != BodyEnd::Cut || flight.tainted {
+        if end != BodyEnd::Truncated || flight.tainted {
             return actions;
         }
         let Some(position) = self.position_of(flight.endpoint) else { return actions };
--- a/crates/pistachiotrack-core/src/idempotency.rs
+++ b/crates/pistachiotrack-core/src/idempotency.rs
@@ -63,7 +63,7 @@
     pub customer: Name,
     /// The key.
     pub key: Name,
-    /// Time since the request came.
+    /// Time received_at the request came.
     pub age_ms: u64,
     /// The stored answer; `None` if the outcome is unknown or not stored.
     pub answer: Option<Arc<StoredAnswer>>,
@@ -79,11 +79,11 @@
     /// The first has been answered.
     Replay(Arc<StoredAnswer>),
     /// The first may have run and its answer is not held.
-    Lost,
+    OutcomeUnknown,
     /// It is a repeat and its first is not on record.
     NoRecord,
     /// Every key on record is in flight; it can't be recorded.
-    Full,
+    TableFull,
 }
 
 type KeyId = (Name, Name);
@@ -95,12 +95,12 @@
         waiters: Vec<RequestId>,
     },
     Stored(Arc<StoredAnswer>),
-    Lost,
+    OutcomeUnknown,
 }
 
 #[derive(Clone, Debug)]
 struct Record {
-    since: Time,
+    received_at: Time,
     serial: u64,
     state: State,
 }
@@ -117,7 +117,7 @@
     /// Records with a body, oldest first; stale entries as above.
     stored: VecDeque<(KeyId, u64)>,
     /// Requests whose body ended and whose answer may still be stored.
-    ending: VecDeque<(Time, RequestId)>,
+    awaiting_store: VecDeque<(Time, RequestId)>,
     body_bytes: usize,
     next_serial: u64,
 }
@@ -131,7 +131,7 @@
             in_flight: FxHashMap::default(),
             finished: VecDeque::new(),
             stored: VecDeque::new(),
-            ending: VecDeque::new(),
+            awaiting_store: VecDeque::new(),
             body_bytes: 0,
             next_serial: 0,
         }
@@ -156,7 +156,7 @@
         request: RequestId,
         repeat: bool,
     ) -> Claim {
-        self.forget_old(now);
+        self.evict_expired(now);
         let id = (customer.clone(), key.clone());
         if let Some(record) = self.records.get_mut(&id) {
             return match &mut record.state {
@@ -165,14 +165,14 @@
                     Claim::Join
                 }
                 State::Stored(answer) => Claim::Replay(answer.clone()),
-                State::Lost => Claim::Lost,
+                State::OutcomeUnknown => Claim::OutcomeUnknown,
             };
         }
         if repeat {
             return Claim::NoRecord;
         }
-        if self.records.len() >= self.settings.max_keys && !self.forget_oldest() {
-            return Claim::Full;
+        if self.records.len() >= self.settings.max_keys && !self.evict_oldest() {
+            return Claim::TableFull;
         }
         let state = State::InFlight { waiters: Vec::new() };
         self.insert(now, id.clone(), state);
@@ -192,14 +192,14 @@
 
     /// Notes that the first may have run and that its answer is lost; returns
     /// the requests that waited for it.
-    pub fn on_lost(&mut self, request: RequestId) -> Vec<RequestId> {
-        self.finish(request, State::Lost)
+    pub fn on_answer_lost(&mut self, request: RequestId) -> Vec<RequestId> {
+        self.finish(request, State::OutcomeUnknown)
     }
 
     /// Notes that the first's answer has come whole; it may be stored yet.
     pub fn on_answered(&mut self, now: Time, request: RequestId) {
         if self.in_flight.contains_key(&request) {
-            self.ending.push_back((now, request));
+            self.awaiting_store.push_back((now, request));
         }
     }
 
@@ -209,12 +209,12 @@
             return Vec::new();
         }
         let waiters = self.finish(request, State::Stored(answer.clone()));
-        self.bound_bodies();
+        self.evict_bodies();
         waiters
     }
 
     /// Takes a waiting request out, whose caller or deadline is gone.
-    pub fn leave(&mut self, customer: &Name, key: &Name, request: RequestId) {
+    pub fn remove_waiter(&mut self, customer: &Name, key: &Name, request: RequestId) {
         let id = (customer.clone(), key.clone());
         if let Some(State::InFlight { waiters }) =
             self.records.get_mut(&id).map(|record| &mut record.state)
@@ -227,14 +227,14 @@
     /// that waited for them.
     pub fn on_tick(&mut self, now: Time) -> Vec<RequestId> {
         let mut waiters = Vec::new();
-        while let Some((ended_at, request)) = self.ending.front().copied() {
+        while let Some((ended_at, request)) = self.awaiting_store.front().copied() {
             if now < ended_at + self.settings.store_grace {
                 break;
             }
-            self.ending.pop_front();
-            waiters.extend(self.on_lost(request));
+            self.awaiting_store.pop_front();
+            waiters.extend(self.on_answer_lost(request));
         }
-        self.forget_old(now);
+        self.evict_expired(now);
         waiters
     }
 
@@ -257,7 +257,7 @@
             keys.push(KeyHandOver {
                 customer: customer.clone(),
                 key: key.clone(),
-                age_ms: now.since(record.since).as_millis() as u64,
+                age_ms: now.since(record.received_at).as_millis() as u64,
                 answer,
             });
         }
@@ -271,35 +271,35 @@
             if self.records.contains_key(&id) {
                 continue;
             }
-            if self.records.len() >= self.settings.max_keys && !self.forget_oldest() {
+            if self.records.len() >= self.settings.max_keys && !self.evict_oldest() {
                 return;
             }
-            let state = handed.answer.clone().map_or(State::Lost, State::Stored);
-            let since = now.before(Duration::from_millis(handed.age_ms));
-            self.insert_finished(since, id, state);
+            let state = handed.answer.clone().map_or(State::OutcomeUnknown, State::Stored);
+            let received_at = now.before(Duration::from_millis(handed.age_ms));
+            self.insert_finished(received_at, id, state);
         }
-        self.bound_bodies();
+        self.evict_bodies();
     }
 
     fn finish(&mut self, request: RequestId, state: State) -> Vec<RequestId> {
         let Some(id) = self.in_flight.remove(&request) else { return Vec::new() };
         let Some(record) = self.records.remove(&id) else { return Vec::new() };
         let State::InFlight { waiters } = record.state else { return Vec::new() };
-        self.insert_finished(record.since, id, state);
+        self.insert_finished(record.received_at, id, state);
         waiters
     }
 
-    fn insert(&mut self, since: Time, id: KeyId, state: State) -> u64 {
+    fn insert(&mut self, received_at: Time, id: KeyId, state: State) -> u64 {
         let serial = self.next_serial;
         self.next_serial += 1;
-        self.records.insert(id, Record { since, serial, state });
+        self.records.insert(id, Record { received_at, serial, state });
         serial
     }
 
-    fn insert_finished(&mut self, since: Time, id: KeyId, state: State) {
+    fn insert_finished(&mut self, received_at: Time, id: KeyId, state: State) {
         let body_bytes = body_bytes(&state);
         let is_stored = matches!(state, State::Stored(_));
-        let serial = self.insert(since, id.clone(), state);
+        let serial = self.insert(received_at, id.clone(), state);
         self.body_bytes += body_bytes;
         if is_stored {
             self.stored.push_back((id.clone(), serial));
@@ -307,16 +307,16 @@
         self.finished.push_back((id, serial));
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn evict_expired(&mut self, now: Time) {
         while let Some((id, serial)) = self.finished.front() {
             let record = self.records.get(id).filter(|record| record.serial == *serial);
-            if record.is_some_and(|record| now < record.since + self.settings.max_age) {
+            if record.is_some_and(|record| now < record.received_at + self.settings.max_age) {
                 break;
             }
             if record.is_none() {
                 self.finished.pop_front();
             } else {
-                self.forget_oldest();
+                self.evict_oldest();
             }
         }
         while let Some((id, serial)) = self.stored.front() {
@@ -328,7 +328,7 @@
     }
 
     /// Forgets the oldest finished key and returns whether there was one.
-    fn forget_oldest(&mut self) -> bool {
+    fn evict_oldest(&mut self) -> bool {
         while let Some((id, serial)) = self.finished.pop_front() {
             if self.records.get(&id).is_none_or(|record| record.serial != serial) {
                 continue;
@@ -341,13 +341,13 @@
         false
     }
 
-    fn bound_bodies(&mut self) {
+    fn evict_bodies(&mut self) {
         while self.body_bytes > self.settings.max_body_bytes {
             let Some((id, serial)) = self.stored.pop_front() else { return };
             let Some(record) = self.records.get_mut(&id) else { continue };
             if record.serial == serial {
                 self.body_bytes -= body_bytes(&record.state);
-                record.state = State::Lost;
+                record.state = State::OutcomeUnknown;
             }
         }
     }
--- a/crates/pistachiotrack-core/src/lib.rs
+++ b/crates/pistachiotrack-core/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod admin;
 pub mod admission;
+pub mod concurrency_limit;
 pub mod config;
 pub mod config_sync;
 pub mod contract;
@@ -14,13 +15,12 @@
 pub mod customer;
 pub mod data_centre;
 pub mod endpoint;
+pub mod feature_flags;
 pub mod fingerprint;
 pub mod hash;
 pub mod header;
 pub mod health;
 pub mod idempotency;
-pub mod limit;
-pub mod mechanism;
 pub mod membership;
 pub mod message;
 pub mod name;
--- a/crates/pistachiotrack-core/src/ownership.rs
+++ b/crates/pistachiotrack-core/src/ownership.rs
@@ -52,7 +52,9 @@
 /// key, belongs to.
 pub fn rendezvous_shard(name: &str, count: u32) -> u32 {
     let key = hash::fnv(name.as_bytes());
-    (0..count).max_by_key(|index| hash::pair(key, hash::mix(u64::from(*index) + 1))).unwrap_or(0)
+    (0..count)
+        .max_by_key(|index| hash::rendezvous_score(key, hash::mix(u64::from(*index) + 1)))
+        .unwrap_or(0)
 }
 
 /// Settings of the ownership.
--- a/crates/pistachiotrack-core/src/ownership/dispatchers.rs
+++ b/crates/pistachiotrack-core/src/ownership/dispatchers.rs
@@ -75,7 +75,8 @@
     let mut winners = Vec::new();
     for candidates in by_data_centre.values() {
         let mut ranked = candidates.clone();
-        ranked.sort_by_key(|candidate| std::cmp::Reverse(hash::pair(key, candidate.key)));
+        ranked
+            .sort_by_key(|candidate| std::cmp::Reverse(hash::rendezvous_score(key, candidate.key)));
         winners.extend(ranked.into_iter().take(wanted).map(|candidate| candidate.vm.clone()));
     }
     winners
--- a/crates/pistachiotrack-core/src/ownership/placement.rs
+++ b/crates/pistachiotrack-core/src/ownership/placement.rs
@@ -34,7 +34,7 @@
 
     /// Returns the score of a VM; the highest owns the shard.
     pub(super) fn score(&self, candidate: &Candidate) -> f64 {
-        self.weighted(&candidate.vm.data_centre, hash::pair(self.key, candidate.key))
+        self.weighted(&candidate.vm.data_centre, hash::rendezvous_score(self.key, candidate.key))
     }
 
     fn weighted(&self, data_centre: &Name, hash: u64) -> f64 {
@@ -49,7 +49,7 @@
         // Within a data centre the weight is the same, so whole numbers decide
         // and the logarithm is needed once for each data centre only.
         let of_each = pool.by_data_centre.iter().filter_map(|(data_centre, candidates)| {
-            let hash_of = |candidate: &&Candidate| hash::pair(self.key, candidate.key);
+            let hash_of = |candidate: &&Candidate| hash::rendezvous_score(self.key, candidate.key);
             let best = candidates.iter().copied().max_by_key(hash_of)?;
             Some((best, self.weighted(data_centre, hash_of(&best))))
         });
--- a/crates/pistachiotrack-core/src/request.rs
+++ b/crates/pistachiotrack-core/src/request.rs
@@ -84,7 +84,7 @@
     /// A pooled connection may be used.
     Any,
     /// A pooled connection may be used only if it has answered lately.
-    Lively,
+    RecentlyUsed,
     /// A new connection is opened.
     Fresh,
 }
@@ -143,7 +143,7 @@
 
 /// What an endpoint reports about itself in its answers; a hint only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct EndpointReport {
     /// Requests that the endpoint says it is working on.
     pub in_flight: Option<u32>,
     /// Whether the endpoint says that it is leaving.
@@ -158,7 +158,7 @@
     /// The whole body arrived.
     Complete,
     /// The body was cut short.
-    Cut,
+    Truncated,
     /// The caller went away.
     CallerGone,
 }
--- a/crates/pistachiotrack-core/src/retry.rs
+++ b/crates/pistachiotrack-core/src/retry.rs
@@ -1,12 +1,14 @@
 //! Budgets of retries and hedges, and the latencies they are judged by.
 
-mod fleet_budget;
+mod fleet_retry_budget;
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-pub use self::fleet_budget::{DispatchersInView, FleetBudget, Sent, SentTotal};
+pub use self::fleet_retry_budget::{
+    CumulativeCounts, FleetRetryBudget, SendCounts, VisibleDispatchers,
+};
 use crate::{service::RetryLimit, time::Time};
 
 /// Settings of a retry budget.
@@ -76,7 +78,7 @@
     /// Takes a retry that only saves time, as a hedge does, and returns whether
     /// there was one to spare: half of the burst is left to retries that save a
     /// request.
-    pub fn take_spare(&mut self, now: Time) -> bool {
+    pub fn take_for_hedge(&mut self, now: Time) -> bool {
         self.fill(now);
         self.tokens > self.settings.burst / 2.0 && self.take(now)
     }
@@ -164,11 +166,11 @@
 
 /// Moving average of how long a request holds its slot.
 #[derive(Clone, Debug, Default)]
-pub struct UsualTime {
+pub struct SlotTimeAverage {
     micros: Option<f64>,
 }
 
-impl UsualTime {
+impl SlotTimeAverage {
     /// Starts from an average that is already known.
     pub fn seed(&mut self, usual: Duration) {
         self.micros = Some(usual.as_micros() as f64);
--- a/crates/pistachiotrack-core/src/retry/fleet_budget.rs
+++ b/crates/pistachiotrack-core/src/retry/fleet_retry_budget.rs
@@ -36,30 +36,30 @@
 
 /// Requests and retries that were sent to endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sent {
+pub struct SendCounts {
     /// Requests, each counted when it is sent for the first time.
     pub requests: u64,
     /// Times that a request was sent once more.
     pub retries: u64,
 }
 
-impl Sent {
-    fn plus(self, other: Sent) -> Sent {
-        Sent {
+impl SendCounts {
+    fn plus(self, other: SendCounts) -> SendCounts {
+        SendCounts {
             requests: self.requests.saturating_add(other.requests),
             retries: self.retries.saturating_add(other.retries),
         }
     }
 
-    fn minus(self, other: Sent) -> Sent {
-        Sent {
+    fn minus(self, other: SendCounts) -> SendCounts {
+        SendCounts {
             requests: self.requests.saturating_sub(other.requests),
             retries: self.retries.saturating_sub(other.retries),
         }
     }
 
-    fn max(self, other: Sent) -> Sent {
-        Sent {
+    fn max(self, other: SendCounts) -> SendCounts {
+        SendCounts {
             requests: self.requests.max(other.requests),
             retries: self.retries.max(other.retries),
         }
@@ -70,17 +70,17 @@
 ///
 /// Totals instead of differences: a datagram that is lost is made up by the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SentTotal {
+pub struct CumulativeCounts {
     /// Number that tells this count from one that the VM began anew.
     pub count_id: u32,
     /// What was sent.
-    pub sent: Sent,
+    pub sent: SendCounts,
 }
 
 /// What is known of another VM.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    total: SentTotal,
+    total: CumulativeCounts,
     heard_at: Time,
     /// Moment of the last word of a retry.
     retried_at: Option<Time>,
@@ -88,7 +88,7 @@
 
 /// Which of a service's dispatchers a VM sees.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DispatchersInView {
+pub struct VisibleDispatchers {
     /// Dispatchers that this VM believes alive.
     pub count: u32,
     /// Whether this VM is one of them.
@@ -105,15 +105,15 @@
 /// and takes the less of the slack; and while several need retries, each takes its share
 /// of what is left at a time, as the others may just have taken theirs.
 #[derive(Clone, Debug)]
-pub struct FleetBudget {
+pub struct FleetRetryBudget {
     limit: RetryLimit,
     /// Dispatchers that there should be.
     expected: u32,
-    in_view: DispatchersInView,
+    in_view: VisibleDispatchers,
     /// Whether this VM became a dispatcher later than it began to count.
     is_late: bool,
     /// What this VM has sent as a dispatcher.
-    total: SentTotal,
+    total: CumulativeCounts,
     peers: FxHashMap<Name, Peer>,
     /// What this VM has sent in the window while it was no dispatcher.
     apart: SentWindow,
@@ -124,7 +124,7 @@
     began_at: Time,
     share: Share,
     /// Whether what is left is shared out while several need some.
-    shares_out: bool,
+    divides_remaining: bool,
 }
 
 /// What a VM may take of the retries that are left, for a short time.
@@ -134,24 +134,24 @@
     until: Time,
 }
 
-impl FleetBudget {
+impl FleetRetryBudget {
     /// Creates a budget that knows of nothing sent so far.
     ///
     /// `count_id` is a random number.
-    pub fn new(now: Time, limit: RetryLimit, expected: u32, count_id: u32) -> FleetBudget {
-        FleetBudget {
+    pub fn new(now: Time, limit: RetryLimit, expected: u32, count_id: u32) -> FleetRetryBudget {
+        FleetRetryBudget {
             limit,
             expected,
-            in_view: DispatchersInView::default(),
+            in_view: VisibleDispatchers::default(),
             is_late: false,
-            total: SentTotal { count_id, sent: Sent::default() },
+            total: CumulativeCounts { count_id, sent: SendCounts::default() },
             peers: FxHashMap::default(),
             apart: SentWindow::new(now, limit),
             all: SentWindow::new(now, limit),
             informed_at: now + window(limit),
             began_at: now,
             share: Share::default(),
-            shares_out: true,
+            divides_remaining: true,
         }
     }
 
@@ -161,8 +161,8 @@
     }
 
     /// Sets whether retries that are left are shared out.
-    pub fn set_shares_out(&mut self, shares_out: bool) {
-        self.shares_out = shares_out;
+    pub fn set_divides_remaining(&mut self, divides_remaining: bool) {
+        self.divides_remaining = divides_remaining;
     }
 
     /// Takes a limit and the number of dispatchers that there should be.
@@ -178,7 +178,7 @@
 
     /// Takes which dispatchers this VM sees; returns whether it has just become one
     /// and has to ask the others for a picture.
-    pub fn set_in_view(&mut self, now: Time, in_view: DispatchersInView) -> bool {
+    pub fn set_visible_dispatchers(&mut self, now: Time, in_view: VisibleDispatchers) -> bool {
         let begins = in_view.is_member && !self.in_view.is_member;
         if begins {
             self.informed_at = now + window(self.limit);
@@ -190,12 +190,12 @@
 
     /// Notes a request that is sent for the first time.
     pub fn on_request(&mut self, now: Time) {
-        self.note(now, Sent { requests: 1, retries: 0 });
+        self.note(now, SendCounts { requests: 1, retries: 0 });
     }
 
     /// Notes a retry that is sent whatever the limit.
-    pub fn spend(&mut self, now: Time) {
-        self.note(now, Sent { requests: 0, retries: 1 });
+    pub fn record_retry(&mut self, now: Time) {
+        self.note(now, SendCounts { requests: 0, retries: 1 });
     }
 
     /// Takes one retry from the budget and returns whether there was one.
@@ -203,7 +203,7 @@
         let (allowed, spent) = self.state(now);
         let is_left = spent + 1.0 <= allowed && self.take_share(now, allowed - spent);
         if is_left {
-            self.spend(now);
+            self.record_retry(now);
         }
         is_left
     }
@@ -214,7 +214,8 @@
             peer.retried_at.is_some_and(|retried_at| now.since(retried_at) < IN_NEED_TIME)
         };
         let others = self.peers.values().filter(is_in_need).count();
-        let is_plenty = !self.shares_out || left >= f64::from(self.limit.slack) * SHARED_OUT_PART;
+        let is_plenty =
+            !self.divides_remaining || left >= f64::from(self.limit.slack) * SHARED_OUT_PART;
         if is_plenty || others == 0 || !self.in_view.is_member {
             return true;
         }
@@ -233,13 +234,13 @@
 
     /// Takes a retry that only saves time and returns whether there was one to
     /// spare: half of what is allowed is left to retries that save a request.
-    pub fn take_spare(&mut self, now: Time) -> bool {
+    pub fn take_for_hedge(&mut self, now: Time) -> bool {
         let (allowed, spent) = self.state(now);
         spent + 1.0 <= allowed / 2.0 && self.take(now)
     }
 
     /// Returns what this VM has to tell the others.
-    pub fn total(&self) -> SentTotal {
+    pub fn total(&self) -> CumulativeCounts {
         self.total
     }
 
@@ -247,15 +248,15 @@
     ///
     /// What a VM had sent before this one first hears of it is in the picture that
     /// a dispatcher asks for when it begins.
-    pub fn on_peer(&mut self, now: Time, from: &Name, total: SentTotal) {
+    pub fn on_peer_counts(&mut self, now: Time, from: &Name, total: CumulativeCounts) {
         let known = self.peers.get(from).map(|peer| peer.total);
         let (news, total) = match known {
-            None => (Sent::default(), total),
+            None => (SendCounts::default(), total),
             Some(known) if known.count_id != total.count_id => (total.sent, total),
             // A datagram that was overtaken brings smaller totals and nothing new.
             Some(known) => {
                 let sent = total.sent.max(known.sent);
-                (sent.minus(known.sent), SentTotal { sent, ..total })
+                (sent.minus(known.sent), CumulativeCounts { sent, ..total })
             }
         };
         self.all.note(now, news);
@@ -270,7 +271,7 @@
 
     /// Returns what all dispatchers have sent in the last window, newest step
     /// first; nothing if this VM doesn't know.
-    pub fn history(&mut self, now: Time) -> Vec<Sent> {
+    pub fn history(&mut self, now: Time) -> Vec<SendCounts> {
         if !self.is_informed(now) {
             return Vec::new();
         }
@@ -279,7 +280,7 @@
     }
 
     /// Takes what another VM knows of the last window.
-    pub fn on_history(&mut self, now: Time, history: &[Sent]) {
+    pub fn on_history(&mut self, now: Time, history: &[SendCounts]) {
         if history.is_empty() || !self.in_view.is_member {
             return;
         }
@@ -295,7 +296,7 @@
         self.peers.insert(name, peer);
     }
 
-    fn note(&mut self, now: Time, sent: Sent) {
+    fn note(&mut self, now: Time, sent: SendCounts) {
         if !self.in_view.is_member {
             return self.apart.note(now, sent);
         }
@@ -325,7 +326,7 @@
         (self.earned(sent) + slack, sent.retries as f64)
     }
 
-    fn earned(&self, sent: Sent) -> f64 {
+    fn earned(&self, sent: SendCounts) -> f64 {
         self.limit.ratio * sent.requests as f64
     }
 }
@@ -335,7 +336,7 @@
 struct SentWindow {
     step: Duration,
     /// Newest first.
-    steps: VecDeque<Sent>,
+    steps: VecDeque<SendCounts>,
     newest_began_at: Time,
 }
 
@@ -343,12 +344,12 @@
     fn new(now: Time, limit: RetryLimit) -> SentWindow {
         SentWindow {
             step: window(limit) / STEPS as u32,
-            steps: VecDeque::from(vec![Sent::default(); STEPS + 1]),
+            steps: VecDeque::from(vec![SendCounts::default(); STEPS + 1]),
             newest_began_at: now,
         }
     }
 
-    fn note(&mut self, now: Time, sent: Sent) {
+    fn note(&mut self, now: Time, sent: SendCounts) {
         self.advance(now);
         if let Some(newest) = self.steps.front_mut() {
             *newest = newest.plus(sent);
@@ -357,15 +358,15 @@
 
     /// Returns the retries of a whole window or a little more, and the requests of a
     /// whole window or a little less.
-    fn sum(&mut self, now: Time) -> Sent {
+    fn sum(&mut self, now: Time) -> SendCounts {
         self.advance(now);
-        let sum = self.steps.iter().copied().fold(Sent::default(), Sent::plus);
+        let sum = self.steps.iter().copied().fold(SendCounts::default(), SendCounts::plus);
         let oldest = self.steps.back().map_or(0, |step| step.requests);
-        Sent { requests: sum.requests.saturating_sub(oldest), ..sum }
+        SendCounts { requests: sum.requests.saturating_sub(oldest), ..sum }
     }
 
     /// Takes what another VM has counted; a step may be off by one there.
-    fn merge(&mut self, now: Time, others: &[Sent]) {
+    fn merge(&mut self, now: Time, others: &[SendCounts]) {
         self.advance(now);
         for (step, other) in self.steps.iter_mut().zip(others) {
             *step = step.max(*other);
@@ -376,7 +377,7 @@
         let mut passed = 0;
         while now.since(self.newest_began_at) >= self.step && passed <= STEPS {
             self.steps.pop_back();
-            self.steps.push_front(Sent::default());
+            self.steps.push_front(SendCounts::default());
             self.newest_began_at += self.step;
             passed += 1;
         }
--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -35,14 +35,14 @@
     admission::AdmissionQueue,
     config::Config,
     endpoint::Endpoint,
+    feature_flags::FeatureFlags,
     health::{AttemptKind, EjectReason, Health, HealthSettings, PathAnswer, Standing},
     idempotency::{KeySettings, KeyTable, StoredAnswer},
-    mechanism::Mechanisms,
     name::Name,
     ownership::{ShardId, shard_count, shard_endpoints},
     rate_limit::RateLimit,
-    request::{AttemptId, BodyEnd, Outcome, Report, Request, RequestId},
-    retry::{RecentLatency, UsualTime},
+    request::{AttemptId, BodyEnd, EndpointReport, Outcome, Request, RequestId},
+    retry::{RecentLatency, SlotTimeAverage},
     service::{DEFAULT_PROBE_PATH, Service},
     time::Time,
 };
@@ -101,12 +101,12 @@
     /// Data centre of this VM; endpoints there are preferred.
     pub data_centre: Option<Name>,
     /// Mechanisms at work.
-    pub mechanisms: Mechanisms,
+    pub mechanisms: FeatureFlags,
 }
 
 impl Default for ShardSettings {
     fn default() -> ShardSettings {
-        let mechanisms = Mechanisms::default();
+        let mechanisms = FeatureFlags::default();
         ShardSettings { mode: ShardMode::Owner, seed: 1, data_centre: None, mechanisms }
     }
 }
@@ -134,7 +134,7 @@
     keys: KeyTable,
     retries: Retries,
     latency: RecentLatency,
-    usual: UsualTime,
+    usual: SlotTimeAverage,
     next_attempt: u64,
     /// Whether other VMs dispatch to the endpoints too.
     is_shared: bool,
@@ -146,7 +146,7 @@
     ended: Vec<(Name, EndedAttempt, Time)>,
     /// Until then requests wait for a picture that other VMs were asked for.
     picture_due: Option<Time>,
-    mechanisms: Mechanisms,
+    mechanisms: FeatureFlags,
     out: Vec<ShardAction>,
 }
 
@@ -187,7 +187,7 @@
             keys: KeyTable::new(KeySettings::default()),
             retries,
             latency: RecentLatency::default(),
-            usual: UsualTime::default(),
+            usual: SlotTimeAverage::default(),
             next_attempt: 1,
             is_shared: service.is_some_and(Service::is_shared),
             dispatchers: 1,
@@ -251,7 +251,7 @@
         now: Time,
         attempt: AttemptId,
         outcome: Outcome,
-        report: Report,
+        report: EndpointReport,
     ) -> Vec<ShardAction> {
         let Some(of) = self.attempts.get_mut(&attempt) else { return Vec::new() };
         if of.answered {
--- a/crates/pistachiotrack-core/src/shard/ending.rs
+++ b/crates/pistachiotrack-core/src/shard/ending.rs
@@ -7,7 +7,7 @@
     state::{Attempt, Phase},
 };
 use crate::{
-    admission::Ticket,
+    admission::QueueEntry,
     health::{AttemptKind, HealthAction},
     refusal::{Execution, Reason, RefusalDecision},
     request::{AttemptId, BodyEnd, FIRST_FAILURE_STATUS, Outcome, RequestId},
@@ -111,7 +111,7 @@
             let waiters = self.keys.on_not_run(id);
             self.intake_again(now, waiters);
         } else {
-            let waiters = self.keys.on_lost(id);
+            let waiters = self.keys.on_answer_lost(id);
             self.refuse_waiters(now, waiters);
         }
     }
@@ -191,7 +191,7 @@
         self.pool.on_success(&of.endpoint);
         if let (Some(customer), Some(usual)) = (&of.customer, self.usual.value()) {
             let relative = held.as_secs_f64() / usual.as_secs_f64().max(f64::MIN_POSITIVE);
-            self.queue.on_held(customer, relative);
+            self.queue.record_slot_time(customer, relative);
         }
     }
 
@@ -200,7 +200,7 @@
         if end == BodyEnd::Complete {
             return self.keys.on_answered(now, id);
         }
-        let waiters = self.keys.on_lost(id);
+        let waiters = self.keys.on_answer_lost(id);
         self.refuse_waiters(now, waiters);
     }
 
@@ -254,13 +254,13 @@
         match live.phase {
             Phase::New | Phase::Running => {}
             Phase::Queued => {
-                let ticket = Ticket { deadline: request.deadline, request: id };
+                let ticket = QueueEntry { deadline: request.deadline, request: id };
                 self.queue.remove(&request.customer, request.class, ticket);
                 self.expiry.remove(&(live.not_after, id));
             }
             Phase::Joined => {
                 if let Some(key) = &request.key {
-                    self.keys.leave(&request.customer, key, id);
+                    self.keys.remove_waiter(&request.customer, key, id);
                 }
                 self.expiry.remove(&(live.not_after, id));
             }
--- a/crates/pistachiotrack-core/src/shard/flow.rs
+++ b/crates/pistachiotrack-core/src/shard/flow.rs
@@ -8,7 +8,7 @@
     state::{Attempt, Live, Phase},
 };
 use crate::{
-    admission::Ticket,
+    admission::QueueEntry,
     health::{AttemptKind, Standing},
     idempotency::Claim,
     name::Name,
@@ -84,9 +84,9 @@
                 self.live.remove(&id);
                 self.out.push(ShardAction::Replay { request: id, answer });
             }
-            Claim::Lost => self.refuse_as_run(now, id, Reason::Duplicate),
+            Claim::OutcomeUnknown => self.refuse_as_run(now, id, Reason::Duplicate),
             Claim::NoRecord => self.refuse_as_run(now, id, Reason::NoRecord),
-            Claim::Full => self.refuse(now, id, Reason::QueueFull, None),
+            Claim::TableFull => self.refuse(now, id, Reason::QueueFull, None),
         }
     }
 
@@ -112,7 +112,7 @@
         let is_full = self.queue.len() >= self.queue_limit;
         if is_full && (!self.queue.is_empty() || !self.pool.has_free_slot(now)) {
             let hint = self.retry_hint(self.queue_wait(now));
-            let Some(victim) = self.queue.victim(&customer, class) else {
+            let Some(victim) = self.queue.eviction_candidate(&customer, class) else {
                 return self.refuse(now, id, Reason::QueueFull, hint);
             };
             self.refuse(now, victim, Reason::QueueFull, hint);
@@ -124,7 +124,7 @@
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(live) = self.live.get_mut(&id) else { return };
         live.phase = Phase::Queued;
-        let ticket = Ticket { deadline: live.request.deadline, request: id };
+        let ticket = QueueEntry { deadline: live.request.deadline, request: id };
         self.queue.push(&live.request.customer, live.request.class, ticket);
         self.expiry.insert((live.not_after, id));
     }
@@ -134,7 +134,7 @@
         if self.queue.is_empty() && self.pool.has_free_slot(now) {
             return Duration::ZERO;
         }
-        self.drain_time(self.queue.ahead(customer, class))
+        self.drain_time(self.queue.requests_ahead(customer, class))
     }
 
     /// Returns the time in which so many requests leave the queue.
@@ -444,6 +444,6 @@
     } else if in_doubt {
         ConnectionChoice::Fresh
     } else {
-        ConnectionChoice::Lively
+        ConnectionChoice::RecentlyUsed
     }
 }
--- a/crates/pistachiotrack-core/src/shard/news.rs
+++ b/crates/pistachiotrack-core/src/shard/news.rs
@@ -14,9 +14,9 @@
     health::BeliefOf,
     name::Name,
     ownership::ShardId,
-    rate_limit::RateNews,
+    rate_limit::RateUpdate,
     request::{AttemptId, Class, FIRST_FAILURE_STATUS},
-    retry::{Sent, SentTotal},
+    retry::{CumulativeCounts, SendCounts},
     time::Time,
 };
 
@@ -51,7 +51,7 @@
     /// The sender's requests that came to their end since it last told anything.
     pub finished: Served,
     /// All that the sender has sent as a dispatcher.
-    pub sent: SentTotal,
+    pub sent: CumulativeCounts,
     /// What has changed at the endpoints.
     pub endpoints: Vec<EndpointNews>,
 }
@@ -66,7 +66,7 @@
     /// How one of them was just answered, if one was.
     pub ended: Option<EndedAttempt>,
     /// The limit that the endpoint names, if it does.
-    pub rate: Option<RateNews>,
+    pub rate: Option<RateUpdate>,
 }
 
 /// What a VM believes of a shard's endpoints, for one that has just begun.
@@ -78,9 +78,9 @@
     pub beliefs: Vec<BeliefOf>,
     /// What all dispatchers have sent in the last window of the limit of retries,
     /// newest first; empty if the sender doesn't know.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SendCounts>,
     /// Endpoints that name a limit.
-    pub rates: Vec<(EndpointKey, RateNews)>,
+    pub rates: Vec<(EndpointKey, RateUpdate)>,
 }
 
 /// How an endpoint answered.
@@ -135,7 +135,7 @@
         }
         self.strain.on_peer(news.finished);
         if let Some(budget) = self.retries.fleet() {
-            budget.on_peer(now, from, news.sent);
+            budget.on_peer_counts(now, from, news.sent);
         }
         for told in &news.endpoints {
             if let Some(endpoint) = self.pool.name_of(told.endpoint) {
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -17,12 +17,12 @@
 pub(super) use self::pick::{Pick, Wanted};
 use super::{Choice, EndpointKey, ShardMode};
 use crate::{
+    concurrency_limit::AdaptiveConcurrencyLimit,
     endpoint::Endpoint,
+    feature_flags::FeatureFlags,
     health::{Candidate, Health, Standing},
-    limit::AdaptiveLimit,
-    mechanism::Mechanisms,
     name::Name,
-    rate_limit::{RateLimit, RateShare, SharedRate},
+    rate_limit::{RateLimit, RateShare, SharedRateLimiter},
     time::Time,
 };
 
@@ -46,7 +46,7 @@
     /// Requests that may be in flight now.
     pub(super) limit: u32,
     is_configured: bool,
-    adaptive: AdaptiveLimit,
+    adaptive: AdaptiveConcurrencyLimit,
     foreign: u32,
     foreign_until: Time,
     /// How likely the next request fails for a reason that another endpoint would spare
@@ -58,7 +58,7 @@
     /// Whether it joined while this VM was at work, and nobody has tried it yet.
     is_untried: bool,
     /// What may be sent in a second, if the endpoint ever named a limit.
-    rate: Option<SharedRate>,
+    rate: Option<SharedRateLimiter>,
     /// Whether its limit leaves no room for requests of this VM.
     is_left_to_others: bool,
     /// Requests that other VMs have in flight, each count with its last moment.
@@ -79,7 +79,7 @@
 
     /// Returns the limit that the endpoint names.
     pub(super) fn rate_limit(&self) -> Option<RateLimit> {
-        self.rate.as_ref().and_then(SharedRate::limit)
+        self.rate.as_ref().and_then(SharedRateLimiter::limit)
     }
 
     fn accepts_work(&self) -> bool {
@@ -115,14 +115,14 @@
     changed: Vec<Name>,
     /// Whether endpoints are ranked by how likely they fail.
     by_risk: bool,
-    mechanisms: Mechanisms,
+    mechanisms: FeatureFlags,
     /// Data centre of this VM.
     home: Option<Name>,
     rng: Pcg32,
 }
 
 impl Pool {
-    pub(super) fn new(mode: ShardMode, seed: u64, mechanisms: Mechanisms) -> Pool {
+    pub(super) fn new(mode: ShardMode, seed: u64, mechanisms: FeatureFlags) -> Pool {
         Pool {
             slots: BTreeMap::new(),
             by_key: FxHashMap::default(),
@@ -182,7 +182,7 @@
                 share: 1.0,
                 limit: 0,
                 is_configured: true,
-                adaptive: AdaptiveLimit::new(endpoint.slots),
+                adaptive: AdaptiveConcurrencyLimit::new(endpoint.slots),
                 foreign: 0,
                 foreign_until: Time::ZERO,
                 risk: 0.0,
@@ -235,10 +235,10 @@
             slots.share = health.share(now, name);
             slots.limit = limit(slots, self.mode, is_settling);
             let rate_limit = slots.rate_limit();
-            slots.is_left_to_others = rate_limit.is_some() && share.part == 0.0;
+            slots.is_left_to_others = rate_limit.is_some() && share.fraction == 0.0;
             match rate_limit {
                 _ if !slots.accepts_work() => {}
-                Some(limit) => self.limited_per_second += limit.used_per_second(share.part),
+                Some(limit) => self.limited_per_second += limit.allowed_per_second(share.fraction),
                 None => self.capacity += slots.limit,
             }
             if slots.is_configured {
--- a/crates/pistachiotrack-core/src/shard/pool/rates.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/rates.rs
@@ -5,7 +5,7 @@
 use super::Pool;
 use crate::{
     name::Name,
-    rate_limit::{RateLimit, RateNews, RateShare, SharedRate},
+    rate_limit::{RateLimit, RateShare, RateUpdate, SharedRateLimiter},
     shard::EndpointKey,
     time::Time,
 };
@@ -36,7 +36,7 @@
             (Some(rate), limit) => rate.on_answer(sent_at, limit),
             (None, Some(limit)) => {
                 let (share, turn) = (self.rate_share, self.rng.random());
-                slots.rate = Some(SharedRate::new(now, sent_at, limit, share, turn));
+                slots.rate = Some(SharedRateLimiter::new(now, sent_at, limit, share, turn));
                 true
             }
             (None, None) => false,
@@ -46,19 +46,19 @@
     /// Takes what another VM has sent to an endpoint that names a limit.
     pub(in crate::shard) fn on_peer_rate(&mut self, now: Time, name: &str, peer: &Name, sent: u32) {
         if let Some(rate) = self.slots.get_mut(name).and_then(|slots| slots.rate.as_mut()) {
-            rate.on_peer(now, peer, sent, self.rate_share, self.rng.random());
+            rate.on_peer_count(now, peer, sent, self.rate_share, self.rng.random());
         }
     }
 
     /// Returns what other VMs are told of an endpoint that names a limit.
-    pub(in crate::shard) fn rate_news(&self, now: Time, name: &str) -> Option<RateNews> {
-        self.slots.get(name).and_then(|slots| slots.rate.as_ref()?.news(now))
+    pub(in crate::shard) fn rate_news(&self, now: Time, name: &str) -> Option<RateUpdate> {
+        self.slots.get(name).and_then(|slots| slots.rate.as_ref()?.update(now))
     }
 
     /// Returns all endpoints that name a limit.
-    pub(in crate::shard) fn rate_limits(&self, now: Time) -> Vec<(EndpointKey, RateNews)> {
+    pub(in crate::shard) fn rate_limits(&self, now: Time) -> Vec<(EndpointKey, RateUpdate)> {
         let limited = self.slots.iter().filter_map(|(name, slots)| {
-            Some((EndpointKey::of(name), slots.rate.as_ref()?.news(now)?))
+            Some((EndpointKey::of(name), slots.rate.as_ref()?.update(now)?))
         });
         limited.collect()
     }
--- a/crates/pistachiotrack-core/src/shard/rates.rs
+++ b/crates/pistachiotrack-core/src/shard/rates.rs
@@ -7,9 +7,9 @@
 };
 use crate::{
     name::Name,
-    rate_limit::{RateLimit, RateNews, RateShare},
+    rate_limit::{RateLimit, RateShare, RateUpdate},
     request::{FIRST_FAILURE_STATUS, Outcome},
-    retry::DispatchersInView,
+    retry::VisibleDispatchers,
     time::Time,
 };
 
@@ -65,7 +65,7 @@
     }
 
     /// Takes the limits that another VM knows of.
-    pub(super) fn on_rates(&mut self, now: Time, rates: &[(EndpointKey, RateNews)]) {
+    pub(super) fn on_rates(&mut self, now: Time, rates: &[(EndpointKey, RateUpdate)]) {
         for (key, rate) in rates {
             if let Some(endpoint) = self.pool.name_of(*key) {
                 self.on_rate_limit(now, &endpoint, named_at(now, *rate), Some(rate.limit));
@@ -77,11 +77,11 @@
     ///
     /// A VM that is no dispatcher isn't told what the others send, and leaves such endpoints
     /// to them. One that sees fewer dispatchers than there should be may be cut off from them.
-    pub(super) fn rate_share(&mut self, in_view: DispatchersInView) -> RateShare {
+    pub(super) fn rate_share(&mut self, in_view: VisibleDispatchers) -> RateShare {
         let Some(budget) = self.retries.fleet() else {
             let is_careful = self.pool.mode() == ShardMode::Careful;
             let part = if is_careful { CAREFUL_PART } else { 1.0 };
-            return RateShare { part, is_alone: true };
+            return RateShare { fraction: part, is_sole_sender: true };
         };
         if in_view.count == 0 {
             return RateShare::default();
@@ -89,11 +89,11 @@
         let expected = f64::from(budget.expected().max(1));
         let part = (f64::from(in_view.count) / expected).min(1.0);
         let part = if in_view.is_member { part } else { 0.0 };
-        RateShare { part, is_alone: in_view.count == 1 }
+        RateShare { fraction: part, is_sole_sender: in_view.count == 1 }
     }
 }
 
 /// Returns when the request was sent whose answer named a limit.
-fn named_at(now: Time, rate: RateNews) -> Time {
+fn named_at(now: Time, rate: RateUpdate) -> Time {
     now.before(Duration::from_millis(u64::from(rate.age_ms)))
 }
--- a/crates/pistachiotrack-core/src/shard/retries.rs
+++ b/crates/pistachiotrack-core/src/shard/retries.rs
@@ -4,7 +4,7 @@
 use crate::{
     config::Config,
     hash,
-    retry::{BudgetSettings, DispatchersInView, FleetBudget, RetryBudget},
+    retry::{BudgetSettings, FleetRetryBudget, RetryBudget, VisibleDispatchers},
     service::Service,
     time::Time,
 };
@@ -15,7 +15,7 @@
     /// That of an owner, who sends all of the shard's requests.
     Owner(RetryBudget),
     /// One that the dispatchers of a shared service keep together.
-    Fleet(FleetBudget),
+    Fleet(FleetRetryBudget),
 }
 
 impl Retries {
@@ -27,8 +27,8 @@
             let begun = settings.seed ^ now.as_micros();
             let count_id = hash::fnv(&begun.to_le_bytes()) as u32;
             let expected = expected_dispatchers(config, service);
-            let mut budget = FleetBudget::new(now, limit, expected, count_id);
-            budget.set_shares_out(settings.mechanisms.retry_shares);
+            let mut budget = FleetRetryBudget::new(now, limit, expected, count_id);
+            budget.set_divides_remaining(settings.mechanisms.retry_shares);
             retries = Retries::Fleet(budget);
         }
         retries.configure(now, config, service);
@@ -64,7 +64,7 @@
     /// Notes a retry that is sent whatever the limit.
     pub(super) fn spend(&mut self, now: Time) {
         if let Retries::Fleet(budget) = self {
-            budget.spend(now);
+            budget.record_retry(now);
         }
     }
 
@@ -80,13 +80,13 @@
     /// spare.
     pub(super) fn take_spare(&mut self, now: Time) -> bool {
         match self {
-            Retries::Owner(budget) => budget.take_spare(now),
-            Retries::Fleet(budget) => budget.take_spare(now),
+            Retries::Owner(budget) => budget.take_for_hedge(now),
+            Retries::Fleet(budget) => budget.take_for_hedge(now),
         }
     }
 
     /// Returns the budget that is kept together with other VMs, if it is one.
-    pub(super) fn fleet(&mut self) -> Option<&mut FleetBudget> {
+    pub(super) fn fleet(&mut self) -> Option<&mut FleetRetryBudget> {
         match self {
             Retries::Owner(_) => None,
             Retries::Fleet(budget) => Some(budget),
@@ -97,11 +97,11 @@
 impl Shard {
     /// Takes which dispatchers of the service this VM sees; returns whether it has
     /// just become one of them and has to ask for a picture.
-    pub fn set_dispatchers(&mut self, now: Time, in_view: DispatchersInView) -> bool {
+    pub fn set_dispatchers(&mut self, now: Time, in_view: VisibleDispatchers) -> bool {
         self.dispatchers = in_view.count.max(1);
         let share = self.rate_share(in_view);
         self.pool.set_rate_share(share);
-        self.retries.fleet().is_some_and(|budget| budget.set_in_view(now, in_view))
+        self.retries.fleet().is_some_and(|budget| budget.set_visible_dispatchers(now, in_view))
     }
 }
 
--- a/crates/pistachiotrack-core/src/steering.rs
+++ b/crates/pistachiotrack-core/src/steering.rs
@@ -85,8 +85,10 @@
         vms.push(me);
     }
     let shards = shards(&question);
-    let key =
-        hash::pair(hash::fnv(question.service.as_bytes()), hash::fnv(question.customer.as_bytes()));
+    let key = hash::rendezvous_score(
+        hash::fnv(question.service.as_bytes()),
+        hash::fnv(question.customer.as_bytes()),
+    );
     let mut chosen = owners(&question, &shards, &vms, key);
     let home = chosen.first().map(|vm| &vm.data_centre);
     let alternates = alternates(&vms, &chosen, home, key);
@@ -146,7 +148,7 @@
 }
 
 fn score(key: u64, vm: &Vm) -> u64 {
-    hash::pair(key, hash::fnv(vm.name.as_bytes()))
+    hash::rendezvous_score(key, hash::fnv(vm.name.as_bytes()))
 }
 
 fn lifetime_ms(question: &EntryQuestion<'_>, shards: &[ShardId]) -> u64 {
--- a/crates/pistachiotrack-core/tests/admission.rs
+++ b/crates/pistachiotrack-core/tests/admission.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use pistachiotrack_core::{
-    admission::{AdmissionQueue, Ticket},
+    admission::{AdmissionQueue, QueueEntry},
     name::Name,
     refusal::{Execution, Reason},
     request::{Class, RequestId},
@@ -21,14 +21,14 @@
     queue
 }
 
-fn ticket(id: u64, deadline_ms: u64) -> Ticket {
-    Ticket { deadline: Time::from_millis(deadline_ms), request: RequestId(id) }
+fn entry(id: u64, deadline_ms: u64) -> QueueEntry {
+    QueueEntry { deadline: Time::from_millis(deadline_ms), request: RequestId(id) }
 }
 
 /// Puts `count` requests of a customer into the queue, numbered from `first`.
 fn fill(queue: &mut AdmissionQueue, customer: &str, class: Class, first: u64, count: u64) {
     for id in first..first + count {
-        queue.push(&Name::from(customer), class, ticket(id, 1_000 + id));
+        queue.push(&Name::from(customer), class, entry(id, 1_000 + id));
     }
 }
 
@@ -42,10 +42,10 @@
 fn urgent_class_then_earliest_deadline_goes_first() {
     let mut queue = queue(&[("a", 1)]);
     let a = Name::from("a");
-    queue.push(&a, Class::Batch, ticket(1, 100));
-    queue.push(&a, Class::Interactive, ticket(2, 900));
-    queue.push(&a, Class::Interactive, ticket(3, 500));
-    queue.push(&a, Class::Standard, ticket(4, 50));
+    queue.push(&a, Class::Batch, entry(1, 100));
+    queue.push(&a, Class::Interactive, entry(2, 900));
+    queue.push(&a, Class::Interactive, entry(3, 500));
+    queue.push(&a, Class::Standard, entry(4, 50));
     assert_eq!(pop(&mut queue, 4), [3, 2, 4, 1]);
 }
 
@@ -111,8 +111,8 @@
     fill(&mut queue, "a", Class::Standard, 0, 200);
     fill(&mut queue, "b", Class::Standard, 1_000, 200);
     for _ in 0..100 {
-        queue.on_held(&Name::from("a"), 1.6);
-        queue.on_held(&Name::from("b"), 0.4);
+        queue.record_slot_time(&Name::from("a"), 1.6);
+        queue.record_slot_time(&Name::from("b"), 0.4);
     }
     let of_a = pop(&mut queue, 100).iter().filter(|id| **id < 1_000).count();
     assert!((19..=21).contains(&of_a), "{of_a} of 100");
@@ -128,14 +128,14 @@
         for (id, (kind, customer, class)) in steps.into_iter().enumerate() {
             let customer = Name::from(["a", "b", "none"][usize::from(customer) % 3]);
             let class = Class::ALL[usize::from(class) % 3];
-            let ticket = ticket(id as u64, u64::from(kind));
+            let entry = entry(id as u64, u64::from(kind));
             match kind % 4 {
                 0 => {
                     let peeked = queue.peek();
                     let popped = queue.pop();
                     let known = waiting
                         .iter()
-                        .find(|(_, _, t): &&(Name, Class, Ticket)| Some(t.request) == popped);
+                        .find(|(_, _, t): &&(Name, Class, QueueEntry)| Some(t.request) == popped);
                     if peeked != popped || known.is_none() != popped.is_none() {
                         return false;
                     }
@@ -145,17 +145,17 @@
                 }
                 1 => {
                     let Some(first) = waiting.first().cloned() else { continue };
-                    let (customer, class, ticket) = &first;
-                    if !queue.remove(customer, *class, *ticket)
-                        || queue.remove(customer, *class, *ticket)
+                    let (customer, class, entry) = &first;
+                    if !queue.remove(customer, *class, *entry)
+                        || queue.remove(customer, *class, *entry)
                     {
                         return false;
                     }
                     waiting.remove(&first);
                 }
                 _ => {
-                    queue.push(&customer, class, ticket);
-                    waiting.insert((customer, class, ticket));
+                    queue.push(&customer, class, entry);
+                    waiting.insert((customer, class, entry));
                 }
             }
             if queue.len() != waiting.len() {
--- a/crates/pistachiotrack-core/tests/fleet_budget.rs
+++ b/crates/pistachiotrack-core/tests/fleet_retry_budget.rs
@@ -4,7 +4,7 @@
 
 use pistachiotrack_core::{
     name::Name,
-    retry::{DispatchersInView, FleetBudget, SentTotal},
+    retry::{CumulativeCounts, FleetRetryBudget, VisibleDispatchers},
     service::RetryLimit,
     time::Time,
 };
@@ -52,7 +52,7 @@
 
 /// The VMs of a deployment, of which the members of `dispatchers` dispatch.
 struct Fleet {
-    budgets: Vec<FleetBudget>,
+    budgets: Vec<FleetRetryBudget>,
     dispatchers: Vec<usize>,
     rng: Pcg32,
     lost_percent: u32,
@@ -67,7 +67,7 @@
     at: Time,
     from: Name,
     to: usize,
-    total: SentTotal,
+    total: CumulativeCounts,
 }
 
 impl Fleet {
@@ -90,15 +90,15 @@
         self.budgets.clear();
         for vm in 0..VMS {
             self.counts += 1;
-            let mut budget = FleetBudget::new(now, LIMIT, DISPATCHERS as u32, self.counts);
-            budget.set_in_view(now, self.view_of(vm));
+            let mut budget = FleetRetryBudget::new(now, LIMIT, DISPATCHERS as u32, self.counts);
+            budget.set_visible_dispatchers(now, self.view_of(vm));
             self.budgets.push(budget);
         }
     }
 
-    fn view_of(&self, vm: usize) -> DispatchersInView {
+    fn view_of(&self, vm: usize) -> VisibleDispatchers {
         let count = self.dispatchers.len() as u32;
-        DispatchersInView { count, is_member: self.dispatchers.contains(&vm) }
+        VisibleDispatchers { count, is_member: self.dispatchers.contains(&vm) }
     }
 
     fn happens(&mut self, percent: u32) -> bool {
@@ -112,7 +112,7 @@
         self.dispatchers[place] = new;
         for vm in 0..VMS {
             let view = self.view_of(vm);
-            self.budgets[vm].set_in_view(now, view);
+            self.budgets[vm].set_visible_dispatchers(now, view);
         }
         let asked = self.dispatchers[(place + 1) % DISPATCHERS];
         if !self.happens(self.lost_percent) {
@@ -147,7 +147,7 @@
     fn deliver(&mut self, now: Time) {
         while self.on_the_way.front().is_some_and(|news| news.at <= now) {
             let Some(News { from, to, total, .. }) = self.on_the_way.pop_front() else { return };
-            self.budgets[to].on_peer(now, &from, total);
+            self.budgets[to].on_peer_counts(now, &from, total);
         }
     }
 
@@ -249,8 +249,11 @@
 #[test]
 fn one_dispatcher_may_use_what_the_others_leave() {
     let informed = START + Duration::from_millis(LIMIT.window_ms);
-    let mut budget = FleetBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
-    budget.set_in_view(START, DispatchersInView { count: DISPATCHERS as u32, is_member: true });
+    let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
+    budget.set_visible_dispatchers(
+        START,
+        VisibleDispatchers { count: DISPATCHERS as u32, is_member: true },
+    );
     let taken = (0..100).take_while(|_| budget.take(informed)).count();
     assert!(taken > LIMIT.slack as usize / 2, "{taken} retries");
 }
@@ -260,8 +263,8 @@
 #[test]
 fn a_dispatcher_that_is_alone_uses_its_part() {
     let informed = START + Duration::from_millis(LIMIT.window_ms);
-    let mut budget = FleetBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
-    budget.set_in_view(START, DispatchersInView { count: 1, is_member: true });
+    let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
+    budget.set_visible_dispatchers(START, VisibleDispatchers { count: 1, is_member: true });
     let taken = (0..100).take_while(|_| budget.take(informed)).count();
     assert!(taken <= LIMIT.slack as usize / DISPATCHERS, "{taken} retries");
 }
@@ -271,9 +274,12 @@
 #[test]
 fn hedges_leave_half_to_retries_that_save_a_request() {
     let informed = START + Duration::from_millis(LIMIT.window_ms);
-    let mut budget = FleetBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
-    budget.set_in_view(START, DispatchersInView { count: DISPATCHERS as u32, is_member: true });
-    let hedges = (0..100).take_while(|_| budget.take_spare(informed)).count();
+    let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
+    budget.set_visible_dispatchers(
+        START,
+        VisibleDispatchers { count: DISPATCHERS as u32, is_member: true },
+    );
+    let hedges = (0..100).take_while(|_| budget.take_for_hedge(informed)).count();
     let retries = (0..100).take_while(|_| budget.take(informed)).count();
     assert!(hedges > 0 && retries >= hedges, "{hedges} hedges, {retries} retries");
 }
--- a/crates/pistachiotrack-core/tests/floor.rs
+++ b/crates/pistachiotrack-core/tests/floor.rs
@@ -11,7 +11,7 @@
         Standing,
     },
     name::Name,
-    request::{AttemptId, BodyEnd, Class, Outcome, Report},
+    request::{AttemptId, BodyEnd, Class, EndpointReport, Outcome},
     time::Time,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -23,7 +23,7 @@
 enum Step {
     Wait { ms: u16 },
     Work { endpoint: u8, count: u8, end: End },
-    Report { endpoint: u8, draining: bool },
+    EndpointReport { endpoint: u8, draining: bool },
     Config { present: u8, leaving: u8, floor: u8 },
     Path { endpoint: u8, answer: u8 },
     HandOver { ejected: u8 },
@@ -68,7 +68,7 @@
                 count: u8::arbitrary(g) % 40,
                 end: *g.choose(&ENDS).unwrap(),
             },
-            11 => Step::Report { endpoint, draining: bool::arbitrary(g) },
+            11 => Step::EndpointReport { endpoint, draining: bool::arbitrary(g) },
             12 => Step::Config {
                 present: u8::arbitrary(g),
                 leaving: u8::arbitrary(g) & u8::arbitrary(g),
@@ -158,14 +158,15 @@
         match *step {
             Step::Wait { ms } => self.wait(ms),
             Step::Work { endpoint, count, end } => self.work(endpoint, count, end),
-            Step::Report { endpoint, draining } => {
+            Step::EndpointReport { endpoint, draining } => {
                 let known = has(self.present, endpoint);
                 if draining && known {
                     self.said.insert(endpoint, Said { at: self.now, denied: false });
                 } else if let Some(said) = self.said.get_mut(&endpoint) {
                     said.denied |= !draining;
                 }
-                let report = Report { in_flight: None, draining, ..Report::default() };
+                let report =
+                    EndpointReport { in_flight: None, draining, ..EndpointReport::default() };
                 let actions = self.health.on_report(self.now, &name(endpoint), report);
                 self.take(actions);
             }
@@ -237,7 +238,7 @@
                 End::Hangs => continue,
             };
             self.now += Duration::from_millis(ms);
-            let body = if matches!(end, End::Cut) { BodyEnd::Cut } else { BodyEnd::Complete };
+            let body = if matches!(end, End::Cut) { BodyEnd::Truncated } else { BodyEnd::Complete };
             self.end(attempt, outcome, body);
         }
         self.tick();
@@ -416,7 +417,7 @@
             for endpoint in 0..NAMES {
                 let draining = !has(silent, endpoint);
                 if draining || bool::arbitrary(&mut random) {
-                    run.step(&Step::Report { endpoint, draining });
+                    run.step(&Step::EndpointReport { endpoint, draining });
                     disregarded += usize::from(!run.disregarded.is_empty());
                 }
             }
--- a/crates/pistachiotrack-core/tests/health_recovery.rs
+++ b/crates/pistachiotrack-core/tests/health_recovery.rs
@@ -9,7 +9,7 @@
         Standing,
     },
     name::Name,
-    request::Report,
+    request::EndpointReport,
     time::Time,
 };
 
@@ -139,7 +139,7 @@
 fn a_draining_endpoint_gets_no_new_work() {
     let mut world = warm_world(6, 3, 0.9);
     let name = Name::from("e1");
-    let report = Report { in_flight: None, draining: true, ..Report::default() };
+    let report = EndpointReport { in_flight: None, draining: true, ..EndpointReport::default() };
     world.health.on_report(world.now, &name, report);
     assert_eq!(world.standing(1), Standing::Draining);
     let before = world.dispatched[1];
@@ -154,7 +154,7 @@
 #[test]
 fn the_last_endpoints_serve_although_all_say_that_they_leave() {
     let mut world = warm_world(6, 3, 0.9);
-    let leaving = Report { in_flight: None, draining: true, ..Report::default() };
+    let leaving = EndpointReport { in_flight: None, draining: true, ..EndpointReport::default() };
     for endpoint in [3, 1, 0, 2, 5, 4] {
         let name = world.names[endpoint].clone();
         world.health.on_report(world.now, &name, leaving);
@@ -178,7 +178,7 @@
     }
 
     let back = world.names[0].clone();
-    world.health.on_report(world.now, &back, Report::default());
+    world.health.on_report(world.now, &back, EndpointReport::default());
     world.run(20, |_| Reply::GOOD);
     assert_eq!(world.standing(0), Standing::SlowStart);
     assert_eq!(world.standing(3), Standing::Draining);
@@ -199,10 +199,10 @@
 fn a_drain_that_is_taken_back_or_never_confirmed_ends() {
     let mut world = warm_world(6, 3, 0.9);
     let name = Name::from("e1");
-    let leaving = Report { in_flight: None, draining: true, ..Report::default() };
+    let leaving = EndpointReport { in_flight: None, draining: true, ..EndpointReport::default() };
     world.health.on_report(world.now, &name, leaving);
     world.run(8_000, |_| Reply::GOOD);
-    world.health.on_report(world.now, &name, Report::default());
+    world.health.on_report(world.now, &name, EndpointReport::default());
     assert_eq!(world.standing(1), Standing::Draining);
     world.run(20_000, |_| Reply::GOOD);
     assert_eq!(world.standing(1), Standing::Healthy);
@@ -220,8 +220,11 @@
     let mut lying = warm_world(6, 3, 0.9);
     let name = Name::from("e1");
     for round in 0..50 {
-        let report =
-            Report { in_flight: Some(round % 2 * 1_000_000), draining: false, ..Report::default() };
+        let report = EndpointReport {
+            in_flight: Some(round % 2 * 1_000_000),
+            draining: false,
+            ..EndpointReport::default()
+        };
         assert_eq!(lying.health.on_report(lying.now, &name, report), []);
         honest.run(100, fail(2));
         lying.run(100, fail(2));
--- a/crates/pistachiotrack-core/tests/idempotency.rs
+++ b/crates/pistachiotrack-core/tests/idempotency.rs
@@ -29,7 +29,7 @@
     let mut table = table(KeySettings { max_keys: 2, ..KeySettings::default() });
     assert_eq!(claim(&mut table, Time::ZERO, 1, 1), Claim::Run);
     assert_eq!(claim(&mut table, Time::ZERO, 2, 2), Claim::Run);
-    assert_eq!(claim(&mut table, Time::ZERO, 3, 3), Claim::Full);
+    assert_eq!(claim(&mut table, Time::ZERO, 3, 3), Claim::TableFull);
     table.on_stored(RequestId(2), &answer(1));
     assert_eq!(claim(&mut table, Time::ZERO, 4, 3), Claim::Run);
     assert_eq!(claim(&mut table, Time::ZERO, 5, 1), Claim::Join);
@@ -45,7 +45,7 @@
         assert_eq!(claim(&mut table, Time::ZERO, id, id), Claim::Run);
         table.on_stored(RequestId(id), &answer(40));
     }
-    assert_eq!(claim(&mut table, Time::ZERO, 4, 1), Claim::Lost);
+    assert_eq!(claim(&mut table, Time::ZERO, 4, 1), Claim::OutcomeUnknown);
     assert_eq!(claim(&mut table, Time::ZERO, 5, 3), Claim::Replay(answer(40)));
 }
 
@@ -59,7 +59,7 @@
     table.on_answered(Time::ZERO, RequestId(1));
     table.on_stored(RequestId(1), &answer(MAX_STORED_BODY_BYTES + 1));
     assert_eq!(table.on_tick(Time::from_millis(1_000)), [RequestId(2)]);
-    assert_eq!(claim(&mut table, Time::from_millis(1_000), 3, 1), Claim::Lost);
+    assert_eq!(claim(&mut table, Time::from_millis(1_000), 3, 1), Claim::OutcomeUnknown);
 }
 
 // Old keys are forgotten; a repeat then finds no record and is not run.
@@ -92,6 +92,6 @@
     let now = Time::from_millis(9_000);
     new.on_hand_over(now, &old.hand_over(Time::from_millis(10)));
     assert_eq!(claim(&mut new, now, 11, 3), Claim::Replay(answer(40)));
-    assert_eq!(claim(&mut new, now, 12, 2), Claim::Lost);
+    assert_eq!(claim(&mut new, now, 12, 2), Claim::OutcomeUnknown);
     assert_eq!(new.len(), 2);
 }
--- a/crates/pistachiotrack-core/tests/news.rs
+++ b/crates/pistachiotrack-core/tests/news.rs
@@ -8,7 +8,7 @@
     endpoint::incarnation_name,
     name::Name,
     ownership::ShardId,
-    request::{BodyEnd, Outcome, Report},
+    request::{BodyEnd, EndpointReport, Outcome},
     shard::{Shard, ShardMode, ShardSettings},
     time::Time,
 };
@@ -43,7 +43,7 @@
     answer(&mut second, found_at, 2, 500);
 
     let answered = Outcome::Answered { status: 200, fresh_connection: true };
-    first.on_outcome(START + LATENCY, good.attempt, answered, Report::default());
+    first.on_outcome(START + LATENCY, good.attempt, answered, EndpointReport::default());
     let told_at = START + LATENCY + Duration::from_millis(60);
     let news = told(&first.on_body_end(told_at, good.attempt, BodyEnd::Complete));
     assert_eq!(news.len(), 1);
--- a/crates/pistachiotrack-core/tests/rate_limit.rs
+++ b/crates/pistachiotrack-core/tests/rate_limit.rs
@@ -6,9 +6,9 @@
 
 use pistachiotrack_core::{
     name::Name,
-    rate_limit::{RateLimit, RateNews, RateShare, SharedRate},
-    request::{BodyEnd, Outcome, Report},
-    retry::DispatchersInView,
+    rate_limit::{RateLimit, RateShare, RateUpdate, SharedRateLimiter},
+    request::{BodyEnd, EndpointReport, Outcome},
+    retry::VisibleDispatchers,
     shard::{EndpointNews, Shard, ShardAction, ShardNews},
     time::Time,
 };
@@ -25,25 +25,28 @@
     text.parse().unwrap()
 }
 
-fn report(limit: Option<&str>) -> Report {
-    Report { rate_limit: limit.map(|text| text.parse().unwrap()), ..Report::default() }
+fn report(limit: Option<&str>) -> EndpointReport {
+    EndpointReport {
+        rate_limit: limit.map(|text| text.parse().unwrap()),
+        ..EndpointReport::default()
+    }
 }
 
 /// VMs that all want to send to one endpoint whenever they may.
 struct Greedy {
-    vms: Vec<SharedRate>,
+    vms: Vec<SharedRateLimiter>,
     share: RateShare,
     delay: Duration,
     rng: Pcg64Mcg,
     /// What VMs were told and don't know yet: when it arrives, from whom, the count.
-    on_the_way: VecDeque<(Time, usize, RateNews)>,
+    on_the_way: VecDeque<(Time, usize, RateUpdate)>,
 }
 
 impl Greedy {
     fn new(count: usize, limit: RateLimit, delay: Duration, seed: u64) -> Greedy {
-        let share = RateShare { part: 1.0, is_alone: count == 1 };
+        let share = RateShare { fraction: 1.0, is_sole_sender: count == 1 };
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut rate = || SharedRate::new(START, START, limit, share, rng.random());
+        let mut rate = || SharedRateLimiter::new(START, START, limit, share, rng.random());
         Greedy {
             vms: (0..count).map(|_| rate()).collect(),
             share,
@@ -65,7 +68,7 @@
                 let is_tick = (ms + phase).is_multiple_of(tick.as_millis() as u64);
                 if is_tick && self.vms[vm].may_send(now, self.share) {
                     self.vms[vm].on_sent(now, self.share, self.rng.random());
-                    let news = self.vms[vm].news(now).unwrap();
+                    let news = self.vms[vm].update(now).unwrap();
                     self.on_the_way.push_back((now + self.delay, vm, news));
                     sent.push(now);
                 }
@@ -80,7 +83,7 @@
             let name = Name::from(format!("vm-{from}"));
             for (vm, rate) in self.vms.iter_mut().enumerate().filter(|(vm, _)| *vm != from) {
                 let turn = Pcg64Mcg::seed_from_u64(now.as_micros() ^ vm as u64).random();
-                rate.on_peer(now, &name, news.sent, self.share, turn);
+                rate.on_peer_count(now, &name, news.sent, self.share, turn);
             }
         }
     }
@@ -124,19 +127,20 @@
 
 #[test]
 fn a_vm_that_is_no_dispatcher_leaves_a_limited_endpoint_to_the_others() {
-    let guest = RateShare { part: 0.0, is_alone: false };
-    let rate = SharedRate::new(START, START, limit("1000"), guest, 0.0);
+    let guest = RateShare { fraction: 0.0, is_sole_sender: false };
+    let rate = SharedRateLimiter::new(START, START, limit("1000"), guest, 0.0);
     assert!(!rate.may_send(START + Duration::from_secs(60), guest));
 }
 
 #[test]
 fn a_limit_ends_with_the_first_answer_that_names_none_and_was_asked_for_later() {
     let named_at = START + Duration::from_secs(1);
-    let mut rate = SharedRate::new(named_at, named_at, limit("1"), RateShare::default(), 0.0);
+    let mut rate =
+        SharedRateLimiter::new(named_at, named_at, limit("1"), RateShare::default(), 0.0);
     assert!(!rate.on_answer(START, None), "asked for before the limit was named");
     assert_eq!(rate.limit(), Some(limit("1")));
     assert!(rate.on_answer(named_at + Duration::from_millis(1), None));
-    assert_eq!((rate.limit(), rate.news(named_at)), (None, None));
+    assert_eq!((rate.limit(), rate.update(named_at)), (None, None));
 }
 
 /// Sends a booking and has it answered; returns the endpoint and what the others are told.
@@ -152,7 +156,7 @@
 /// Returns a shard with one endpoint that is one of so many dispatchers.
 fn dispatcher(in_view: u32, is_member: bool) -> Shard {
     let mut shard = shard(1);
-    shard.set_dispatchers(START, DispatchersInView { count: in_view, is_member });
+    shard.set_dispatchers(START, VisibleDispatchers { count: in_view, is_member });
     shard
 }
 
@@ -163,7 +167,7 @@
     let now = START + Duration::from_secs(5);
     let mut told = news_of("endpoint-0", 0, Default::default());
     for sent in [3, 8] {
-        let rate = Some(RateNews { limit: limit("1"), age_ms: 0, sent });
+        let rate = Some(RateUpdate { limit: limit("1"), age_ms: 0, sent });
         told.endpoints = vec![EndpointNews { rate, ..told.endpoints[0] }];
         shard.on_news(now, &Name::from("vm-02"), &told);
     }
--- a/crates/pistachiotrack-core/tests/replaced_endpoint.rs
+++ b/crates/pistachiotrack-core/tests/replaced_endpoint.rs
@@ -14,7 +14,7 @@
 use pistachiotrack_core::{
     health::{AttemptKind, Candidate, EjectReason, Health, HealthAction, HealthSettings, Standing},
     name::Name,
-    request::{AttemptId, Class, Outcome, Report, Request},
+    request::{AttemptId, Class, EndpointReport, Outcome, Request},
     shard::{Dispatch, Shard, ShardAction},
     time::Time,
 };
@@ -33,7 +33,8 @@
 /// and all that the VM does then.
 fn turn_away(shard: &mut Shard, now: Time) -> (Name, Vec<ShardAction>) {
     let first = dispatched(&shard.on_request(now, booking(0, now))).unwrap();
-    let actions = shard.on_outcome(now, first.attempt, Outcome::Misdirected, Report::default());
+    let actions =
+        shard.on_outcome(now, first.attempt, Outcome::Misdirected, EndpointReport::default());
     let again: Vec<Dispatch> = dispatched(&actions).into_iter().collect();
     again.iter().for_each(|dispatch| drop(end(shard, now, dispatch, 200)));
     (first.endpoint, actions)
@@ -59,7 +60,7 @@
                 true => {
                     let attempt = dispatch.attempt;
                     let misdirected = Outcome::Misdirected;
-                    let report = Report::default();
+                    let report = EndpointReport::default();
                     dispatched(&shard.on_outcome(*now, attempt, misdirected, report))
                 }
                 false => end(shard, *now, &dispatch, 200).into_iter().next(),
--- a/crates/pistachiotrack-core/tests/retry.rs
+++ b/crates/pistachiotrack-core/tests/retry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pistachiotrack_core::{
-    limit::AdaptiveLimit,
+    concurrency_limit::AdaptiveConcurrencyLimit,
     retry::{BudgetSettings, RecentLatency, RetryBudget},
     time::Time,
 };
@@ -52,7 +52,7 @@
 // once for it, not to the bottom.
 #[test]
 fn sheds_of_one_round_count_once() {
-    let mut limit = AdaptiveLimit::new(10);
+    let mut limit = AdaptiveConcurrencyLimit::new(10);
     let round = Duration::from_millis(100);
     (0..5).for_each(|_| limit.on_shed(Time::from_millis(1_000), round));
     assert_eq!(limit.value(), 7);
--- a/crates/pistachiotrack-core/tests/shard.rs
+++ b/crates/pistachiotrack-core/tests/shard.rs
@@ -8,7 +8,7 @@
     health::PathAnswer,
     name::Name,
     refusal::{Execution, Reason},
-    request::{AttemptId, BodyEnd, ConnectionChoice, Outcome, Report, RequestId},
+    request::{AttemptId, BodyEnd, ConnectionChoice, EndpointReport, Outcome, RequestId},
     shard::{Shard, ShardAction, ShardMode, ShardSettings},
     time::Time,
 };
@@ -247,7 +247,7 @@
     world.outcome_with(
         attempt,
         answered(200),
-        Report { in_flight: None, draining: true, ..Report::default() },
+        EndpointReport { in_flight: None, draining: true, ..EndpointReport::default() },
     );
     world.body_end(attempt, BodyEnd::Complete);
     world.answer(world.attempt(ids[1]));
@@ -299,7 +299,7 @@
     let settled = Time::from_millis(5_000);
     old.on_tick(settled);
     assert_eq!(fill(&mut old, settled, 1), 4);
-    old.on_outcome(settled, AttemptId(1), answered(200), Report::default());
+    old.on_outcome(settled, AttemptId(1), answered(200), EndpointReport::default());
     let mut handed = old.hand_over(settled);
     handed.in_flight[0].1 = 3;
     handed.usual_service_us = Some(100_000);
@@ -342,7 +342,7 @@
             continue;
         }
         let (now, failed) = (world.now, Outcome::ConnectFailed);
-        let actions = world.shard.on_outcome(now, attempt, failed, Report::default());
+        let actions = world.shard.on_outcome(now, attempt, failed, EndpointReport::default());
         asked |= actions.iter().any(|action| matches!(action, ShardAction::CheckPath { .. }));
         world.attempts.get_mut(&attempt).unwrap().state = State::NotRun;
         world.check(actions);
--- a/crates/pistachiotrack-core/tests/shard_fault_table.rs
+++ b/crates/pistachiotrack-core/tests/shard_fault_table.rs
@@ -5,7 +5,7 @@
 use pistachiotrack_core::{
     name::Name,
     refusal::Execution,
-    request::{AttemptId, BodyEnd, Outcome, Report, RequestId},
+    request::{AttemptId, BodyEnd, EndpointReport, Outcome, RequestId},
     shard::{Shard, ShardSettings},
 };
 use shard_support::{State, World, answered, config, shard_id};
@@ -49,7 +49,7 @@
     ("broken fresh", Fault::Outcome(Outcome::Broken { fresh_connection: true })),
     ("timed out", Fault::Outcome(Outcome::TimedOut { fresh_connection: false })),
     ("cancelled", Fault::Outcome(Outcome::Cancelled)),
-    ("body cut", Fault::Body(BodyEnd::Cut)),
+    ("body cut", Fault::Body(BodyEnd::Truncated)),
     ("body unread", Fault::Body(BodyEnd::CallerGone)),
     ("pause", Fault::Pause),
     ("caller gone", Fault::CallerGone),
@@ -158,9 +158,9 @@
     let has_head = world.attempts[&target].state == State::Answered;
     match fault {
         Fault::Outcome(outcome) if !has_head => {
-            world.outcome_with(target, outcome, Report::default());
+            world.outcome_with(target, outcome, EndpointReport::default());
         }
-        Fault::Outcome(_) => world.body_end(target, BodyEnd::Cut),
+        Fault::Outcome(_) => world.body_end(target, BodyEnd::Truncated),
         Fault::Body(end) => {
             if !has_head {
                 world.outcome(target, answered(200));
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -5,7 +5,7 @@
 use pistachiotrack_core::{
     health::PathAnswer,
     name::Name,
-    request::{BodyEnd, Class, Outcome, Report},
+    request::{BodyEnd, Class, EndpointReport, Outcome},
     shard::{ShardHandOver, ShardMode},
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
@@ -131,7 +131,7 @@
             world.outcome_with(
                 attempt,
                 outcome(kind, is_via),
-                Report { in_flight: None, draining, ..Report::default() },
+                EndpointReport { in_flight: None, draining, ..EndpointReport::default() },
             );
         }
         Step::BodyEnd { pick, end, stored } => {
@@ -139,7 +139,7 @@
             let model = &world.attempts[&attempt];
             let id = model.dispatch.request;
             let end = match end % 4 {
-                0 => BodyEnd::Cut,
+                0 => BodyEnd::Truncated,
                 1 => BodyEnd::CallerGone,
                 _ => BodyEnd::Complete,
             };
--- a/crates/pistachiotrack-core/tests/shard_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shard_support/mod.rs
@@ -14,7 +14,7 @@
     ownership::ShardId,
     refusal::{Execution, Reason},
     request::{
-        AttemptId, BodyEnd, Class, ConnectionChoice, DEFAULT_MAX_ATTEMPTS, Outcome, Report,
+        AttemptId, BodyEnd, Class, ConnectionChoice, DEFAULT_MAX_ATTEMPTS, EndpointReport, Outcome,
         Request, RequestId,
     },
     service::Service,
@@ -177,10 +177,15 @@
     }
 
     pub(crate) fn outcome(&mut self, attempt: AttemptId, outcome: Outcome) {
-        self.outcome_with(attempt, outcome, Report::default());
+        self.outcome_with(attempt, outcome, EndpointReport::default());
     }
 
-    pub(crate) fn outcome_with(&mut self, attempt: AttemptId, outcome: Outcome, report: Report) {
+    pub(crate) fn outcome_with(
+        &mut self,
+        attempt: AttemptId,
+        outcome: Outcome,
+        report: EndpointReport,
+    ) {
         if let Some(model) = self.attempts.get_mut(&attempt) {
             model.state = match outcome {
                 Outcome::Answered { .. } => State::Answered,
@@ -200,8 +205,8 @@
             return;
         }
         let (probe, endpoint) = self.probes.remove(0);
-        self.note_report(endpoint, outcome, Report::default());
-        let actions = self.shard.on_outcome(self.now, probe, outcome, Report::default());
+        self.note_report(endpoint, outcome, EndpointReport::default());
+        let actions = self.shard.on_outcome(self.now, probe, outcome, EndpointReport::default());
         self.check(actions);
         if matches!(outcome, Outcome::Answered { .. }) {
             let actions = self.shard.on_body_end(self.now, probe, BodyEnd::Complete);
@@ -209,7 +214,7 @@
         }
     }
 
-    fn note_report(&mut self, endpoint: Name, outcome: Outcome, report: Report) {
+    fn note_report(&mut self, endpoint: Name, outcome: Outcome, report: EndpointReport) {
         let is_configured =
             self.config.services[0].endpoints.iter().any(|known| known.name == endpoint);
         if !is_configured || !matches!(outcome, Outcome::Answered { .. } | Outcome::Shed) {
@@ -326,7 +331,7 @@
                 self.outcome(attempt, Outcome::TimedOut { fresh_connection: true });
             }
             for attempt in self.with_state(State::Answered) {
-                self.body_end(attempt, BodyEnd::Cut);
+                self.body_end(attempt, BodyEnd::Truncated);
             }
             for _ in 0..self.probes.len() {
                 self.probe_outcome(Outcome::ConnectFailed);
--- a/crates/pistachiotrack-core/tests/shared_shard.rs
+++ b/crates/pistachiotrack-core/tests/shared_shard.rs
@@ -8,8 +8,8 @@
     name::Name,
     ownership::ShardId,
     refusal::Execution,
-    request::{BodyEnd, Outcome, Report, Request},
-    retry::DispatchersInView,
+    request::{BodyEnd, EndpointReport, Outcome, Request},
+    retry::VisibleDispatchers,
     service::RetryLimit,
     shard::{Dispatch, Served, Shard, ShardAction, ShardMode, ShardSettings},
     time::Time,
@@ -31,7 +31,7 @@
     let proven_at = START + Duration::from_millis(100);
     for dispatch in &dispatches {
         let outcome = Outcome::Answered { status: 200, fresh_connection: true };
-        first.on_outcome(proven_at, dispatch.attempt, outcome, Report::default());
+        first.on_outcome(proven_at, dispatch.attempt, outcome, EndpointReport::default());
         let ended = first.on_body_end(proven_at, dispatch.attempt, BodyEnd::Complete);
         pass_on(&mut second, proven_at, &told(&ended));
     }
@@ -101,7 +101,7 @@
     assert_eq!(dispatched(&shard.on_request(START, booking(20, START))), None);
     let later = START + Duration::from_millis(100);
     let outcome = Outcome::Answered { status: 200, fresh_connection: true };
-    shard.on_outcome(later, busy[0].attempt, outcome, Report::default());
+    shard.on_outcome(later, busy[0].attempt, outcome, EndpointReport::default());
     let freed = shard.on_body_end(later, busy[0].attempt, BodyEnd::Complete);
     assert_eq!(dispatched(&freed).map(|dispatch| dispatch.endpoint), Some(proven));
 }
@@ -170,7 +170,8 @@
             requests += 1;
             while let Some(dispatch) = next {
                 let outcome = Outcome::Answered { status: 500, fresh_connection: true };
-                let actions = shard.on_outcome(now, dispatch.attempt, outcome, Report::default());
+                let actions =
+                    shard.on_outcome(now, dispatch.attempt, outcome, EndpointReport::default());
                 shard.on_body_end(now, dispatch.attempt, BodyEnd::Complete);
                 next = dispatched(&actions);
                 retries += u32::from(next.is_some());
@@ -216,7 +217,7 @@
         failed += u32::from(fails && id >= 500);
         let status = if fails { 500 } else { 200 };
         let outcome = Outcome::Answered { status, fresh_connection: true };
-        shard.on_outcome(now, dispatch.attempt, outcome, Report::default());
+        shard.on_outcome(now, dispatch.attempt, outcome, EndpointReport::default());
         shard.on_body_end(now, dispatch.attempt, BodyEnd::Complete);
     }
     assert!(failed <= 25, "{failed} of 500 bookings");
@@ -292,7 +293,7 @@
     let fresh = new.grounds;
     for one in &old {
         let broken = Outcome::Broken { fresh_connection: true };
-        shard.on_outcome(START, one.attempt, broken, Report::default());
+        shard.on_outcome(START, one.attempt, broken, EndpointReport::default());
     }
     end(&mut shard, START, &new, 200);
     let next = dispatched(&shard.on_request(START, booking(9, START))).unwrap();
@@ -307,7 +308,7 @@
     let (mut first, mut second) = (shard(4), shard(4));
     let lost = dispatched(&first.on_request(START, booking(1, START))).unwrap();
     let broken = Outcome::Broken { fresh_connection: true };
-    let actions = first.on_outcome(START, lost.attempt, broken, Report::default());
+    let actions = first.on_outcome(START, lost.attempt, broken, EndpointReport::default());
     for news in told(&actions) {
         second.on_news(START, &Name::from("vm-1"), &news);
     }
@@ -372,7 +373,7 @@
 #[test]
 fn a_request_that_another_endpoint_turned_away_counts_as_sent() {
     let mut shard = shard(4);
-    shard.set_dispatchers(START, DispatchersInView { count: 1, is_member: true });
+    shard.set_dispatchers(START, VisibleDispatchers { count: 1, is_member: true });
     let sent = |shard: &mut Shard| {
         let history = shard.picture(START + Duration::from_secs(20)).sent;
         history.iter().map(|one| one.retries).sum::<u64>()
@@ -381,7 +382,8 @@
     shard.on_tick(now);
     let first = dispatched(&shard.on_request(now, booking(1, now))).unwrap();
     now += Duration::from_millis(1);
-    let actions = shard.on_outcome(now, first.attempt, Outcome::Misdirected, Report::default());
+    let actions =
+        shard.on_outcome(now, first.attempt, Outcome::Misdirected, EndpointReport::default());
     assert!(dispatched(&actions).is_some_and(|second| second.endpoint != first.endpoint));
     assert_eq!(sent(&mut shard), 1);
 }
@@ -393,7 +395,7 @@
 #[test]
 fn requests_that_are_turned_away_keep_to_the_limit_of_retries() {
     let mut shard = shard(8);
-    shard.set_dispatchers(START, DispatchersInView { count: 1, is_member: true });
+    shard.set_dispatchers(START, VisibleDispatchers { count: 1, is_member: true });
     let mut now = START + Duration::from_secs(20);
     let (mut again, mut not_run) = (0, 0);
     for id in 1..=200 {
@@ -401,7 +403,7 @@
         let first = dispatched(&shard.on_request(now, booking(id, now)));
         let Some(first) = first else { continue };
         let misdirected = Outcome::Misdirected;
-        let actions = shard.on_outcome(now, first.attempt, misdirected, Report::default());
+        let actions = shard.on_outcome(now, first.attempt, misdirected, EndpointReport::default());
         if let Some(second) = dispatched(&actions) {
             again += 1;
             end(&mut shard, now, &second, 200);
--- a/crates/pistachiotrack-core/tests/shared_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shared_support/mod.rs
@@ -11,8 +11,8 @@
     endpoint::Endpoint,
     name::Name,
     ownership::ShardId,
-    request::{BodyEnd, Class, DEFAULT_MAX_ATTEMPTS, Outcome, Report, Request, RequestId},
-    retry::SentTotal,
+    request::{BodyEnd, Class, DEFAULT_MAX_ATTEMPTS, EndpointReport, Outcome, Request, RequestId},
+    retry::CumulativeCounts,
     service::{RetryLimit, Service},
     shard::{
         Dispatch, EndpointKey, EndpointNews, Served, Shard, ShardAction, ShardMode, ShardNews,
@@ -93,7 +93,7 @@
 /// Has an attempt answered with `status` and returns what is dispatched next.
 pub(crate) fn end(shard: &mut Shard, now: Time, dispatch: &Dispatch, status: u16) -> Vec<Dispatch> {
     let outcome = Outcome::Answered { status, fresh_connection: true };
-    let mut actions = shard.on_outcome(now, dispatch.attempt, outcome, Report::default());
+    let mut actions = shard.on_outcome(now, dispatch.attempt, outcome, EndpointReport::default());
     actions.extend(shard.on_body_end(now, dispatch.attempt, BodyEnd::Complete));
     all_dispatched(&actions)
 }
@@ -116,7 +116,7 @@
     ShardNews {
         shard: ShardId { service: Name::from("booking"), index: 0 },
         finished,
-        sent: SentTotal::default(),
+        sent: CumulativeCounts::default(),
         endpoints: vec![EndpointNews {
             endpoint: EndpointKey::of(endpoint),
             in_flight,
@@ -130,7 +130,7 @@
 pub(crate) fn answer(shard: &mut Shard, now: Time, id: u64, status: u16) -> (Name, Vec<ShardNews>) {
     let dispatch = dispatched(&shard.on_request(now, booking(id, now))).unwrap();
     let outcome = Outcome::Answered { status, fresh_connection: true };
-    let mut actions = shard.on_outcome(now, dispatch.attempt, outcome, Report::default());
+    let mut actions = shard.on_outcome(now, dispatch.attempt, outcome, EndpointReport::default());
     actions.extend(shard.on_body_end(now, dispatch.attempt, BodyEnd::Complete));
     (dispatch.endpoint, told(&actions))
 }
--- a/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
@@ -5,7 +5,7 @@
 use pistachiotrack_core::{
     health::{AttemptKind, Candidate, Health, HealthAction, HealthSettings, PathAnswer, Standing},
     name::Name,
-    request::{AttemptId, BodyEnd, Class, Outcome, Report},
+    request::{AttemptId, BodyEnd, Class, EndpointReport, Outcome},
     time::Time,
 };
 
@@ -35,7 +35,7 @@
     fn on_fresh_connection(&mut self, _attempt: u64) {}
     fn on_end(&mut self, now: Time, attempt: u64, endpoint: usize, outcome: Outcome)
     -> Vec<Effect>;
-    fn on_report(&mut self, _now: Time, _endpoint: usize, _report: Report) {}
+    fn on_report(&mut self, _now: Time, _endpoint: usize, _report: EndpointReport) {}
     fn on_tick(&mut self, now: Time) -> Vec<Effect>;
     fn access(&self, now: Time, endpoint: usize) -> Access;
     fn wants_fresh_connection(&self, _endpoint: usize) -> bool {
@@ -104,7 +104,7 @@
         self.effects(now, actions)
     }
 
-    fn on_report(&mut self, now: Time, endpoint: usize, report: Report) {
+    fn on_report(&mut self, now: Time, endpoint: usize, report: EndpointReport) {
         self.health.on_report(now, &self.names[endpoint], report);
     }
 
--- a/crates/pistachiotrack-standins/src/experiment/detect/run.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/run.rs
@@ -8,7 +8,7 @@
 
 use pistachiotrack_core::{
     health::AttemptKind,
-    request::{Outcome, Report},
+    request::{EndpointReport, Outcome},
     time::Time,
 };
 use rand::{RngExt, SeedableRng};
@@ -203,7 +203,11 @@
         }
         for vm in 0..self.detectors.len() {
             if self.world.fault == Fault::LyingReports {
-                let lie = Report { in_flight: Some(1_000), draining: false, ..Report::default() };
+                let lie = EndpointReport {
+                    in_flight: Some(1_000),
+                    draining: false,
+                    ..EndpointReport::default()
+                };
                 self.detectors[vm].on_report(now, self.world.target, lie);
             }
             let effects = self.detectors[vm].on_tick(now);
--- a/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
@@ -7,7 +7,7 @@
     name::Name,
     ownership::ShardId,
     refusal::Execution,
-    request::{AttemptId, BodyEnd, Outcome, Report, Request, RequestId},
+    request::{AttemptId, BodyEnd, EndpointReport, Outcome, Request, RequestId},
     shard::{Shard, ShardAction, ShardMode, ShardSettings},
     time::Time,
 };
@@ -70,7 +70,7 @@
             if let ShardAction::Probe { attempt, .. } = action {
                 let shard = &mut self.shards[vm];
                 let outcome = Outcome::Answered { status: 200, fresh_connection: true };
-                pending.extend(shard.on_outcome(now, attempt, outcome, Report::default()));
+                pending.extend(shard.on_outcome(now, attempt, outcome, EndpointReport::default()));
                 pending.extend(shard.on_body_end(now, attempt, BodyEnd::Complete));
             }
             commands.extend(command(vm, action));
@@ -88,7 +88,7 @@
     }
 
     fn on_outcome(&mut self, now: Time, tag: Tag, outcome: Outcome) -> Vec<Command> {
-        let actions = self.shards[tag.0].on_outcome(now, tag.1, outcome, Report::default());
+        let actions = self.shards[tag.0].on_outcome(now, tag.1, outcome, EndpointReport::default());
         self.commands(now, tag.0, actions)
     }
 
--- a/crates/pistachiotrack-standins/src/slopes/owner.rs
+++ b/crates/pistachiotrack-standins/src/slopes/owner.rs
@@ -8,8 +8,8 @@
     name::Name,
     ownership::ShardId,
     request::{
-        AttemptId, BodyEnd, Class, DEFAULT_MAX_ATTEMPTS, Outcome, Report as EndpointReport,
-        Request, RequestId,
+        AttemptId, BodyEnd, Class, DEFAULT_MAX_ATTEMPTS, EndpointReport, Outcome, Request,
+        RequestId,
     },
     shard::{Shard, ShardAction, ShardSettings},
     time::Time,
--- a/crates/pistachiotrackd/src/attempt.rs
+++ b/crates/pistachiotrackd/src/attempt.rs
@@ -6,7 +6,7 @@
 use hyper::body::Body;
 use pistachiotrack_core::{
     name::Name,
-    request::{ConnectionChoice, Outcome, Report, remaining},
+    request::{ConnectionChoice, EndpointReport, Outcome, remaining},
     shard::{Dispatch, Grounds},
 };
 
@@ -36,7 +36,7 @@
     /// What the shard is told.
     pub(crate) outcome: Outcome,
     /// What the endpoint reports.
-    pub(crate) report: Report,
+    pub(crate) report: EndpointReport,
     /// The answer, if the outcome is that it began.
     pub(crate) answer: Option<Box<BegunAnswer>>,
     /// Pool that the answer's connection belongs to.
@@ -87,7 +87,7 @@
         grounds: dispatch.grounds,
         took: context.clock.now().since(begun),
         outcome: Outcome::NotSent,
-        report: Report::default(),
+        report: EndpointReport::default(),
         answer: None,
         pool: Arc::clone(pool),
     };
@@ -112,7 +112,7 @@
 /// must not be repeated never uses a connection that has been silent for long.
 fn connection_choice(inbound: &Inbound, choice: ConnectionChoice) -> ConnectionChoice {
     match choice {
-        ConnectionChoice::Any if !inbound.route.idempotent => ConnectionChoice::Lively,
+        ConnectionChoice::Any if !inbound.route.idempotent => ConnectionChoice::RecentlyUsed,
         choice => choice,
     }
 }
--- a/crates/pistachiotrackd/src/body.rs
+++ b/crates/pistachiotrackd/src/body.rs
@@ -163,7 +163,7 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(error)) => {
-                self.finish(BodyEnd::Cut);
+                self.finish(BodyEnd::Truncated);
                 Poll::Ready(Some(Err(AnswerBodyError::Broken(error))))
             }
             None if self.has_length || self.connection.is_none() => {
@@ -171,7 +171,7 @@
                 Poll::Ready(None)
             }
             None => {
-                self.finish(BodyEnd::Cut);
+                self.finish(BodyEnd::Truncated);
                 Poll::Ready(Some(Err(AnswerBodyError::NoLength)))
             }
         }
@@ -184,7 +184,7 @@
         let idle_limit = self.idle_limit;
         let idle = self.idle.get_or_insert_with(|| Box::pin(tokio::time::sleep(idle_limit)));
         std::task::ready!(idle.as_mut().poll(cx));
-        self.finish(BodyEnd::Cut);
+        self.finish(BodyEnd::Truncated);
         Poll::Ready(Some(Err(AnswerBodyError::Stalled)))
     }
 
--- a/crates/pistachiotrackd/src/connection_pool.rs
+++ b/crates/pistachiotrackd/src/connection_pool.rs
@@ -178,7 +178,7 @@
             if connection.sender.is_closed() || !self.is_usable(&connection, now) {
                 continue;
             }
-            if choice == ConnectionChoice::Lively && !self.is_lively(&connection, now) {
+            if choice == ConnectionChoice::RecentlyUsed && !self.is_lively(&connection, now) {
                 // The list is in the order of last answers: no other one is
                 // livelier. This one stays for requests that may be repeated.
                 idle.push(connection);
--- a/crates/pistachiotrackd/src/crash_check.rs
+++ b/crates/pistachiotrackd/src/crash_check.rs
@@ -60,7 +60,7 @@
             BodyEnd::Complete if !self.is_failure => {
                 self.run.context.quarantine.on_answered(&self.run.inbound);
             }
-            BodyEnd::Cut => self.run.check_endpoint(),
+            BodyEnd::Truncated => self.run.check_endpoint(),
             BodyEnd::Complete | BodyEnd::CallerGone => {}
         }
     }
--- a/crates/pistachiotrackd/src/dialect.rs
+++ b/crates/pistachiotrackd/src/dialect.rs
@@ -14,7 +14,7 @@
     name::Name,
     rate_limit::{RateLimit, RateLimitError},
     refusal::Refusal,
-    request::{Class, Report},
+    request::{Class, EndpointReport},
     steering::EntryAnswer,
 };
 
@@ -73,7 +73,7 @@
     /// What the answer is.
     pub kind: AnswerKind,
     /// What the endpoint reports about itself.
-    pub report: Report,
+    pub report: EndpointReport,
 }
 
 /// A caller's question for addresses.
--- a/crates/pistachiotrackd/src/dialect/own.rs
+++ b/crates/pistachiotrackd/src/dialect/own.rs
@@ -12,7 +12,7 @@
     header,
     name::Name,
     refusal::Refusal,
-    request::{Class, Report},
+    request::{Class, EndpointReport},
     steering::EntryAnswer,
 };
 
@@ -71,7 +71,7 @@
             && text(header::NOT_RUN) == Some("true");
         AnswerFacts {
             kind: if is_shed { AnswerKind::NotRun } else { AnswerKind::Answer },
-            report: Report {
+            report: EndpointReport {
                 in_flight: text(header::LOAD).and_then(|load| load.trim().parse().ok()),
                 draining: text(header::DRAINING) == Some("true"),
                 rate_limit: text(header::RATE_LIMIT).and_then(read_rate_limit),
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -97,7 +97,7 @@
     match inbound.route.idempotent && inbound.body.can_be_repeated() {
         true => forward.watched(copies, copy).await,
         false => {
-            let end = forward.exchange(ConnectionChoice::Lively, copy).await;
+            let end = forward.exchange(ConnectionChoice::RecentlyUsed, copy).await;
             forward.conclude(copies, end)
         }
     }
@@ -114,7 +114,7 @@
     /// unused ones are closed then.
     async fn watched(&self, mut copies: Copies, copy: OutstandingCopy) -> Forwarded {
         let Forward { context, owner, inbound, .. } = self;
-        let mut first = pin!(self.exchange(ConnectionChoice::Lively, copy));
+        let mut first = pin!(self.exchange(ConnectionChoice::RecentlyUsed, copy));
         let left = remaining(inbound.deadline, context.clock.now());
         let suspicion = context.forwards.suspicion(&inbound.route.shard).unwrap_or(left / 2);
         if let Ok(end) = tokio::time::timeout(suspicion, first.as_mut()).await {
--- a/crates/pistachiotrackd/src/forward_record.rs
+++ b/crates/pistachiotrackd/src/forward_record.rs
@@ -7,7 +7,7 @@
 
 use pistachiotrack_core::{
     ownership::ShardId,
-    retry::{BudgetSettings, RetryBudget, UsualTime},
+    retry::{BudgetSettings, RetryBudget, SlotTimeAverage},
     time::Time,
 };
 use rustc_hash::FxHashMap;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct Known {
     budget: RetryBudget,
-    usual: FxHashMap<ShardId, UsualTime>,
+    usual: FxHashMap<ShardId, SlotTimeAverage>,
 }
 
 impl ForwardRecord {
--- a/crates/pistachiotrackd/src/headers.rs
+++ b/crates/pistachiotrackd/src/headers.rs
@@ -27,7 +27,7 @@
     header::ENDPOINT,
     header::OWNER,
     header::VIA_END,
-    header::PEER_WORD,
+    header::PEER_RESULT,
 ];
 
 /// Removes the headers that belong to one connection, those that `connection`
--- a/crates/pistachiotrackd/src/inbound.rs
+++ b/crates/pistachiotrackd/src/inbound.rs
@@ -81,7 +81,7 @@
 
     /// Returns the idempotency key that the caller gave.
     pub(crate) fn key(&self) -> Option<&str> {
-        headers::text(&self.headers, header::KEY)
+        headers::text(&self.headers, header::IDEMPOTENCY_KEY)
     }
 }
 
--- a/crates/pistachiotrackd/src/news_link.rs
+++ b/crates/pistachiotrackd/src/news_link.rs
@@ -13,8 +13,8 @@
     message::MAX_DATAGRAM_BYTES,
     name::Name,
     ownership::ShardId,
-    rate_limit::RateNews,
-    retry::{DispatchersInView, Sent},
+    rate_limit::RateUpdate,
+    retry::{SendCounts, VisibleDispatchers},
     shard::{EndpointKey, Guests, ShardNews, ShardPicture},
     time::Time,
     vm::Vm,
@@ -210,8 +210,8 @@
         place: Place,
         shard: ShardId,
         beliefs: &[BeliefOf],
-        sent: Vec<Sent>,
-        rates: &[(EndpointKey, RateNews)],
+        sent: Vec<SendCounts>,
+        rates: &[(EndpointKey, RateUpdate)],
     ) {
         let (beliefs, rates) = (beliefs.to_vec(), rates.to_vec());
         let part = ShardPicture { shard, beliefs, sent, rates };
@@ -273,10 +273,10 @@
     }
 
     /// Returns which VMs dispatch for a service, as far as this VM knows.
-    pub(crate) fn dispatchers(&self, service: &str) -> DispatchersInView {
+    pub(crate) fn dispatchers(&self, service: &str) -> VisibleDispatchers {
         let view = self.view.borrow();
         let dispatchers = view.ownership.dispatchers(service);
-        DispatchersInView {
+        VisibleDispatchers {
             count: dispatchers.len() as u32,
             is_member: dispatchers.iter().any(|vm| vm.name == self.me.name),
         }
--- a/crates/pistachiotrackd/src/peer_word.rs
+++ b/crates/pistachiotrackd/src/peer_word.rs
@@ -68,7 +68,7 @@
     /// Adds the word to an answer's headers.
     pub fn mark(&self, fields: &mut HeaderMap) {
         if let Ok(text) = serde_json::to_string(self) {
-            headers::set(fields, header::PEER_WORD, &text);
+            headers::set(fields, header::PEER_RESULT, &text);
         }
     }
 
@@ -79,7 +79,7 @@
     /// run. It shows as a booking that runs twice. The guard holds because only a word that
     /// names this request makes that promise, and a refusal without one promises nothing.
     pub fn take(fields: &mut HeaderMap, request: &Name) -> PeerAnswer {
-        let word = fields.remove(header::PEER_WORD);
+        let word = fields.remove(header::PEER_RESULT);
         let word = word.as_ref().and_then(|word| serde_json::from_slice(word.as_bytes()).ok());
         match word {
             Some(PeerWord::Answered { endpoint_time_us }) => {
--- a/crates/pistachiotrackd/src/probe.rs
+++ b/crates/pistachiotrackd/src/probe.rs
@@ -10,7 +10,7 @@
 use kameo::actor::ActorRef;
 use pistachiotrack_core::{
     name::Name,
-    request::{AttemptId, BodyEnd, ConnectionChoice, Outcome, Report},
+    request::{AttemptId, BodyEnd, ConnectionChoice, EndpointReport, Outcome},
     time::Time,
 };
 
@@ -62,7 +62,7 @@
                 let outcome = outcome_of_answer(kind, &answer);
                 (outcome, report, Some(answer).filter(|_| kind == AnswerKind::Answer))
             }
-            Err(outcome) => (outcome, Report::default(), None),
+            Err(outcome) => (outcome, EndpointReport::default(), None),
         };
         log::debug!("event=probe endpoint={} outcome={outcome:?}", self.endpoint);
         let attempt = self.attempt;
@@ -109,14 +109,14 @@
         let whole = async {
             while let Some(frame) = answer.body.frame().await {
                 if frame.is_err() {
-                    return BodyEnd::Cut;
+                    return BodyEnd::Truncated;
                 }
             }
             BodyEnd::Complete
         };
         let end = tokio::time::timeout_at(clock.instant(self.time_limit), whole)
             .await
-            .unwrap_or(BodyEnd::Cut);
+            .unwrap_or(BodyEnd::Truncated);
         if end == BodyEnd::Complete {
             pool.check_in(answer.connection);
         }
--- a/crates/pistachiotrackd/src/proxy.rs
+++ b/crates/pistachiotrackd/src/proxy.rs
@@ -163,7 +163,7 @@
     let Some(service) = active.service(route.service_for(draw)) else {
         return Err(Reason::Rule.into());
     };
-    let key = headers::text(&parts.headers, header::KEY);
+    let key = headers::text(&parts.headers, header::IDEMPOTENCY_KEY);
     let forwarded_route = ForwardedRoute {
         shard: choose_shard(context, &view, service, key, id),
         // Where callers name no customer, work is accounted for by service.
--- a/crates/pistachiotrackd/src/quarantine/link.rs
+++ b/crates/pistachiotrackd/src/quarantine/link.rs
@@ -114,7 +114,8 @@
     pub(crate) fn is_placed_here(&self, request: Fingerprint, service: &str) -> bool {
         let view = self.view.borrow();
         let dispatchers = view.ownership.dispatchers(service).iter();
-        let score = |vm: &Vm| hash::pair(request.placement(), hash::fnv(vm.name.as_bytes()));
+        let score =
+            |vm: &Vm| hash::rendezvous_score(request.placement(), hash::fnv(vm.name.as_bytes()));
         dispatchers.max_by_key(|vm| score(vm)).is_none_or(|vm| vm.name == self.me)
     }
 
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -19,7 +19,7 @@
     name::Name,
     quarantine::DispatchDecision,
     refusal::Reason,
-    request::{AttemptId, BodyEnd, FIRST_FAILURE_STATUS, Outcome, Report},
+    request::{AttemptId, BodyEnd, EndpointReport, FIRST_FAILURE_STATUS, Outcome},
     shard::Dispatch,
     time::Time,
 };
@@ -215,11 +215,11 @@
                 self.inbound.fleet_id,
                 dispatch.endpoint
             );
-            self.tell_outcome(attempt, Outcome::NotSent, Report::default());
+            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
         if !self.inbound.body.is_at_hand() {
-            self.tell_outcome(attempt, Outcome::NotSent, Report::default());
+            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return Some(self.give_up(Reason::NoEndpoint));
         }
         if let DispatchDecision::Held { retry_after } = self.context.quarantine.admit(&self.inbound)
@@ -248,13 +248,13 @@
     /// another attempt is still on its way.
     fn hold_back(&mut self, attempt: AttemptId, retry_after: Duration) -> Option<Served> {
         if !self.running.is_empty() || !self.answered.is_empty() {
-            self.tell_outcome(attempt, Outcome::NotSent, Report::default());
+            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
         self.finished = true;
         // Told first, so that the shard doesn't place the request anew.
         let _ = self.shard.tell(CallerGone(self.inbound.id)).try_send();
-        self.tell_outcome(attempt, Outcome::NotSent, Report::default());
+        self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
         let retry_after_ms = Some(retry_after.as_millis() as u64);
         let copies = self.copies.finish();
         Some(Served::refused(copies.refuse(Reason::CrashesEndpoints, retry_after_ms)))
@@ -270,7 +270,7 @@
     fn cancel(&mut self, attempt: AttemptId) {
         if let Some(index) = self.running.iter().position(|running| running.attempt == attempt) {
             drop(self.running.swap_remove(index));
-            self.tell_outcome(attempt, Outcome::Cancelled, Report::default());
+            self.tell_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
         }
         if let Some(index) = self.answered.iter().position(|answered| answered.attempt == attempt) {
             drop(self.answered.swap_remove(index));
@@ -381,7 +381,7 @@
         }
     }
 
-    fn tell_outcome(&self, attempt: AttemptId, outcome: Outcome, report: Report) {
+    fn tell_outcome(&self, attempt: AttemptId, outcome: Outcome, report: EndpointReport) {
         // A stopped shard closes the commands, which ends this task.
         let _ = self.shard.tell(AttemptOutcome { attempt, outcome, report }).try_send();
     }
@@ -398,7 +398,11 @@
         while let Some(command) = self.next_unread() {
             match command {
                 Command::Dispatch(dispatch) => {
-                    self.tell_outcome(dispatch.attempt, Outcome::NotSent, Report::default());
+                    self.tell_outcome(
+                        dispatch.attempt,
+                        Outcome::NotSent,
+                        EndpointReport::default(),
+                    );
                 }
                 Command::Cancel(_) | Command::GiveUp(_) => {}
                 Command::Deliver(_) | Command::Replay(_) | Command::Refuse(_) => {
@@ -408,7 +412,7 @@
         }
         for RunningAttempt { attempt, end, .. } in std::mem::take(&mut self.running) {
             drop(end);
-            self.tell_outcome(attempt, Outcome::Cancelled, Report::default());
+            self.tell_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
         }
         for answered in std::mem::take(&mut self.answered) {
             drop(answered.answer);
--- a/crates/pistachiotrackd/src/settings.rs
+++ b/crates/pistachiotrackd/src/settings.rs
@@ -8,7 +8,7 @@
 
 use pistachiotrack_core::{
     config::MAX_VALUE_BYTES, config_sync::ConfigSyncSettings, data_centre::DataCentre,
-    mechanism::Mechanisms, membership::MembershipSettings, name::Name,
+    feature_flags::FeatureFlags, membership::MembershipSettings, name::Name,
     quarantine::QuarantineSettings, roster::RosterSettings, service::RetryLimit,
 };
 use serde::Deserialize;
@@ -86,7 +86,7 @@
     pub limits: Limits,
     /// Mechanisms at work; only trials switch one off.
     #[serde(default)]
-    pub mechanisms: Mechanisms,
+    pub mechanisms: FeatureFlags,
 }
 
 /// What a VM can do; VMs with more of it dispatch for services.
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -17,13 +17,13 @@
 use pistachiotrack_core::{
     admin::EndpointStatus,
     config::Config,
+    feature_flags::FeatureFlags,
     idempotency::StoredAnswer,
-    mechanism::Mechanisms,
     name::Name,
     ownership::ShardId,
     rate_limit::RateLimit,
     refusal::RefusalDecision,
-    request::{AttemptId, BodyEnd, Outcome, Report, Request, RequestId},
+    request::{AttemptId, BodyEnd, EndpointReport, Outcome, Request, RequestId},
     shard::{Dispatch, Shard, ShardAction, ShardMode, ShardSettings},
     time::Time,
 };
@@ -76,7 +76,7 @@
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
     /// Mechanisms at work.
-    pub(crate) mechanisms: Mechanisms,
+    pub(crate) mechanisms: FeatureFlags,
     /// Clock of the process.
     pub(crate) clock: Clock,
     /// Connections to endpoints.
@@ -182,7 +182,7 @@
     /// How it ended or began.
     pub(crate) outcome: Outcome,
     /// What the endpoint reports.
-    pub(crate) report: Report,
+    pub(crate) report: EndpointReport,
 }
 
 impl Message<AttemptOutcome> for ShardActor {
@@ -375,7 +375,12 @@
         if sent {
             return Vec::new();
         }
-        self.shard.on_outcome(self.clock.now(), attempt, Outcome::NotSent, Report::default())
+        self.shard.on_outcome(
+            self.clock.now(),
+            attempt,
+            Outcome::NotSent,
+            EndpointReport::default(),
+        )
     }
 
     fn command(&self, request: RequestId, command: Command) {
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -12,7 +12,7 @@
 };
 use pistachiotrack_core::{
     config::Config,
-    mechanism::Mechanisms,
+    feature_flags::FeatureFlags,
     name::Name,
     ownership::{ShardId, shard_count},
     rule::Facts,
@@ -68,7 +68,7 @@
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
     /// Mechanisms at work.
-    pub(crate) mechanisms: Mechanisms,
+    pub(crate) mechanisms: FeatureFlags,
 }
 
 /// The actors of the shards that this VM works on.
--- a/crates/pistachiotrackd/src/via.rs
+++ b/crates/pistachiotrackd/src/via.rs
@@ -62,7 +62,7 @@
         match (self.fresh, self.any) {
             (true, _) => ConnectionChoice::Fresh,
             (false, true) => ConnectionChoice::Any,
-            (false, false) => ConnectionChoice::Lively,
+            (false, false) => ConnectionChoice::RecentlyUsed,
         }
     }
 
@@ -200,7 +200,7 @@
     headers::set(&mut head.headers, header::HOP, &context.me.name);
     let target = Target {
         address,
-        choice: ConnectionChoice::Lively,
+        choice: ConnectionChoice::RecentlyUsed,
         budget: PEER_BUDGET,
         not_after: dispatch.not_after,
         time_limit: dispatch.time_limit + WITNESS_GRACE,
--- a/crates/pistachiotrackd/tests/fault_matrix/caller.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/caller.rs
@@ -120,7 +120,7 @@
         .header(header::DEADLINE_MS, DEADLINE_MS)
         .header(ID, &call.sending);
     if call.kind == Kind::KeyedBooking {
-        request = request.header(header::KEY, &call.id);
+        request = request.header(header::IDEMPOTENCY_KEY, &call.id);
     }
     if call.repeat {
         request = request.header(header::REPEAT, "true");
--- a/crates/pistachiotrackd/tests/peer_word.rs
+++ b/crates/pistachiotrackd/tests/peer_word.rs
@@ -53,7 +53,7 @@
     for text in forged {
         let mut fields = HeaderMap::new();
         let value = HeaderValue::from_bytes(text.as_bytes()).unwrap();
-        fields.insert(header::PEER_WORD, value);
+        fields.insert(header::PEER_RESULT, value);
         fields.insert(header::OUTCOME, HeaderValue::from_static("not-run"));
         assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Wordless, "{text:.40}");
     }
--- a/crates/pistachiotrackd/tests/refusals.rs
+++ b/crates/pistachiotrackd/tests/refusals.rs
@@ -133,7 +133,7 @@
 async fn refused_duplicate() -> Refusal {
     let booking = closing().await;
     let (platform, vm) = start(config(1, &[], &[booking.address])).await;
-    let keyed = || client::with(book(), header::KEY, "booking-7");
+    let keyed = || client::with(book(), header::IDEMPOTENCY_KEY, "booking-7");
     client::send(vm.caller_address, keyed()).await.unwrap();
     let answer = client::send(vm.caller_address, keyed()).await.unwrap();
     Refusal { vm, answer, _platform: Some(platform) }
--- a/crates/pistachiotrackd/tests/repeat.rs
+++ b/crates/pistachiotrackd/tests/repeat.rs
@@ -22,7 +22,7 @@
 
 fn keyed_booking(repeat: bool) -> Request<Full<Bytes>> {
     let request = client::request(Method::POST, "/bookings", "slot 7");
-    let request = client::with(request, header::KEY, "clerk-4-slot-7");
+    let request = client::with(request, header::IDEMPOTENCY_KEY, "clerk-4-slot-7");
     if repeat { client::with(request, header::REPEAT, "true") } else { request }
 }
 
