--- a/crates/pistachiotrack-core/src/admission.rs
+++ b/crates/pistachiotrack-core/src/admission.rs
@@ -1,10 +1,10 @@
-//! Who gets the next free slot: contracts, classes and deadlines.
+//! Admission queue: decides which waiting request gets the next free slot.
 //!
 //! Customers with a contract share the slots in proportion to what they
-//! bought (stride scheduling). Among customers that have had their share the
-//! more urgent class goes first; a customer that is owed more than
+//! bought (stride scheduling). Among customers that got their share, the more
+//! urgent class goes first; a customer that lags behind its share by more than
 //! [`tier::LAG_REQUESTS`] goes before any class. Customers without a contract
-//! are served only while no customer with a contract waits.
+//! are served only while no request of a customer with a contract is waiting.
 
 mod customer_queue;
 mod tier;
@@ -18,16 +18,16 @@
     time::Time,
 };
 
-/// A place in the queue.
+/// Entry of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueEntry {
-    /// Deadline of the request; the earliest goes first within its class.
+    /// Deadline of the request; within a class the earliest deadline goes first.
     pub deadline: Time,
     /// The request.
     pub request: RequestId,
 }
 
-/// Requests that wait for a slot.
+/// Requests that are waiting for a slot.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionQueue {
     weights: FxHashMap<Name, u32>,
@@ -36,7 +36,7 @@
 }
 
 impl AdmissionQueue {
-    /// Replaces the slots bought by each customer.
+    /// Replaces the number of slots bought by each customer.
     pub fn set_weights(&mut self, weights: FxHashMap<Name, u32>) {
         let waiting: Vec<(Name, Class, QueueEntry)> =
             self.contracted.entries().chain(self.uncontracted.entries()).collect();
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.contracted.len() + self.uncontracted.len()
     }
 
-    /// Returns whether no request waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -62,27 +62,27 @@
         self.tier_mut(customer).push(customer, weight, class, entry);
     }
 
-    /// Returns the request that is next.
+    /// Returns the next request.
     pub fn peek(&self) -> Option<RequestId> {
         self.contracted.peek().or_else(|| self.uncontracted.peek()).map(|entry| entry.request)
     }
 
-    /// Takes out the request that is next and charges its customer.
+    /// Removes and returns the next request, and charges its customer.
     pub fn pop(&mut self) -> Option<RequestId> {
         self.contracted.pop().or_else(|| self.uncontracted.pop()).map(|entry| entry.request)
     }
 
-    /// Takes out a request and returns whether it waited.
+    /// Removes a request and returns whether it was in the queue.
     pub fn remove(&mut self, customer: &Name, class: Class, entry: QueueEntry) -> bool {
         self.tier_mut(customer).remove(customer, class, entry)
     }
 
-    /// Returns the request that has to leave a full queue for a new one, or
-    /// `None` if the new one has to.
+    /// Returns the request to evict from a full queue for a new one, or `None`
+    /// if the new one is to be refused.
     ///
-    /// Customers without a contract leave first, then the customer whose
-    /// waiting requests are most in proportion to what it bought; within a
-    /// customer the least urgent class and the latest deadline.
+    /// Requests of customers without a contract are evicted first, then those
+    /// of the customer with the most waiting requests in proportion to its
+    /// slots; within a customer the least urgent class and the latest deadline.
     pub fn eviction_candidate(&self, customer: &Name, class: Class) -> Option<RequestId> {
         let entry = if self.is_contracted(customer) {
             self.uncontracted.least_urgent().or_else(|| {
@@ -94,8 +94,8 @@
         entry.map(|entry| entry.request)
     }
 
-    /// Returns how many requests are dispatched before a new one, as a bound
-    /// from its customer's share and from all that wait.
+    /// Returns an upper bound on the number of requests dispatched before a
+    /// new one, from its customer's share and from all waiting requests.
     pub fn requests_ahead(&self, customer: &Name, class: Class) -> f64 {
         if self.is_contracted(customer) {
             return self.contracted.requests_ahead(customer, self.weight(customer), class);
@@ -103,11 +103,11 @@
         self.contracted.len() as f64 + self.uncontracted.requests_ahead(customer, 1, class)
     }
 
-    /// Notes how long a customer's request held its slot, relative_slot_time to the
-    /// average of all.
+    /// Records how long a customer's request occupied its slot, relative to
+    /// the average of all requests.
     ///
-    /// Contracts are bought in slots, not in requests: long requests are
-    /// charged accordingly.
+    /// Contracts are for slots, not for requests, so longer requests are
+    /// charged more.
     pub fn record_slot_time(&mut self, customer: &Name, relative_slot_time: f64) {
         self.tier_mut(customer).record_slot_time(customer, relative_slot_time);
     }
--- a/crates/pistachiotrack-core/src/admission/customer_queue.rs
+++ b/crates/pistachiotrack-core/src/admission/customer_queue.rs
@@ -1,16 +1,16 @@
-//! Requests of one customer that wait.
+//! Waiting requests of one customer.
 
 use std::collections::BTreeSet;
 
 use super::QueueEntry;
 use crate::request::Class;
 
-/// Every so many of a customer's requests the least urgent class goes first,
-/// so that its own urgent requests can't starve it.
+/// Every so many requests of a customer, its least urgent class is served first, so that its own
+/// urgent requests can't starve that class.
 const LEAST_URGENT_INTERVAL: u8 = 8;
-/// Weight of a new sample of the customer's relative_slot_time slot time.
+/// Weight of a new sample in the moving average of the customer's relative slot time.
 const COST_WEIGHT: f64 = 0.1;
-/// Bounds of the relative_slot_time slot time.
+/// Bounds of a sample of the relative slot time.
 const COST_RANGE: (f64, f64) = (0.1, 10.0);
 
 #[derive(Clone, Debug)]
@@ -18,14 +18,16 @@
     pub(super) weight: u32,
     /// Virtual time up to which the customer has been served.
     pub(super) pass: u128,
+    /// Moving average of the slot time relative to that of all customers.
     pub(super) cost: f64,
     queues: [BTreeSet<QueueEntry>; Class::ALL.len()],
-    pops: u8,
+    /// Requests served since the least urgent class was served first.
+    served: u8,
 }
 
 impl CustomerQueue {
     pub(super) fn new(weight: u32, pass: u128) -> CustomerQueue {
-        CustomerQueue { weight, pass, cost: 1.0, queues: Default::default(), pops: 0 }
+        CustomerQueue { weight, pass, cost: 1.0, queues: Default::default(), served: 0 }
     }
 
     pub(super) fn len(&self) -> usize {
@@ -36,7 +38,7 @@
         self.queues.iter().all(BTreeSet::is_empty)
     }
 
-    /// Returns the waiting requests of `class` and more urgent ones.
+    /// Returns the number of waiting requests of `class` and more urgent classes.
     pub(super) fn len_at_or_above(&self, class: Class) -> usize {
         self.queues[..=class as usize].iter().map(BTreeSet::len).sum()
     }
@@ -60,7 +62,7 @@
     }
 
     pub(super) fn first(&self) -> Option<(Class, QueueEntry)> {
-        let class = if self.pops + 1 >= LEAST_URGENT_INTERVAL {
+        let class = if self.served + 1 >= LEAST_URGENT_INTERVAL {
             Class::ALL.into_iter().rev().find(|class| !self.queues[*class as usize].is_empty())
         } else {
             self.most_urgent()
@@ -71,11 +73,11 @@
     pub(super) fn pop_first(&mut self) -> Option<(Class, QueueEntry)> {
         let (class, entry) = self.first()?;
         self.remove(class, entry);
-        self.pops = (self.pops + 1) % LEAST_URGENT_INTERVAL;
+        self.served = (self.served + 1) % LEAST_URGENT_INTERVAL;
         Some((class, entry))
     }
 
-    /// Returns the request that the customer misses least.
+    /// Returns the request with the least urgent class and, within it, the latest deadline.
     pub(super) fn least_urgent(&self) -> Option<(Class, QueueEntry)> {
         Class::ALL
             .into_iter()
--- a/crates/pistachiotrack-core/src/rate_limit.rs
+++ b/crates/pistachiotrack-core/src/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name in requests a second, and that all VMs keep together.
+//! Rate limits that endpoints announce and that all VMs together keep to.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -7,32 +7,32 @@
 
 use crate::{name::Name, time::Time};
 
-/// Time without requests that an endpoint makes up for at once.
+/// Idle time whose unused requests may be sent as a burst.
 const MAX_BURST_TIME: Duration = Duration::from_millis(250);
-/// Longest random wait for a random that several VMs may take. It is several times as long as
-/// update are on their way, so that most VMs hear who took it.
+/// Maximum random delay before a request that several VMs may send. It is several times the
+/// delay of an update, so that most VMs learn which VM has sent before they send too.
 const MAX_JITTER: Duration = Duration::from_millis(200);
-/// Least rate at which an endpoint is asked, so that a limit near zero can be seen to end.
+/// Minimum rate at which requests are sent, so that the end of a limit near zero is noticed.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
 
-/// Requests a second that an endpoint takes from all VMs together.
+/// Requests per second that an endpoint accepts from all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RateLimit {
     milli_per_second: u64,
 }
 
-/// A text that names no limit.
+/// Error for a text that isn't a valid rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no number of requests a second")]
 pub struct RateLimitError(String);
 
 impl RateLimit {
-    /// Returns the requests a second.
+    /// Returns the limit in requests per second.
     pub fn per_second(self) -> f64 {
         self.milli_per_second as f64 / 1_000.0
     }
 
-    /// Returns the requests a second that are sent where VMs use `fraction` of the limit.
+    /// Returns the requests per second that VMs using `fraction` of the limit may send.
     pub fn allowed_per_second(self, fraction: f64) -> f64 {
         (self.per_second() * fraction).max(MIN_REQUESTS_PER_SECOND)
     }
@@ -56,38 +56,40 @@
     }
 }
 
-/// What a VM tells others of an endpoint that names a limit.
+/// Update for other VMs about an endpoint with a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateUpdate {
     /// The limit.
     pub limit: RateLimit,
-    /// Time since the request was sent whose answer named it.
+    /// Time since the request whose answer announced the limit was sent.
     pub age_ms: u32,
-    /// Requests that the sender has sent to the endpoint since it first knew of a limit.
+    /// Number of requests the sender has sent to the endpoint since it first learned of a limit.
     pub sent: u32,
 }
 
-/// The requests that may be sent to an endpoint that names a limit.
+/// Rate limiter of an endpoint, shared by all VMs.
 ///
-/// Each VM counts what all VMs send, and sends when the limit leaves room for one more. VMs
-/// that send at the same moment exceed it by a few requests, which are then waited for.
+/// Each VM counts the requests of all VMs and sends when the limit allows one more. VMs that
+/// send at the same moment exceed the limit by a few requests, and later requests are delayed
+/// accordingly.
 #[derive(Clone, Debug)]
 pub struct SharedRateLimiter {
     limit: Option<RateLimit>,
-    /// When the request was sent whose answer is the newest word on the limit.
-    limit_sent_at: Time,
-    /// Moment up to which what was sent uses the limit up.
+    /// When the request whose answer determines `limit` was sent.
+    limit_requested_at: Time,
+    /// Time at which the next request is within the limit.
     next_send_at: Time,
+    /// Random delay added to `next_send_at`, to spread the VMs.
     jitter: Duration,
-    /// Requests that this VM has sent.
+    /// Number of requests this VM has sent.
     sent: u32,
-    /// Requests that the others have sent, as far as they told.
+    /// Number of requests each other VM has sent, as last reported.
     peer_counts: FxHashMap<Name, u32>,
 }
 
 impl SharedRateLimiter {
-    /// Creates the count of an endpoint that names its first limit, in the answer to a
-    /// request that was sent at `sent_at`; `random` is a random number below 1.
+    /// Creates the limiter when an endpoint first announces a limit, in the answer to a request
+    /// sent at `sent_at`; `random` is a random number below 1.
     pub fn new(
         now: Time,
         sent_at: Time,
@@ -97,7 +99,7 @@
     ) -> SharedRateLimiter {
         SharedRateLimiter {
             limit: Some(limit),
-            limit_sent_at: sent_at,
+            limit_requested_at: sent_at,
             next_send_at: now,
             jitter: jitter(interval(limit, share), share, random),
             sent: 0,
@@ -105,28 +107,28 @@
         }
     }
 
-    /// Returns the limit, if the endpoint still names one.
+    /// Returns the limit, if the endpoint still announces one.
     pub fn limit(&self) -> Option<RateLimit> {
         self.limit
     }
 
-    /// Takes what an answer says to a request that was sent at `sent_at`; returns whether the
-    /// limit changed. Answers may come in another order than they were asked for.
+    /// Records the limit, if any, in the answer to a request sent at `sent_at`; returns whether
+    /// the limit changed. Answers may arrive in a different order than their requests were sent.
     pub fn on_answer(&mut self, sent_at: Time, limit: Option<RateLimit>) -> bool {
-        if sent_at < self.limit_sent_at {
+        if sent_at < self.limit_requested_at {
             return false;
         }
-        self.limit_sent_at = sent_at;
+        self.limit_requested_at = sent_at;
         std::mem::replace(&mut self.limit, limit) != limit
     }
 
-    /// Notes a request that this VM sends; `random` is a random number below 1.
+    /// Records a request that this VM sends; `random` is a random number below 1.
     pub fn on_sent(&mut self, now: Time, share: RateShare, random: f64) {
         self.sent = self.sent.wrapping_add(1);
         self.consume(now, 1, share, random);
     }
 
-    /// Takes what another VM has sent.
+    /// Records the number of requests another VM has sent.
     pub fn on_peer_count(
         &mut self,
         now: Time,
@@ -136,11 +138,12 @@
         random: f64,
     ) {
         let known = self.peer_counts.insert(from.clone(), sent);
-        // Of a VM that is heard of for the first time, only the last request is new. A count that
-        // has gone down was begun anew.
-        let update = known.map_or(sent.min(1), |known| sent.checked_sub(known).unwrap_or(sent));
-        if update > 0 {
-            self.consume(now, update, share, random);
+        // On the first report of a VM only its last request is counted as new. A lower count than
+        // before means that the VM restarted its count.
+        let new_requests =
+            known.map_or(sent.min(1), |known| sent.checked_sub(known).unwrap_or(sent));
+        if new_requests > 0 {
+            self.consume(now, new_requests, share, random);
         }
     }
 
@@ -149,9 +152,10 @@
         self.limit.is_none() || share.fraction > 0.0 && now >= self.next_send_at + self.jitter
     }
 
-    /// Returns what the other VMs are told.
+    /// Returns the update for the other VMs, if there is a limit.
     pub fn update(&self, now: Time) -> Option<RateUpdate> {
-        let age_ms = u32::try_from(now.since(self.limit_sent_at).as_millis()).unwrap_or(u32::MAX);
+        let age_ms =
+            u32::try_from(now.since(self.limit_requested_at).as_millis()).unwrap_or(u32::MAX);
         Some(RateUpdate { limit: self.limit?, age_ms, sent: self.sent })
     }
 
@@ -164,24 +168,24 @@
     }
 }
 
-/// Returns the time that one request uses up.
+/// Returns the time between two requests at the limit.
 fn interval(limit: RateLimit, share: RateShare) -> Duration {
     Duration::from_secs_f64(1.0 / limit.allowed_per_second(share.fraction))
 }
 
-/// Returns how long this VM leaves a random to others, so that not all take it at once.
+/// Returns a random delay, so that VMs don't all send at the same moment.
 fn jitter(interval: Duration, share: RateShare, random: f64) -> Duration {
     let longest = if share.is_sole_sender { Duration::ZERO } else { MAX_JITTER.min(interval / 2) };
     longest.mul_f64(random)
 }
 
-/// How this VM takes fraction in keeping limits.
+/// Share of this VM in the rate limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
-    /// Part of each limit that the VMs in view use, 0 if this VM sends nothing to endpoints
-    /// that name one.
+    /// Fraction of each limit that the visible VMs use; 0 if this VM sends nothing to endpoints
+    /// with a limit.
     pub fraction: f64,
-    /// Whether no other VM sends requests to the endpoints.
+    /// Whether this VM is the only one that sends requests to the endpoints.
     pub is_sole_sender: bool,
 }
 
--- a/crates/pistachiotrack-core/tests/admission.rs
+++ b/crates/pistachiotrack-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Stories of the queue: shares, classes, deadlines and refusals.
+//! Admission queue: shares, classes, deadlines and refusals.
 
 mod shard_support;
 
@@ -25,7 +25,7 @@
     QueueEntry { deadline: Time::from_millis(deadline_ms), request: RequestId(id) }
 }
 
-/// Puts `count` requests of a customer into the queue, numbered from `first`.
+/// Adds `count` requests of a customer to the queue, numbered from `first`.
 fn fill(queue: &mut AdmissionQueue, customer: &str, class: Class, first: u64, count: u64) {
     for id in first..first + count {
         queue.push(&Name::from(customer), class, entry(id, 1_000 + id));
@@ -36,8 +36,7 @@
     (0..count).filter_map(|_| queue.pop()).map(|request| request.0).collect()
 }
 
-// A clerk waits on the phone while batch jobs pull calendars. The
-// clerk's lookup goes first, and among lookups the one due first.
+// Interactive requests go before batch work, and within a class the earliest deadline goes first.
 #[test]
 fn urgent_class_then_earliest_deadline_goes_first() {
     let mut queue = queue(&[("a", 1)]);
@@ -49,8 +48,8 @@
     assert_eq!(pop(&mut queue, 4), [3, 2, 4, 1]);
 }
 
-// Two customers send more than there is room for. One bought three times as
-// much as the other and gets three times as many turns.
+// Under overload, a customer with three times the slots of another gets three times its requests
+// served.
 #[test]
 fn shares_follow_the_contracts() {
     let mut queue = queue(&[("a", 3), ("b", 1)]);
@@ -60,8 +59,8 @@
     assert!((59..=61).contains(&of_a), "{of_a} of 80");
 }
 
-// One customer marks everything as interactive. It would take the slots that
-// another one, with batch work, has bought.
+// A customer that marks everything as interactive must not take the slots that another customer,
+// with batch work only, has bought.
 #[test]
 fn class_does_not_take_another_customers_share() {
     let mut queue = queue(&[("a", 1), ("b", 1)]);
@@ -71,8 +70,8 @@
     assert!((37..=40).contains(&of_b), "{of_b} of 80");
 }
 
-// A customer was idle for long and comes back. It must not claim the turns it
-// did not use, which would starve the others for as long.
+// A customer that was idle must not claim its unused share when it returns: that would starve
+// the others for as long as it was idle.
 #[test]
 fn idle_time_earns_no_credit() {
     let mut queue = queue(&[("a", 1), ("b", 1)]);
@@ -83,7 +82,7 @@
     assert!((9..=11).contains(&of_a), "{of_a} of 20");
 }
 
-// A customer without a contract uses what is idle, and only that.
+// A customer without a contract uses idle slots only.
 #[test]
 fn customer_without_contract_waits_for_all_others() {
     let mut queue = queue(&[("a", 1)]);
@@ -93,7 +92,7 @@
     assert!(order[..5].iter().all(|id| *id < 1_000), "{order:?}");
 }
 
-// A customer's lookups never end. Its own overnight work goes on, slowly.
+// A continuous load of interactive requests must not starve the same customer's batch work.
 #[test]
 fn own_urgent_work_does_not_starve_batch() {
     let mut queue = queue(&[("a", 1)]);
@@ -103,8 +102,8 @@
     assert_eq!(batch, 10);
 }
 
-// One customer's requests take four times as long as another's. Contracts are
-// slots, so it gets a quarter of the turns.
+// A customer whose requests take four times as long as another's gets a quarter of its requests
+// served, because contracts are for slots.
 #[test]
 fn long_requests_cost_more_of_the_share() {
     let mut queue = queue(&[("a", 1), ("b", 1)]);
@@ -118,11 +117,11 @@
     assert!((19..=21).contains(&of_a), "{of_a} of 100");
 }
 
-// Requests come, go and are served in any order. Each one is served once or
-// taken out once, and none is left behind.
+// Property: with requests added, removed and served in any order, each request is served or
+// removed exactly once and none is lost.
 #[test]
-fn queue_neither_loses_nor_repeats() {
-    fn holds(steps: Vec<(u8, u8, u8)>) -> bool {
+fn queue_neither_loses_nor_duplicates_requests() {
+    fn property(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut queue = queue(&[("a", 3), ("b", 1)]);
         let mut waiting = BTreeSet::new();
         for (id, (kind, customer, class)) in steps.into_iter().enumerate() {
@@ -167,10 +166,10 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 0xad01))
         .tests(500)
-        .quickcheck(holds as fn(Vec<(u8, u8, u8)>) -> bool);
+        .quickcheck(property as fn(Vec<(u8, u8, u8)>) -> bool);
 }
 
-/// Returns a world with one busy slot that usually takes 100 ms.
+/// Returns a world whose only slot is occupied; requests usually take 100 ms.
 fn busy_world() -> World {
     let mut world = World::new(config(1, 1, &[("a", 3), ("b", 1)]));
     for _ in 0..40 {
@@ -182,10 +181,10 @@
     world
 }
 
-// A caller's request can't be answered in time. It hears so at once and can
-// go elsewhere, rather than after it has waited for nothing.
+// A request whose expected wait exceeds its deadline is refused at once, so that the caller can
+// go elsewhere without waiting in vain.
 #[test]
-fn hopeless_request_is_refused_at_once() {
+fn request_that_would_miss_its_deadline_is_refused_at_once() {
     let mut world = busy_world();
     for _ in 0..5 {
         world.send(10_000, |_| {});
@@ -198,22 +197,21 @@
     assert!(refusal.retry_after_ms.is_some_and(|ms| (300..2_000).contains(&ms)), "{refusal:?}");
 }
 
-// One customer has filled the queue. Another one that has bought its share
-// still gets in; the crowd's least urgent request is refused for it.
+// One customer has filled the queue. A request of another customer with a contract is still
+// admitted; the least urgent request of the first customer is refused instead.
 #[test]
-fn full_queue_makes_room_at_the_crowds_expense() {
+fn full_queue_evicts_from_the_customer_with_the_largest_backlog() {
     let mut world = busy_world();
-    let crowd: Vec<RequestId> = (0..8).map(|_| world.send(10_000, |_| {})).collect();
+    let backlog: Vec<RequestId> = (0..8).map(|_| world.send(10_000, |_| {})).collect();
     let more = world.send(10_000, |_| {});
     assert_eq!(world.refusal(more), Some((Execution::NotRun, Reason::QueueFull)));
     let other = world.send(10_000, |request| request.customer = Name::from("b"));
     assert!(world.requests[&other].finals.is_empty());
-    let refused = crowd.iter().filter(|id| world.refusal(**id).is_some()).count();
+    let refused = backlog.iter().filter(|id| world.refusal(**id).is_some()).count();
     assert_eq!(refused, 1);
 }
 
-// A request's time runs out while it waits. It is refused as not run, which
-// the caller can trust, and is not dispatched for nothing.
+// A request whose deadline passes in the queue is refused as not run and isn't dispatched.
 #[test]
 fn request_expires_in_the_queue() {
     let mut world = busy_world();
@@ -222,7 +220,7 @@
     assert_eq!(world.refusal(id), Some((Execution::NotRun, Reason::DeadlinePassed)));
 }
 
-// All endpoints leave. Whoever waits hears at once that there is nobody.
+// When all endpoints leave, waiting requests are refused at once.
 #[test]
 fn queue_is_refused_when_no_endpoint_is_left() {
     let mut world = busy_world();
--- a/crates/pistachiotrack-core/tests/rate_limit.rs
+++ b/crates/pistachiotrack-core/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name in requests a second, kept by several VMs in logical time.
+//! Rate limits announced by endpoints, kept by several VMs in simulated time.
 
 mod shared_support;
 
@@ -16,9 +16,9 @@
 use rand_pcg::Pcg64Mcg;
 use shared_support::{START, all_dispatched, booking, dispatched, news_of, shard};
 
-/// Time over which requests are counted.
+/// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How far a window may exceed what the limit allows: a factor, and requests besides.
+/// Allowed excess in a window: a factor of the limit, and additional requests.
 const TOLERANCE: (f64, f64) = (1.5, 5.0);
 
 fn limit(text: &str) -> RateLimit {
@@ -32,31 +32,31 @@
     }
 }
 
-/// VMs that all want to send to one endpoint whenever they may.
-struct Greedy {
+/// VMs that all send to one endpoint whenever they are allowed to.
+struct GreedyVms {
     vms: Vec<SharedRateLimiter>,
     share: RateShare,
     delay: Duration,
     rng: Pcg64Mcg,
-    /// What VMs were told and don't know yet: when it arrives, from whom, the count.
-    on_the_way: VecDeque<(Time, usize, RateUpdate)>,
+    /// Updates in transit: arrival time, sending VM, update.
+    in_transit: VecDeque<(Time, usize, RateUpdate)>,
 }
 
-impl Greedy {
-    fn new(count: usize, limit: RateLimit, delay: Duration, seed: u64) -> Greedy {
+impl GreedyVms {
+    fn new(count: usize, limit: RateLimit, delay: Duration, seed: u64) -> GreedyVms {
         let share = RateShare { fraction: 1.0, is_sole_sender: count == 1 };
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut rate = || SharedRateLimiter::new(START, START, limit, share, rng.random());
-        Greedy {
+        GreedyVms {
             vms: (0..count).map(|_| rate()).collect(),
             share,
             delay,
             rng,
-            on_the_way: VecDeque::new(),
+            in_transit: VecDeque::new(),
         }
     }
 
-    /// Returns when requests were sent in a time.
+    /// Runs for `time` and returns when requests were sent.
     fn run(&mut self, time: Duration) -> Vec<Time> {
         let mut sent = Vec::new();
         let tick = Duration::from_millis(20);
@@ -69,7 +69,7 @@
                 if is_tick && self.vms[vm].may_send(now, self.share) {
                     self.vms[vm].on_sent(now, self.share, self.rng.random());
                     let news = self.vms[vm].update(now).unwrap();
-                    self.on_the_way.push_back((now + self.delay, vm, news));
+                    self.in_transit.push_back((now + self.delay, vm, news));
                     sent.push(now);
                 }
             }
@@ -78,8 +78,8 @@
     }
 
     fn deliver(&mut self, now: Time) {
-        while self.on_the_way.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, from, news)) = self.on_the_way.pop_front() else { return };
+        while self.in_transit.front().is_some_and(|(at, ..)| *at <= now) {
+            let Some((_, from, news)) = self.in_transit.pop_front() else { return };
             let name = Name::from(format!("vm-{from}"));
             for (vm, rate) in self.vms.iter_mut().enumerate().filter(|(vm, _)| *vm != from) {
                 let turn = Pcg64Mcg::seed_from_u64(now.as_micros() ^ vm as u64).random();
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn vms_that_all_want_to_send_keep_a_limit_together() {
+fn greedy_vms_keep_the_limit_together() {
     let time = Duration::from_secs(30);
     for (vms, delay_ms) in [(1, 0), (6, 1), (6, 5), (10, 5), (34, 5)] {
         for text in ["0", "0.25", "1", "2.3", "10", "60"] {
             for seed in 0..5 {
                 let delay = Duration::from_millis(delay_ms);
-                let mut greedy = Greedy::new(vms, limit(text), delay, seed);
+                let mut greedy = GreedyVms::new(vms, limit(text), delay, seed);
                 let sent = greedy.run(time);
                 let per_second = limit(text).per_second();
                 let allowed = TOLERANCE.0 * per_second * WINDOW.as_secs_f64() + TOLERANCE.1;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn texts_that_name_no_limit_are_refused() {
+fn invalid_limits_are_rejected() {
     for text in ["", "many", "-1", "NaN", "inf", "1e999"] {
         assert!(text.parse::<RateLimit>().is_err(), "{text:?}");
     }
@@ -126,24 +126,24 @@
 }
 
 #[test]
-fn a_vm_that_is_no_dispatcher_leaves_a_limited_endpoint_to_the_others() {
-    let guest = RateShare { fraction: 0.0, is_sole_sender: false };
-    let rate = SharedRateLimiter::new(START, START, limit("1000"), guest, 0.0);
-    assert!(!rate.may_send(START + Duration::from_secs(60), guest));
+fn vm_that_is_no_dispatcher_does_not_send_to_limited_endpoints() {
+    let non_dispatcher = RateShare { fraction: 0.0, is_sole_sender: false };
+    let rate = SharedRateLimiter::new(START, START, limit("1000"), non_dispatcher, 0.0);
+    assert!(!rate.may_send(START + Duration::from_secs(60), non_dispatcher));
 }
 
 #[test]
-fn a_limit_ends_with_the_first_answer_that_names_none_and_was_asked_for_later() {
-    let named_at = START + Duration::from_secs(1);
+fn limit_ends_with_a_later_request_answered_without_one() {
+    let announced_at = START + Duration::from_secs(1);
     let mut rate =
-        SharedRateLimiter::new(named_at, named_at, limit("1"), RateShare::default(), 0.0);
-    assert!(!rate.on_answer(START, None), "asked for before the limit was named");
+        SharedRateLimiter::new(announced_at, announced_at, limit("1"), RateShare::default(), 0.0);
+    assert!(!rate.on_answer(START, None), "requested before the answer with the limit");
     assert_eq!(rate.limit(), Some(limit("1")));
-    assert!(rate.on_answer(named_at + Duration::from_millis(1), None));
-    assert_eq!((rate.limit(), rate.update(named_at)), (None, None));
+    assert!(rate.on_answer(announced_at + Duration::from_millis(1), None));
+    assert_eq!((rate.limit(), rate.update(announced_at)), (None, None));
 }
 
-/// Sends a booking and has it answered; returns the endpoint and what the others are told.
+/// Sends a booking and answers it; returns the endpoint and the updates for other VMs.
 fn serve(shard: &mut Shard, now: Time, id: u64, limit: Option<&str>) -> (Name, Vec<ShardNews>) {
     let mut actions = shard.on_request(now, booking(id, now));
     let sent = dispatched(&actions).expect("a slot is free");
@@ -153,15 +153,15 @@
     (sent.endpoint, shared_support::told(&actions))
 }
 
-/// Returns a shard with one endpoint that is one of so many dispatchers.
-fn dispatcher(in_view: u32, is_member: bool) -> Shard {
+/// Returns a shard with one endpoint on a VM that sees `visible` dispatchers.
+fn dispatcher(visible: u32, is_member: bool) -> Shard {
     let mut shard = shard(1);
-    shard.set_dispatchers(START, VisibleDispatchers { count: in_view, is_member });
+    shard.set_dispatchers(START, VisibleDispatchers { count: visible, is_member });
     shard
 }
 
 #[test]
-fn what_another_vm_sends_uses_the_limit_up() {
+fn requests_of_other_vms_count_towards_the_limit() {
     let mut shard = dispatcher(2, true);
     serve(&mut shard, START, 1, Some("1"));
     let now = START + Duration::from_secs(5);
@@ -176,38 +176,38 @@
 }
 
 #[test]
-fn other_vms_are_told_of_a_limit_and_of_its_end() {
+fn limit_and_its_end_are_broadcast() {
     let mut shard = dispatcher(2, true);
     let (_, told) = serve(&mut shard, START, 1, Some("2.5"));
-    let named = told.iter().flat_map(|news| &news.endpoints).find_map(|news| news.rate);
-    assert_eq!(named.unwrap().limit, limit("2.5"));
+    let rate = told.iter().flat_map(|news| &news.endpoints).find_map(|news| news.rate);
+    assert_eq!(rate.unwrap().limit, limit("2.5"));
     let mut other = dispatcher(2, true);
-    let said = |shard: &mut Shard, now, told: &[ShardNews]| {
+    let limit_change = |shard: &mut Shard, now, told: &[ShardNews]| {
         let actions = shared_support::pass_on(shard, now, told);
         actions.into_iter().find_map(|action| match action {
             ShardAction::RateLimit { limit, .. } => Some(limit),
             _ => None,
         })
     };
-    assert_eq!(said(&mut other, START, &told), Some(Some(limit("2.5"))));
+    assert_eq!(limit_change(&mut other, START, &told), Some(Some(limit("2.5"))));
     let later = START + Duration::from_secs(3);
     let (_, told) = serve(&mut shard, later, 2, None);
-    assert_eq!(said(&mut other, later, &told), Some(None));
+    assert_eq!(limit_change(&mut other, later, &told), Some(None));
 }
 
 #[test]
-fn a_vm_that_begins_learns_limits_with_the_picture() {
+fn new_dispatcher_learns_limits_from_the_snapshot() {
     let mut shard = dispatcher(2, true);
     serve(&mut shard, START, 1, Some("1"));
-    let picture = shard.picture(START);
-    let mut begins = dispatcher(2, true);
-    begins.on_picture(START, &picture);
-    let status = begins.endpoints(START);
+    let snapshot = shard.picture(START);
+    let mut new_dispatcher = dispatcher(2, true);
+    new_dispatcher.on_picture(START, &snapshot);
+    let status = new_dispatcher.endpoints(START);
     assert_eq!(status[0].rate_limit, Some(1.0));
 }
 
 #[test]
-fn a_service_whose_endpoints_all_name_limits_refuses_what_they_cannot_take_at_once() {
+fn requests_over_the_limits_of_all_endpoints_are_refused_at_once() {
     let mut shard = dispatcher(2, true);
     serve(&mut shard, START, 1, Some("1"));
     let now = START + Duration::from_secs(10);
@@ -224,10 +224,10 @@
 }
 
 #[test]
-fn a_guest_refuses_at_once_where_all_endpoints_name_limits() {
-    let mut guest = dispatcher(2, false);
-    serve(&mut guest, START, 1, Some("1"));
+fn non_dispatcher_refuses_at_once_if_all_endpoints_have_limits() {
+    let mut non_dispatcher = dispatcher(2, false);
+    serve(&mut non_dispatcher, START, 1, Some("1"));
     let now = START + Duration::from_secs(10);
-    let actions = guest.on_request(now, booking(2, now));
+    let actions = non_dispatcher.on_request(now, booking(2, now));
     assert!(actions.iter().any(|action| matches!(action, ShardAction::Refuse { .. })));
 }
