--- a/crates/pistachiotrack-core/src/admin.rs
+++ b/crates/pistachiotrack-core/src/admin.rs
@@ -1,31 +1,31 @@
-//! What the daemon's admin port answers and the command-line tool shows.
+//! Responses of the daemon's admin port, shown by the command-line tool.
 
 use serde::{Deserialize, Serialize};
 
 use crate::name::Name;
 
-/// Answer of `GET /status`.
+/// Response to `GET /status`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// VM that answers.
+    /// The responding VM.
     pub vm: Name,
     /// Data centre of the VM.
     pub data_centre: Name,
     /// Life cycle state: `starting`, `serving`, `leaving` or `stopped`.
     pub state: Name,
-    /// Deployment served.
+    /// Deployment that the VM serves.
     pub deployment: Name,
-    /// Version of the configuration in force, if any.
+    /// Version of the active configuration, if any.
     pub config_version: Option<u64>,
-    /// Why the newest published configuration was not accepted, if it wasn't.
+    /// Why the newest published configuration was rejected, if it was.
     pub config_error: Option<String>,
-    /// Time since the platform's configuration service last answered.
+    /// Time since the last response of the platform's configuration service.
     pub platform_age_ms: Option<u64>,
-    /// Shards owned, as `service/index`.
+    /// Shards that the VM owns, as `service/index`.
     pub shards: Vec<Name>,
-    /// Live VMs known, this one included.
+    /// Number of known live VMs, including this one.
     pub live_vms: u32,
-    /// Counters by name since the start of the daemon.
+    /// Counters since the start of the daemon.
     pub counters: Vec<Counter>,
 }
 
@@ -38,7 +38,7 @@
     pub value: u64,
 }
 
-/// One line of `GET /endpoints`: an endpoint of a shard that the VM owns.
+/// Element of the response to `GET /endpoints`: an endpoint of a shard that the VM owns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointStatus {
     /// Service of the endpoint.
@@ -50,28 +50,28 @@
     pub state: Name,
     /// Requests in flight.
     pub in_flight: u32,
-    /// Limit of requests in flight.
+    /// Current limit of requests in flight.
     pub limit: u32,
-    /// Requests a second that the endpoint takes from all VMs, if it names a limit.
+    /// Requests per second that the endpoint accepts from all VMs, if it announces a limit.
     #[serde(default)]
     pub rate_limit: Option<f64>,
     /// Evidence against the endpoint, as a log-likelihood ratio.
     pub evidence: f64,
-    /// Why it was last ejected.
+    /// Reason of the last ejection.
     pub reason: Option<Name>,
-    /// How far the VM goes with the shard: `owner` or `careful`.
-    #[serde(default = "owner")]
+    /// Mode in which the VM serves the shard: `owner` or `careful`.
+    #[serde(default = "default_mode")]
     pub mode: Name,
 }
 
-fn owner() -> Name {
+fn default_mode() -> Name {
     Name::from("owner")
 }
 
-/// One line of `GET /members`.
+/// Element of the response to `GET /members`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// VM.
+    /// Name of the VM.
     pub vm: Name,
     /// Data centre of the VM.
     pub data_centre: Name,
@@ -83,36 +83,36 @@
     pub config_version: Option<u64>,
 }
 
-/// One line of `GET /histograms`: latencies of one customer and class.
+/// Element of the response to `GET /histograms`: latencies of one customer and class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistogramStatus {
-    /// Customer.
+    /// Name of the customer.
     pub customer: Name,
-    /// Class.
+    /// Request class.
     pub class: Name,
-    /// Requests counted.
+    /// Number of requests.
     pub count: u64,
-    /// Median time to the answer's head.
+    /// Median time to the response head.
     pub p50_us: u64,
     /// 90th percentile.
     pub p90_us: u64,
     /// 99th percentile.
     pub p99_us: u64,
-    /// Largest.
+    /// Maximum.
     pub max_us: u64,
 }
 
-/// One line of `GET /quarantine`: a request under which endpoints ended.
+/// Element of the response to `GET /quarantine`: a request that crashed endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineStatus {
     /// Fingerprint of the request.
     pub request: Name,
     /// State: `suspected` or `held`.
     pub state: Name,
-    /// Endpoints that ended under it, as far as they are counted.
+    /// Number of crashes counted.
     pub crashes: u32,
-    /// Times that it was tried again.
+    /// Number of trials.
     pub trials: u32,
-    /// Time until it may be tried again, if it is held back.
+    /// Time until the next trial, if the request is held back.
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/pistachiotrack-core/src/contract.rs
+++ b/crates/pistachiotrack-core/src/contract.rs
@@ -8,8 +8,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Contract {
-    /// Service that the capacity belongs to.
+    /// Service whose slots were bought.
     pub service: Name,
-    /// Slots bought; the customer's share when capacity is short.
+    /// Number of slots bought; determines the customer's share when the service is overloaded.
     pub slots: u32,
 }
--- a/crates/pistachiotrack-core/src/copies.rs
+++ b/crates/pistachiotrack-core/src/copies.rs
@@ -1,24 +1,24 @@
-//! Copies of a request on their way, and what may be said of the request because of them.
+//! Tracks the copies of a request that were sent, to decide whether it certainly wasn't run.
 //!
 //! Failure guarded against: one copy of a request is refused while another one is at an
-//! endpoint, and the refusal is passed on as the request's. Callers repeat what was refused
-//! as not run, so that it shows as a doubled booking. The guard holds because
-//! [`Execution::NotRun`] is said by [`Undispatched`] alone, which a request stops being with its
-//! first copy and becomes again only when each copy has come back.
+//! endpoint, and the refusal is passed on as that of the request. Callers repeat requests that
+//! were refused as not run, so that it shows as a duplicate booking. The guard holds because
+//! only [`Undispatched`] can refuse with [`Execution::NotRun`]: sending the first copy consumes
+//! it, and it can be had again only when every copy is certainly not run.
 //!
 //! ```compile_fail
 //! use pistachiotrack_core::{copies::Undispatched, name::Name, refusal::Reason, time::Time};
 //!
-//! let held = Undispatched::on_arrival();
-//! let (copies, copy) = held.send(Name::from("endpoint-1"), Time::ZERO);
-//! held.refuse(Reason::QueueFull, None); // `held` has moved into `copies`
+//! let undispatched = Undispatched::on_arrival();
+//! let (copies, copy) = undispatched.send(Name::from("endpoint-1"), Time::ZERO);
+//! undispatched.refuse(Reason::QueueFull, None); // `undispatched` has moved into `copies`
 //! ```
 //!
 //! ```compile_fail
 //! use pistachiotrack_core::{copies::Undispatched, name::Name, refusal::Reason, time::Time};
 //!
 //! let (copies, copy) = Undispatched::on_arrival().send(Name::from("endpoint-1"), Time::ZERO);
-//! copies.refuse_not_run(Reason::QueueFull, None); // there is no such thing
+//! copies.refuse_not_run(Reason::QueueFull, None); // there is no such method
 //! ```
 
 use std::mem;
@@ -30,7 +30,7 @@
     time::Time,
 };
 
-/// A request of which no copy is out.
+/// A request without outstanding copies: it certainly was not run.
 #[derive(Debug)]
 #[must_use]
 pub struct Undispatched {
@@ -38,8 +38,8 @@
 }
 
 impl Undispatched {
-    /// Takes a request that this process has just read from its connection; nothing else
-    /// makes one.
+    /// Creates the state of a request that this process has just read from its connection; there
+    /// is no other way to create one.
     pub fn on_arrival() -> Undispatched {
         Undispatched { sent: Vec::new() }
     }
@@ -57,18 +57,18 @@
     }
 }
 
-/// Where a copy of a request went, and whether it came back.
+/// Destination and state of a copy of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CopyRecord {
     /// Name of the endpoint or VM.
     pub to: Name,
-    /// Moment of sending.
+    /// Time of sending.
     pub sent_at: Time,
-    /// Whether it is certain that the copy was not run and won't be.
+    /// Whether the copy certainly was not run and won't be.
     pub is_not_run: bool,
 }
 
-/// A request of which copies may be out.
+/// A request that may have outstanding copies.
 #[derive(Debug)]
 #[must_use]
 pub struct Copies {
@@ -78,8 +78,8 @@
 }
 
 impl From<Undispatched> for Copies {
-    fn from(held: Undispatched) -> Copies {
-        Copies { sent: held.sent, is_finished: false }
+    fn from(request: Undispatched) -> Copies {
+        Copies { sent: request.sent, is_finished: false }
     }
 }
 
@@ -90,40 +90,40 @@
         OutstandingCopy { index: self.sent.len() - 1 }
     }
 
-    /// Takes a copy back.
+    /// Records that a copy was certainly not run.
     pub fn record_not_run(&mut self, copy: NotRunCopy) {
         if let Some(sent) = self.sent.get_mut(copy.index) {
             sent.is_not_run = true;
         }
     }
 
-    /// Returns whether no copy is out and no final answer has been given.
+    /// Returns whether no copy is outstanding and no final answer has been given.
     pub fn is_certainly_not_run(&self) -> bool {
         !self.is_finished && self.sent.iter().all(|sent| sent.is_not_run)
     }
 
-    /// Returns the request as one without copies.
+    /// Converts the request to one without outstanding copies.
     ///
     /// # Errors
     ///
-    /// Returns the copies again if one is out, or if the request was answered.
+    /// Returns `self` if a copy is outstanding or the final answer was given.
     pub fn into_undispatched(self) -> Result<Undispatched, Copies> {
         if self.is_certainly_not_run() { Ok(Undispatched { sent: self.sent }) } else { Err(self) }
     }
 
-    /// Refuses the request, as not run only if every copy has come back.
+    /// Refuses the request, as not run only if every copy certainly was not run.
     pub fn refuse(self, reason: Reason, retry_after_ms: Option<u64>) -> Refusal {
         match self.into_undispatched() {
-            Ok(held) => held.refuse(reason, retry_after_ms),
+            Ok(undispatched) => undispatched.refuse(reason, retry_after_ms),
             Err(copies) => copies.refuse_as_unknown(reason),
         }
     }
 
-    /// Refuses the request as a decision says; as not run only if that is so here too.
-    pub fn refuse_with(self, verdict: RefusalDecision) -> Refusal {
-        match verdict.execution {
-            Execution::NotRun => self.refuse(verdict.reason, verdict.retry_after_ms),
-            Execution::Unknown => self.refuse_as_unknown(verdict.reason),
+    /// Refuses the request with a decision; as not run only if that also holds for the copies.
+    pub fn refuse_with(self, decision: RefusalDecision) -> Refusal {
+        match decision.execution {
+            Execution::NotRun => self.refuse(decision.reason, decision.retry_after_ms),
+            Execution::Unknown => self.refuse_as_unknown(decision.reason),
         }
     }
 
@@ -132,14 +132,14 @@
         Refusal::new(Execution::Unknown, reason, None, self.sent)
     }
 
-    /// Takes the copies out of a request that gets its final answer, so that nothing is sent
-    /// or said afterwards.
+    /// Takes the copies of a request for its final answer; the request can't be refused as not
+    /// run afterwards.
     pub fn finish(&mut self) -> Copies {
         mem::replace(self, Copies { sent: Vec::new(), is_finished: true })
     }
 }
 
-/// A copy that is out. Dropped, it stays out.
+/// An outstanding copy. If it is dropped, the copy stays outstanding.
 #[derive(Debug)]
 #[must_use]
 pub struct OutstandingCopy {
@@ -147,23 +147,23 @@
 }
 
 impl OutstandingCopy {
-    /// Takes how the attempt to which it went has ended.
+    /// Returns the copy as not run if the outcome of its attempt shows that it certainly wasn't.
     pub fn on_outcome(self, outcome: Outcome) -> Option<NotRunCopy> {
         outcome.certainly_not_run().then_some(NotRunCopy { index: self.index })
     }
 
-    /// Takes what its holder says of it.
-    pub fn on_reported_execution(self, word: Execution) -> Option<NotRunCopy> {
-        (word == Execution::NotRun).then_some(NotRunCopy { index: self.index })
+    /// Returns the copy as not run if the VM that got it reports so.
+    pub fn on_reported_execution(self, execution: Execution) -> Option<NotRunCopy> {
+        (execution == Execution::NotRun).then_some(NotRunCopy { index: self.index })
     }
 
-    /// Takes it back, as no byte of it has left this process.
+    /// Returns the copy as not run, because no byte of it was sent.
     pub fn unsent(self) -> NotRunCopy {
         NotRunCopy { index: self.index }
     }
 }
 
-/// A copy that was certainly not run and won't be.
+/// A copy that certainly was not run and won't be.
 #[derive(Debug)]
 #[must_use]
 pub struct NotRunCopy {
--- a/crates/pistachiotrack-core/src/customer.rs
+++ b/crates/pistachiotrack-core/src/customer.rs
@@ -1,15 +1,15 @@
-//! Customers and how their endpoints' health is judged.
+//! Customers and their contracts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{contract::Contract, name::Name};
 
-/// A customer as the configuration describes it.
+/// A customer in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     /// Unique name, sent by callers in [`crate::header::CUSTOMER`].
     pub name: Name,
-    /// Capacity bought.
+    /// Contracts of the customer.
     pub contracts: Vec<Contract>,
 }
--- a/crates/pistachiotrack-core/src/data_centre.rs
+++ b/crates/pistachiotrack-core/src/data_centre.rs
@@ -1,10 +1,10 @@
-//! Data centres: the failure and latency domains that VMs and endpoints sit in.
+//! Data centres: the failure and latency domains of VMs and endpoints.
 
 use serde::{Deserialize, Serialize};
 
 use crate::name::Name;
 
-/// A data centre as the configuration describes it.
+/// A data centre in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentre {
--- a/crates/pistachiotrack-core/src/feature_flags.rs
+++ b/crates/pistachiotrack-core/src/feature_flags.rs
@@ -1,40 +1,40 @@
-//! Switches of the mechanisms that decide, for trials of what each is worth.
+//! Feature flags of the decision mechanisms, to measure the effect of each in experiments.
 
 use serde::{Deserialize, Serialize};
 
-/// Which mechanisms are at work; all are, outside of trials.
+/// Enabled mechanisms; all are enabled except in experiments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FeatureFlags {
-    /// Endpoints are ranked by the risk that a request fails.
+    /// Ranks endpoints by the estimated probability that a request fails.
     pub risk: bool,
-    /// Failures at once tell more than late ones.
+    /// Gives immediate failures more weight than late ones.
     pub failure_times: bool,
-    /// Most endpoints get a request in any two seconds.
+    /// Sends a request to most endpoints every two seconds.
     pub coverage: bool,
-    /// All endpoints do while much of the work is lost.
+    /// Sends such requests to all endpoints while many requests fail.
     pub strain: bool,
-    /// Requests wait for proven endpoints.
+    /// Lets requests wait for endpoints with recent successes.
     pub patience: bool,
-    /// Slow requests that may run again are sent a second time.
+    /// Sends hedges of slow idempotent requests.
     pub hedges: bool,
-    /// Silent requests that may run again are given up for another endpoint.
+    /// Abandons attempts of idempotent requests without an answer, and tries another endpoint.
     pub give_ups: bool,
-    /// Some requests that may run again look at endpoints in doubt.
+    /// Sends some idempotent requests to endpoints with uncertain health.
     pub exploring: bool,
-    /// Endpoints that join get a request at once.
+    /// Sends a request to new endpoints at once.
     pub joiners_first: bool,
-    /// Endpoints of this VM's data centre come first.
+    /// Prefers endpoints in this VM's data centre.
     pub home_first: bool,
-    /// Retries that are left are shared out.
+    /// Divides the remaining retries among the VMs that need some.
     pub retry_shares: bool,
-    /// Requests wait for a picture that was asked for.
+    /// Lets requests wait for a requested snapshot.
     pub picture_wait: bool,
-    /// Limits of endpoints fall when they shed.
+    /// Lowers the concurrency limit of endpoints that shed requests.
     pub adaptive_limits: bool,
-    /// Endpoints with enough evidence against them get no work.
+    /// Ejects endpoints with enough evidence of failure.
     pub ejection: bool,
-    /// Endpoints that join or come back get a growing share of work.
+    /// Increases the load of new and recovered endpoints gradually.
     pub slow_start: bool,
 }
 
--- a/crates/pistachiotrack-core/src/fingerprint.rs
+++ b/crates/pistachiotrack-core/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints, by which requests are recognized that ask for the same.
+//! Fingerprints that identify equal requests.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 
 use crate::hash;
 
-/// Tells whether two requests ask for the same; the same on every VM.
+/// Hash of a request's content; equal requests have the same fingerprint on every VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request that consists of `parts`, in their order.
+    /// Returns the fingerprint of a request that consists of `parts`, in this order.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Fingerprint {
         let add = |state, part: &[u8]| {
             let length = part.len() as u64;
@@ -20,7 +20,7 @@
         Fingerprint(hash::mix(parts.into_iter().fold(hash::fnv(&[]), add)))
     }
 
-    /// Returns a hash that places the request among VMs.
+    /// Returns the hash that selects a VM for the request.
     pub fn placement(self) -> u64 {
         self.0
     }
--- a/crates/pistachiotrack-core/src/idempotency.rs
+++ b/crates/pistachiotrack-core/src/idempotency.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys: joins duplicates of a request at the shard's owner.
+//! Idempotency keys: deduplicates requests at the shard's owner.
 //!
-//! The table knows only what this owner has seen within its bounds. A repeat
-//! that is not on record is answered with "unknown" and never run, because
-//! another owner may have run the first.
+//! The table only has keys that this owner has seen, within its bounds. A repeat
+//! without a record is answered with "unknown" and never run, because another
+//! owner may have run the original request.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -11,35 +11,35 @@
 
 use crate::{name::Name, request::RequestId, time::Time};
 
-/// Largest body that is kept for duplicates.
+/// Largest response body that is stored for duplicates.
 pub const MAX_STORED_BODY_BYTES: usize = 16 * 1024;
 
-/// An answer that is kept for duplicates of its request.
+/// Response that is stored for duplicates of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Value of the `content-type` header, if any.
     pub content_type: Option<String>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Bounds of the keys on record.
+/// Bounds of a key table.
 #[derive(Clone, Debug)]
 pub struct KeySettings {
-    /// Keys on record; the oldest finished one is forgotten for a new one.
+    /// Maximum number of keys; the oldest finished one is evicted for a new one.
     pub max_keys: usize,
-    /// Bytes of all stored bodies; the oldest body is dropped for a new one,
-    /// its key stays.
+    /// Maximum total size of stored bodies; the oldest body is evicted for a
+    /// new one, its key stays.
     pub max_body_bytes: usize,
-    /// Time after which a finished key is forgotten.
+    /// Time after which a finished key expires.
     pub max_age: Duration,
-    /// Time that a stored answer may take to follow the end of its body.
+    /// Maximum time from the end of an answer's body until the answer is stored.
     pub store_grace: Duration,
-    /// Keys that are handed over; the newest go first.
+    /// Maximum number of keys that are handed over, the newest first.
     pub max_hand_over_keys: usize,
-    /// Bytes of stored bodies that are handed over.
+    /// Maximum total size of stored bodies that are handed over.
     pub max_hand_over_bytes: usize,
 }
 
@@ -56,33 +56,33 @@
     }
 }
 
-/// A key on record as an owner tells its successor.
+/// A key that an owner hands over to its successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyHandOver {
     /// Customer that the key belongs to.
     pub customer: Name,
     /// The key.
     pub key: Name,
-    /// Time received_at the request came.
+    /// Time since the request arrived.
     pub age_ms: u64,
-    /// The stored answer; `None` if the outcome is unknown or not stored.
+    /// The stored answer; `None` if the outcome is unknown or the answer isn't stored.
     pub answer: Option<Arc<StoredAnswer>>,
 }
 
-/// What becomes of a request with a key.
+/// Decision on a request with a key. The original is the first request with the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// It is the first and may run.
+    /// This is the original and may run.
     Run,
-    /// The first is in flight; it waits for the first's answer.
+    /// The original is in flight; this request waits for its answer.
     Join,
-    /// The first has been answered.
+    /// The original has been answered.
     Replay(Arc<StoredAnswer>),
-    /// The first may have run and its answer is not held.
+    /// The original may have run and its answer isn't stored.
     OutcomeUnknown,
-    /// It is a repeat and its first is not on record.
+    /// This is a repeat and there is no record of the original.
     NoRecord,
-    /// Every key on record is in flight; it can't be recorded.
+    /// All keys in the table are in flight; this one can't be added.
     TableFull,
 }
 
@@ -90,7 +90,7 @@
 
 #[derive(Clone, Debug)]
 enum State {
-    /// The first is in flight, or its answer is on its way.
+    /// The original is in flight, or its answer isn't stored yet.
     InFlight {
         waiters: Vec<RequestId>,
     },
@@ -105,18 +105,18 @@
     state: State,
 }
 
-/// The keys on record of one shard.
+/// Idempotency keys of one shard.
 #[derive(Clone, Debug)]
 pub struct KeyTable {
     settings: KeySettings,
     records: FxHashMap<KeyId, Record>,
     in_flight: FxHashMap<RequestId, KeyId>,
-    /// Finished records, oldest first; an entry whose serial is not its
-    /// record's is stale.
+    /// Finished records, oldest first; an entry is stale if its serial differs
+    /// from its record's.
     finished: VecDeque<(KeyId, u64)>,
     /// Records with a body, oldest first; stale entries as above.
     stored: VecDeque<(KeyId, u64)>,
-    /// Requests whose body ended and whose answer may still be stored.
+    /// Requests whose answer is complete and may still be stored.
     awaiting_store: VecDeque<(Time, RequestId)>,
     body_bytes: usize,
     next_serial: u64,
@@ -137,17 +137,17 @@
         }
     }
 
-    /// Returns the number of keys on record.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no key is on record.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Decides what becomes of a request with a key.
+    /// Decides on a request with a key.
     pub fn claim(
         &mut self,
         now: Time,
@@ -180,8 +180,8 @@
         Claim::Run
     }
 
-    /// Notes that the first was certainly not run; returns the requests that
-    /// waited for it.
+    /// Records that the original was certainly not run; returns the requests
+    /// that waited for it.
     pub fn on_not_run(&mut self, request: RequestId) -> Vec<RequestId> {
         let Some(id) = self.in_flight.remove(&request) else { return Vec::new() };
         match self.records.remove(&id).map(|record| record.state) {
@@ -190,20 +190,20 @@
         }
     }
 
-    /// Notes that the first may have run and that its answer is lost; returns
+    /// Records that the original may have run and its answer is lost; returns
     /// the requests that waited for it.
     pub fn on_answer_lost(&mut self, request: RequestId) -> Vec<RequestId> {
         self.finish(request, State::OutcomeUnknown)
     }
 
-    /// Notes that the first's answer has come whole; it may be stored yet.
+    /// Records that the answer of the original is complete; it may still be stored.
     pub fn on_answered(&mut self, now: Time, request: RequestId) {
         if self.in_flight.contains_key(&request) {
             self.awaiting_store.push_back((now, request));
         }
     }
 
-    /// Stores the first's answer; returns the requests that waited for it.
+    /// Stores the answer of the original; returns the requests that waited for it.
     pub fn on_stored(&mut self, request: RequestId, answer: &Arc<StoredAnswer>) -> Vec<RequestId> {
         if answer.body.len() > MAX_STORED_BODY_BYTES {
             return Vec::new();
@@ -213,7 +213,7 @@
         waiters
     }
 
-    /// Takes a waiting request out, whose caller or deadline is gone.
+    /// Removes a waiting request whose caller has disconnected or whose deadline has passed.
     pub fn remove_waiter(&mut self, customer: &Name, key: &Name, request: RequestId) {
         let id = (customer.clone(), key.clone());
         if let Some(State::InFlight { waiters }) =
@@ -238,10 +238,10 @@
         waiters
     }
 
-    /// Returns what a successor needs to know, the newest keys first.
+    /// Returns the keys to hand over to a successor, the newest first.
     ///
-    /// A key whose first is still in flight is handed over without an answer:
-    /// the successor can't know the outcome.
+    /// A key whose original is still in flight is handed over without an
+    /// answer, because the successor can't know the outcome.
     pub fn hand_over(&self, now: Time) -> Vec<KeyHandOver> {
         let mut records: Vec<_> = self.records.iter().collect();
         records.sort_by_key(|(_, record)| std::cmp::Reverse(record.serial));
@@ -264,18 +264,18 @@
         keys
     }
 
-    /// Takes what a predecessor knew; what is on record here stays.
+    /// Adds the keys of a predecessor; existing records are kept.
     pub fn on_hand_over(&mut self, now: Time, keys: &[KeyHandOver]) {
-        for handed in keys.iter().rev() {
-            let id = (handed.customer.clone(), handed.key.clone());
+        for key in keys.iter().rev() {
+            let id = (key.customer.clone(), key.key.clone());
             if self.records.contains_key(&id) {
                 continue;
             }
             if self.records.len() >= self.settings.max_keys && !self.evict_oldest() {
                 return;
             }
-            let state = handed.answer.clone().map_or(State::OutcomeUnknown, State::Stored);
-            let received_at = now.before(Duration::from_millis(handed.age_ms));
+            let state = key.answer.clone().map_or(State::OutcomeUnknown, State::Stored);
+            let received_at = now.before(Duration::from_millis(key.age_ms));
             self.insert_finished(received_at, id, state);
         }
         self.evict_bodies();
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Forgets the oldest finished key and returns whether there was one.
+    /// Evicts the oldest finished key and returns whether there was one.
     fn evict_oldest(&mut self) -> bool {
         while let Some((id, serial)) = self.finished.pop_front() {
             if self.records.get(&id).is_none_or(|record| record.serial != serial) {
--- a/crates/pistachiotrack-core/src/lib.rs
+++ b/crates/pistachiotrack-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of the pistachiotrack proxy fleet, without any input or output.
+//! Decision logic of the pistachiotrack proxy fleet, without I/O.
 //!
-//! Every part is a plain struct that takes typed events together with a
+//! Each component is a plain struct that takes typed events together with a
 //! monotonic [`time::Time`] and returns typed actions. Nothing here opens a
-//! socket, reads a clock or starts a thread, so the daemon, the fault matrix,
-//! the fuzzers and the experiments all run the same code.
+//! socket, reads a clock or starts a thread, so that the daemon, the fault
+//! injection tests, the fuzzers and the experiments all run the same code.
 
 pub mod admin;
 pub mod admission;
--- a/crates/pistachiotrack-core/src/refusal.rs
+++ b/crates/pistachiotrack-core/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: what the fleet says when it does not pass on an answer.
+//! Refusals: responses of the fleet itself when there is no answer to pass on.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,9 +9,9 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Execution {
     /// The request was not run: no byte of it could have reached an endpoint,
-    /// or the endpoint itself refused it unrun.
+    /// or the endpoint refused it without running it.
     NotRun,
-    /// The request may have been run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -31,27 +31,27 @@
 pub enum Reason {
     /// The queue is full.
     QueueFull,
-    /// The expected wait passes the deadline.
+    /// The expected wait exceeds the deadline.
     WaitTooLong,
     /// The deadline passed.
     DeadlinePassed,
-    /// A rule refused it, or no rule matched.
+    /// A rule refused the request, or no rule matched.
     Rule,
     /// The VM has no configuration yet.
     NoConfig,
     /// No endpoint could be reached.
     NoEndpoint,
-    /// The endpoint's answer did not come or was broken off.
+    /// The endpoint's answer didn't arrive or was incomplete.
     AnswerLost,
-    /// A repeat whose first run is not on record.
+    /// A repeat without a record of the original request.
     NoRecord,
-    /// A duplicate of a request whose answer is no longer held.
+    /// A duplicate of a request whose answer isn't stored.
     Duplicate,
-    /// The request was malformed or over a limit.
+    /// The request was malformed or exceeded a limit.
     BadRequest,
-    /// The process was paused past the moment at which sending was safe.
+    /// The process was paused for so long that sending was no longer safe.
     Paused,
-    /// Endpoints end under such a request.
+    /// Endpoints crash while running the request.
     CrashesEndpoints,
 }
 
@@ -91,21 +91,21 @@
     }
 }
 
-/// What a decision says of a request that it refuses.
+/// Decision to refuse a request.
 ///
-/// It is the decision's own knowledge; what the caller is told also depends on the copies
-/// that were sent (see [`crate::copies`]).
+/// The refusal that the caller gets also depends on the copies that were sent (see
+/// [`crate::copies`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusalDecision {
     /// Whether the request may have run.
     pub execution: Execution,
     /// Why it was refused.
     pub reason: Reason,
-    /// When the caller may ask again.
+    /// Time after which the caller may retry.
     pub retry_after_ms: Option<u64>,
 }
 
-/// A refusal as the caller is told of it.
+/// A refusal as sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     execution: Execution,
@@ -125,7 +125,7 @@
         Refusal { execution, reason, retry_after_ms, decided_by: None, sent }
     }
 
-    /// Names another VM that decided on it.
+    /// Sets the other VM that decided to refuse.
     #[must_use]
     pub fn decided_by(self, vm: Name) -> Refusal {
         Refusal { decided_by: Some(vm), ..self }
@@ -141,12 +141,12 @@
         self.reason
     }
 
-    /// Returns when the caller may ask again.
+    /// Returns the time after which the caller may retry.
     pub fn retry_after_ms(&self) -> Option<u64> {
         self.retry_after_ms
     }
 
-    /// Returns the VM that decided, if it was another one.
+    /// Returns the VM that decided to refuse, if it was another one.
     pub fn decider(&self) -> Option<&Name> {
         self.decided_by.as_ref()
     }
--- a/crates/pistachiotrack-core/src/request.rs
+++ b/crates/pistachiotrack-core/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests and attempts as the decisions see them.
+//! Requests, attempts and their outcomes.
 
 use std::time::Duration;
 
@@ -14,18 +14,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId(pub u64);
 
-/// Priority of a request; the first is served first.
+/// Priority class of a request, the most urgent first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// A person waits.
+    /// A person is waiting for the answer.
     Interactive,
     /// The default.
     #[default]
     Standard,
-    /// Nobody waits.
+    /// Nobody is waiting for the answer.
     Batch,
 }
 
@@ -51,61 +51,61 @@
 /// Lowest HTTP status that is a failure of the endpoint.
 pub const FIRST_FAILURE_STATUS: u16 = 500;
 
-/// Endpoints that a request may be sent to where its rule doesn't say.
+/// Default number of endpoints that a request may be sent to, unless its rule sets one.
 pub const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 
-/// A request that wants to be dispatched by the shard's owner.
+/// A request to be dispatched by the owner of its shard.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Identity within the process.
+    /// Identifier within the process.
     pub id: RequestId,
-    /// Customer that pays for it.
+    /// Customer that the request belongs to.
     pub customer: Name,
     /// Priority.
     pub class: Class,
-    /// Moment after which the answer is of no use.
+    /// Time after which the answer is of no use.
     pub deadline: Time,
     /// Whether it may be run more than once.
     pub idempotent: bool,
-    /// Whether a second endpoint may be asked when the first is slow.
+    /// Whether a hedge may be sent to a second endpoint when the first is slow.
     pub hedge: bool,
-    /// Endpoints that it may be sent to, one after the other or side by side.
+    /// Maximum number of endpoints it may be sent to, in sequence or in parallel.
     pub max_attempts: u32,
     /// Idempotency key given by the caller.
     pub key: Option<Name>,
-    /// Whether the caller says that it sent this request before and does not
-    /// know the outcome.
+    /// Whether the caller marked it as a repeat of a request whose outcome it
+    /// doesn't know.
     pub repeat: bool,
 }
 
-/// What the connection of a dispatch must be like.
+/// Requirement for the connection of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionChoice {
     /// A pooled connection may be used.
     Any,
-    /// A pooled connection may be used only if it has answered lately.
+    /// A pooled connection may be used only if it answered recently.
     RecentlyUsed,
     /// A new connection is opened.
     Fresh,
 }
 
-/// How an attempt ended, or how its answer began.
+/// Outcome of an attempt, or the head of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint began its answer; the status may still be a failure.
+    /// The endpoint sent the head of an answer; the status may be a failure.
     Answered {
         /// HTTP status.
         status: u16,
         /// Whether the connection was new.
         fresh_connection: bool,
     },
-    /// The endpoint refused and says that it did not run the request.
+    /// The endpoint refused the request and reported that it did not run it.
     Shed,
     /// No connection could be opened; nothing was sent.
     ConnectFailed,
-    /// Another endpoint has the address; it got the request and did not run it.
+    /// Another endpoint has the address now; it received the request and did not run it.
     Misdirected,
-    /// The process gave up before the first byte was written (pause, deadline).
+    /// The attempt was abandoned before the first byte was written (pause, deadline).
     NotSent,
     /// The connection broke or was reset after bytes may have been sent.
     Broken {
@@ -117,8 +117,8 @@
         /// Whether the connection was new.
         fresh_connection: bool,
     },
-    /// The witness that the request went through did not do its part, which
-    /// says nothing about the endpoint.
+    /// The VM that relayed the request failed, which is no evidence about the
+    /// endpoint.
     WitnessFailed {
         /// Whether bytes may have been sent to the endpoint.
         sent: bool,
@@ -141,14 +141,14 @@
     }
 }
 
-/// What an endpoint reports about itself in its answers; a hint only.
+/// Load and state that an endpoint reports in its answers; a hint only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointReport {
-    /// Requests that the endpoint says it is working on.
+    /// Number of requests in flight at the endpoint.
     pub in_flight: Option<u32>,
-    /// Whether the endpoint says that it is leaving.
+    /// Whether the endpoint is draining.
     pub draining: bool,
-    /// Requests a second that it takes from all VMs together, if it names a limit.
+    /// Requests per second that it accepts from all VMs together, if it announces a limit.
     pub rate_limit: Option<RateLimit>,
 }
 
@@ -159,11 +159,11 @@
     Complete,
     /// The body was cut short.
     Truncated,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// Time that a request has left, never negative.
+/// Returns the time left until a request's deadline, or zero if it has passed.
 pub fn remaining(deadline: Time, now: Time) -> Duration {
     deadline.since(now)
 }
--- a/crates/pistachiotrack-core/src/retry.rs
+++ b/crates/pistachiotrack-core/src/retry.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries and hedges, and the latencies they are judged by.
+//! Budgets of retries and hedges, and the latency statistics that they are based on.
 
 mod fleet_retry_budget;
 
@@ -14,28 +14,28 @@
 /// Settings of a retry budget.
 #[derive(Clone, Debug)]
 pub struct BudgetSettings {
-    /// Retries earned by one successful request.
+    /// Retries earned per successful request.
     pub per_success: f64,
-    /// Retries earned per second whatever the successes.
+    /// Retries earned per second, regardless of successes.
     pub per_second: f64,
-    /// Retries that can be saved up.
+    /// Maximum number of retries that can be accumulated.
     pub burst: f64,
 }
 
-/// Part of a limit that an owner uses, so that it and its successor stay within it.
-const LIMIT_PART: f64 = 0.75;
-/// Part of a window's slack that may be spent at once.
-const BURST_PART: f64 = 0.8;
+/// Fraction of a limit that an owner uses, so that it and its successor together stay within it.
+const LIMIT_FRACTION: f64 = 0.75;
+/// Fraction of a window's slack that may be spent at once.
+const BURST_FRACTION: f64 = 0.8;
 
 impl BudgetSettings {
-    /// Returns settings that keep a single sender within a limit.
+    /// Returns settings that keep a single owner within a limit.
     pub fn within(limit: RetryLimit) -> BudgetSettings {
-        let slack = f64::from(limit.slack) * LIMIT_PART;
+        let slack = f64::from(limit.slack) * LIMIT_FRACTION;
         let window_s = Duration::from_millis(limit.window_ms.max(1)).as_secs_f64();
         BudgetSettings {
-            per_success: limit.ratio * LIMIT_PART,
-            per_second: slack * (1.0 - BURST_PART) / window_s,
-            burst: (slack * BURST_PART).max(1.0),
+            per_success: limit.ratio * LIMIT_FRACTION,
+            per_second: slack * (1.0 - BURST_FRACTION) / window_s,
+            burst: (slack * BURST_FRACTION).max(1.0),
         }
     }
 }
@@ -46,46 +46,45 @@
     }
 }
 
-/// A token bucket that successful work fills and retries and hedges empty.
+/// Token bucket that is filled by successful requests and drained by retries and hedges.
 ///
-/// A sick service would otherwise see every request several times, which
-/// shows as load that grows while answers become fewer. Since only answers
-/// fill the bucket, the extra load stays a fixed part of the work done.
+/// Without it, a failing service would get every request several times, which shows as load that
+/// grows while fewer requests are answered. As the bucket is filled by answers, the additional
+/// load stays a fixed fraction of the successful requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: BudgetSettings,
     tokens: f64,
-    filled_at: Time,
+    refilled_at: Time,
 }
 
 impl RetryBudget {
     /// Creates a full budget.
     pub fn new(now: Time, settings: BudgetSettings) -> RetryBudget {
-        RetryBudget { tokens: settings.burst, settings, filled_at: now }
+        RetryBudget { tokens: settings.burst, settings, refilled_at: now }
     }
 
-    /// Changes the settings; what was saved up stays within the new burst.
+    /// Changes the settings; accumulated retries are capped at the new burst.
     pub fn set_settings(&mut self, settings: BudgetSettings) {
         self.tokens = self.tokens.min(settings.burst);
         self.settings = settings;
     }
 
-    /// Notes a successful request.
+    /// Records a successful request.
     pub fn on_success(&mut self) {
         self.tokens = (self.tokens + self.settings.per_success).min(self.settings.burst);
     }
 
-    /// Takes a retry that only saves time, as a hedge does, and returns whether
-    /// there was one to spare: half of the burst is left to retries that save a
-    /// request.
+    /// Takes a retry for a hedge, which only saves time, and returns whether there was one: half
+    /// of the burst is reserved for retries of failed requests.
     pub fn take_for_hedge(&mut self, now: Time) -> bool {
-        self.fill(now);
+        self.refill(now);
         self.tokens > self.settings.burst / 2.0 && self.take(now)
     }
 
     /// Takes one retry from the budget and returns whether there was one.
     pub fn take(&mut self, now: Time) -> bool {
-        self.fill(now);
+        self.refill(now);
         if self.tokens < 1.0 {
             return false;
         }
@@ -93,26 +92,26 @@
         true
     }
 
-    fn fill(&mut self, now: Time) {
-        let earned = now.since(self.filled_at).as_secs_f64() * self.settings.per_second;
-        self.filled_at = now;
+    fn refill(&mut self, now: Time) {
+        let earned = now.since(self.refilled_at).as_secs_f64() * self.settings.per_second;
+        self.refilled_at = now;
         self.tokens = (self.tokens + earned).min(self.settings.burst);
     }
 }
 
-/// Samples after which a window of latencies is closed.
+/// Number of samples in a window.
 const WINDOW_SAMPLES: u64 = 512;
-/// Samples needed before a percentile is given.
+/// Minimum number of samples for a percentile.
 const MIN_SAMPLES: u64 = 20;
-/// Samples after which the percentile is worked out anew.
+/// Number of samples after which the percentile is recomputed.
 const REFRESH_SAMPLES: u64 = 16;
-/// Largest latency that is told apart from larger ones.
+/// Upper bound of the histogram; larger latencies are counted as this one.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Recent times to the head of good answers.
+/// Recent times to the response head of successful requests.
 ///
-/// Two windows are kept so that the percentile always rests on between one
-/// and two windows of recent samples.
+/// Two windows are kept, so that the percentile is always based on between one and two windows
+/// of recent samples.
 #[derive(Clone, Debug)]
 pub struct RecentLatency {
     current: Histogram<u64>,
@@ -127,7 +126,7 @@
 }
 
 impl RecentLatency {
-    /// Notes the latency of a good answer.
+    /// Records the latency of a successful request.
     pub fn record(&mut self, latency: Duration) {
         self.current.saturating_record((latency.as_micros() as u64).clamp(1, MAX_LATENCY_US));
         if self.current.len().is_multiple_of(REFRESH_SAMPLES) || self.p95.is_none() {
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Returns the 95th percentile, if enough samples are known.
+    /// Returns the 95th percentile, if there are enough samples.
     pub fn p95(&self) -> Option<Duration> {
         self.p95
     }
@@ -147,9 +146,9 @@
         if self.current.len() + self.previous.len() < MIN_SAMPLES {
             return;
         }
-        let mut both = self.previous.clone();
-        if both.add(&self.current).is_ok() {
-            self.p95 = Some(Duration::from_micros(both.value_at_quantile(0.95)));
+        let mut merged = self.previous.clone();
+        if merged.add(&self.current).is_ok() {
+            self.p95 = Some(Duration::from_micros(merged.value_at_quantile(0.95)));
         }
     }
 }
@@ -161,25 +160,25 @@
     Histogram::new_with_bounds(1, MAX_LATENCY_US, 2).expect("constant bounds are valid")
 }
 
-/// Weight of a new sample of the usual service time.
-const USUAL_WEIGHT: f64 = 0.1;
+/// Weight of a new sample in the moving average.
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Moving average of how long a request holds its slot.
+/// Exponential moving average of the time for which a request occupies its slot.
 #[derive(Clone, Debug, Default)]
 pub struct SlotTimeAverage {
     micros: Option<f64>,
 }
 
 impl SlotTimeAverage {
-    /// Starts from an average that is already known.
-    pub fn seed(&mut self, usual: Duration) {
-        self.micros = Some(usual.as_micros() as f64);
+    /// Sets the average to a known value.
+    pub fn seed(&mut self, average: Duration) {
+        self.micros = Some(average.as_micros() as f64);
     }
 
-    /// Notes how long a request held its slot.
-    pub fn record(&mut self, held: Duration) {
-        let sample = held.as_micros() as f64;
-        let micros = self.micros.map_or(sample, |old| old + (sample - old) * USUAL_WEIGHT);
+    /// Records the time for which a request occupied its slot.
+    pub fn record(&mut self, slot_time: Duration) {
+        let sample = slot_time.as_micros() as f64;
+        let micros = self.micros.map_or(sample, |old| old + (sample - old) * SAMPLE_WEIGHT);
         self.micros = Some(micros);
     }
 
--- a/crates/pistachiotrack-core/src/retry/fleet_retry_budget.rs
+++ b/crates/pistachiotrack-core/src/retry/fleet_retry_budget.rs
@@ -1,8 +1,8 @@
-//! A limit of retries that the dispatchers of a service keep together.
+//! Retry limit that is shared by the dispatchers of a service.
 //!
-//! Each dispatcher tells the others how much it has sent, so that each knows what
-//! all of them have left. Dividing the limit instead leaves most of it unused:
-//! failures come in bursts, at one VM more than at another.
+//! Each dispatcher reports to the others how much it has sent, so that each can compute how
+//! many retries remain for all of them. Dividing the limit among them instead would leave most
+//! of it unused, because failures come in bursts and not evenly at all VMs.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,35 +11,34 @@
 
 use crate::{name::Name, service::RetryLimit, time::Time};
 
-/// Steps into which a window is divided; one more is kept, so that a whole window
-/// is covered at any moment.
+/// Steps into which a window is divided; one more is kept, so that a whole window is covered
+/// at any time.
 const STEPS: usize = 20;
-/// Part of the slack that dispatchers use that know the last window. The rest is
-/// for what they don't know yet: two that take the last retry at the same moment,
-/// datagrams on their way, and those that have just begun.
-const INFORMED_PART: f64 = 0.75;
-/// The same for dispatchers that don't know it, as when all VMs have just restarted.
-/// Two restarts of all VMs in one window stay within the slack.
-const UNINFORMED_PART: f64 = 0.1;
-/// Part of the slack below which what is left is shared out. A burst of failures may
-/// take what is above: shared out always, retries come too late where endpoints fail in
-/// bursts.
-const SHARED_OUT_PART: f64 = 0.6;
-/// Time since its last retry for which another VM counts as one that needs more.
-const IN_NEED_TIME: Duration = Duration::from_secs(2);
-/// Time for which a VM's share of what is left lasts: over twice as long as news are on
-/// their way where a link is full, so that VMs which all need retries don't take the same
-/// ones.
-const SHARE_TIME: Duration = Duration::from_secs(1);
-/// Windows without a word after which a VM is forgotten.
-const FORGOTTEN_AFTER_WINDOWS: u32 = 10;
-
-/// Requests and retries that were sent to endpoints.
+/// Fraction of the slack used by dispatchers that know the whole last window. The rest covers
+/// what they don't know yet: two VMs taking the last retry at the same moment, datagrams in
+/// transit, and dispatchers that have just started.
+const SLACK_FRACTION: f64 = 0.75;
+/// Fraction of the slack used by dispatchers that don't know the whole last window, as after a
+/// restart of all VMs. Two restarts of all VMs in one window stay within the slack.
+const UNKNOWN_WINDOW_SLACK_FRACTION: f64 = 0.1;
+/// Fraction of the slack below which the remaining retries are divided among the VMs that need
+/// some. Above it, a burst of failures at one VM may take any number: if retries were always
+/// divided, they would come too late when endpoints fail in bursts.
+const DIVIDE_BELOW_FRACTION: f64 = 0.6;
+/// Time after its last retry during which another VM counts as needing more retries.
+const RETRY_DEMAND_TIME: Duration = Duration::from_secs(2);
+/// Time for which a VM's allowance is valid: over twice the delay of an update on a saturated
+/// link, so that VMs that need retries at the same time don't take the same ones.
+const ALLOWANCE_TIME: Duration = Duration::from_secs(1);
+/// Number of windows without an update after which a VM is removed.
+const PEER_EXPIRY_WINDOWS: u32 = 10;
+
+/// Number of requests and retries sent to endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SendCounts {
-    /// Requests, each counted when it is sent for the first time.
+    /// Requests, each counted once, when it is first sent.
     pub requests: u64,
-    /// Times that a request was sent once more.
+    /// Number of times a request was sent again.
     pub retries: u64,
 }
 
@@ -66,263 +65,263 @@
     }
 }
 
-/// All that a VM has sent as a dispatcher.
+/// Total counts of what a VM has sent as a dispatcher.
 ///
-/// Totals instead of differences: a datagram that is lost is made up by the next.
+/// Totals are sent instead of differences, so that the next datagram makes up for a lost one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CumulativeCounts {
-    /// Number that tells this count from one that the VM began anew.
+    /// Random identifier of the count; it differs when the VM restarts its count.
     pub count_id: u32,
-    /// What was sent.
+    /// Requests and retries sent.
     pub sent: SendCounts,
 }
 
-/// What is known of another VM.
+/// Last counts reported by another VM.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     total: CumulativeCounts,
-    heard_at: Time,
-    /// Moment of the last word of a retry.
+    last_update_at: Time,
+    /// Time of the last update with a new retry.
     retried_at: Option<Time>,
 }
 
-/// Which of a service's dispatchers a VM sees.
+/// The dispatchers of a service that are visible to a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VisibleDispatchers {
-    /// Dispatchers that this VM believes alive.
+    /// Number of dispatchers that this VM considers alive.
     pub count: u32,
     /// Whether this VM is one of them.
     pub is_member: bool,
 }
 
-/// The part of a limit of retries that one VM may use now.
+/// Retry budget of one VM under a limit that all VMs share.
 ///
-/// Failure guarded against: all VMs together send more retries than the endpoints
-/// can bear. It shows as load that grows while answers become fewer. The guard
-/// holds because each retry of a dispatcher is counted by all of them against one
-/// limit; a VM that is no dispatcher, which others don't hear of, earns each retry
-/// by its own requests; one that is cut off sees fewer dispatchers than there should be
-/// and takes the less of the slack; and while several need retries, each takes its share
-/// of what is left at a time, as the others may just have taken theirs.
+/// Failure guarded against: all VMs together send more retries than the endpoints can handle
+/// (retry storm). It shows as load that grows while fewer requests are answered. The guard
+/// holds because all dispatchers count each other's retries against one limit; a VM that is no
+/// dispatcher, and whose retries the others don't count, earns each retry by its own requests;
+/// a VM that is partitioned off sees fewer dispatchers than expected and uses less of the
+/// slack; and while several VMs need retries, each takes only an allowance of the remaining
+/// ones at a time, as the others may just have taken theirs.
 #[derive(Clone, Debug)]
 pub struct FleetRetryBudget {
     limit: RetryLimit,
-    /// Dispatchers that there should be.
+    /// Expected number of dispatchers.
     expected: u32,
-    in_view: VisibleDispatchers,
-    /// Whether this VM became a dispatcher later than it began to count.
-    is_late: bool,
-    /// What this VM has sent as a dispatcher.
+    visible: VisibleDispatchers,
+    /// Whether this VM became a dispatcher after the budget was created.
+    joined_late: bool,
+    /// Counts of this VM as a dispatcher.
     total: CumulativeCounts,
     peers: FxHashMap<Name, Peer>,
-    /// What this VM has sent in the window while it was no dispatcher.
-    apart: SentWindow,
-    /// What all dispatchers are known to have sent in the window.
-    all: SentWindow,
-    /// Moment from which on `all` covers a whole window.
-    informed_at: Time,
-    began_at: Time,
-    share: Share,
-    /// Whether what is left is shared out while several need some.
+    /// Counts of this VM in the last window while it was no dispatcher.
+    non_dispatcher_window: SlidingWindow,
+    /// Known counts of all dispatchers in the last window.
+    fleet_window: SlidingWindow,
+    /// Time from which on `fleet_window` covers a whole window.
+    window_known_at: Time,
+    created_at: Time,
+    allowance: Allowance,
+    /// Whether the remaining retries are divided while several VMs need some.
     divides_remaining: bool,
 }
 
-/// What a VM may take of the retries that are left, for a short time.
+/// Part of the remaining retries that a VM may take within a short time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Share {
-    left: f64,
-    until: Time,
+struct Allowance {
+    remaining: f64,
+    valid_until: Time,
 }
 
 impl FleetRetryBudget {
-    /// Creates a budget that knows of nothing sent so far.
+    /// Creates a budget without any counts.
     ///
     /// `count_id` is a random number.
     pub fn new(now: Time, limit: RetryLimit, expected: u32, count_id: u32) -> FleetRetryBudget {
         FleetRetryBudget {
             limit,
             expected,
-            in_view: VisibleDispatchers::default(),
-            is_late: false,
+            visible: VisibleDispatchers::default(),
+            joined_late: false,
             total: CumulativeCounts { count_id, sent: SendCounts::default() },
             peers: FxHashMap::default(),
-            apart: SentWindow::new(now, limit),
-            all: SentWindow::new(now, limit),
-            informed_at: now + window(limit),
-            began_at: now,
-            share: Share::default(),
+            non_dispatcher_window: SlidingWindow::new(now, limit),
+            fleet_window: SlidingWindow::new(now, limit),
+            window_known_at: now + window(limit),
+            created_at: now,
+            allowance: Allowance::default(),
             divides_remaining: true,
         }
     }
 
-    /// Returns the number of dispatchers that there should be.
+    /// Returns the expected number of dispatchers.
     pub fn expected(&self) -> u32 {
         self.expected
     }
 
-    /// Sets whether retries that are left are shared out.
+    /// Sets whether the remaining retries are divided among VMs that need some.
     pub fn set_divides_remaining(&mut self, divides_remaining: bool) {
         self.divides_remaining = divides_remaining;
     }
 
-    /// Takes a limit and the number of dispatchers that there should be.
+    /// Sets the limit and the expected number of dispatchers.
     pub fn configure(&mut self, now: Time, limit: RetryLimit, expected: u32) {
         if window(limit) != window(self.limit) {
-            self.apart = SentWindow::new(now, limit);
-            self.all = SentWindow::new(now, limit);
-            self.informed_at = now + window(limit);
+            self.non_dispatcher_window = SlidingWindow::new(now, limit);
+            self.fleet_window = SlidingWindow::new(now, limit);
+            self.window_known_at = now + window(limit);
         }
         self.limit = limit;
         self.expected = expected;
     }
 
-    /// Takes which dispatchers this VM sees; returns whether it has just become one
-    /// and has to ask the others for a picture.
-    pub fn set_visible_dispatchers(&mut self, now: Time, in_view: VisibleDispatchers) -> bool {
-        let begins = in_view.is_member && !self.in_view.is_member;
-        if begins {
-            self.informed_at = now + window(self.limit);
-            self.is_late = now > self.began_at;
+    /// Sets the visible dispatchers; returns whether this VM has just become a dispatcher and
+    /// must request a snapshot from another one.
+    pub fn set_visible_dispatchers(&mut self, now: Time, visible: VisibleDispatchers) -> bool {
+        let becomes_dispatcher = visible.is_member && !self.visible.is_member;
+        if becomes_dispatcher {
+            self.window_known_at = now + window(self.limit);
+            self.joined_late = now > self.created_at;
         }
-        self.in_view = in_view;
-        begins
+        self.visible = visible;
+        becomes_dispatcher
     }
 
-    /// Notes a request that is sent for the first time.
+    /// Records the first sending of a request.
     pub fn on_request(&mut self, now: Time) {
-        self.note(now, SendCounts { requests: 1, retries: 0 });
+        self.record(now, SendCounts { requests: 1, retries: 0 });
     }
 
-    /// Notes a retry that is sent whatever the limit.
+    /// Records a retry that is sent regardless of the limit.
     pub fn record_retry(&mut self, now: Time) {
-        self.note(now, SendCounts { requests: 0, retries: 1 });
+        self.record(now, SendCounts { requests: 0, retries: 1 });
     }
 
     /// Takes one retry from the budget and returns whether there was one.
     pub fn take(&mut self, now: Time) -> bool {
-        let (allowed, spent) = self.state(now);
-        let is_left = spent + 1.0 <= allowed && self.take_share(now, allowed - spent);
-        if is_left {
+        let (allowed, spent) = self.usage(now);
+        let is_available = spent + 1.0 <= allowed && self.take_from_allowance(now, allowed - spent);
+        if is_available {
             self.record_retry(now);
         }
-        is_left
+        is_available
     }
 
-    /// Takes one retry from this VM's share of what is left, if others need some too.
-    fn take_share(&mut self, now: Time, left: f64) -> bool {
-        let is_in_need = |peer: &&Peer| {
-            peer.retried_at.is_some_and(|retried_at| now.since(retried_at) < IN_NEED_TIME)
+    /// Takes one retry from this VM's allowance if few retries remain and others need some too.
+    fn take_from_allowance(&mut self, now: Time, remaining: f64) -> bool {
+        let needs_retries = |peer: &&Peer| {
+            peer.retried_at.is_some_and(|retried_at| now.since(retried_at) < RETRY_DEMAND_TIME)
         };
-        let others = self.peers.values().filter(is_in_need).count();
-        let is_plenty =
-            !self.divides_remaining || left >= f64::from(self.limit.slack) * SHARED_OUT_PART;
-        if is_plenty || others == 0 || !self.in_view.is_member {
+        let others = self.peers.values().filter(needs_retries).count();
+        let is_ample = !self.divides_remaining
+            || remaining >= f64::from(self.limit.slack) * DIVIDE_BELOW_FRACTION;
+        if is_ample || others == 0 || !self.visible.is_member {
             return true;
         }
-        if now >= self.share.until {
-            // A share below one retry is added to the next, or nobody would take any.
-            let kept = self.share.left.min(1.0);
-            let part = left / (others + 1) as f64;
-            self.share = Share { left: kept + part, until: now + SHARE_TIME };
+        if now >= self.allowance.valid_until {
+            // An allowance below one retry is carried over, otherwise no VM could take any.
+            let carried_over = self.allowance.remaining.min(1.0);
+            let portion = remaining / (others + 1) as f64;
+            self.allowance =
+                Allowance { remaining: carried_over + portion, valid_until: now + ALLOWANCE_TIME };
         }
-        let is_left = self.share.left >= 1.0;
-        if is_left {
-            self.share.left -= 1.0;
+        let is_available = self.allowance.remaining >= 1.0;
+        if is_available {
+            self.allowance.remaining -= 1.0;
         }
-        is_left
+        is_available
     }
 
-    /// Takes a retry that only saves time and returns whether there was one to
-    /// spare: half of what is allowed is left to retries that save a request.
+    /// Takes a retry for a hedge, which only saves time, and returns whether there was one: half
+    /// of the allowed retries are reserved for retries of failed requests.
     pub fn take_for_hedge(&mut self, now: Time) -> bool {
-        let (allowed, spent) = self.state(now);
+        let (allowed, spent) = self.usage(now);
         spent + 1.0 <= allowed / 2.0 && self.take(now)
     }
 
-    /// Returns what this VM has to tell the others.
+    /// Returns the counts to report to the other VMs.
     pub fn total(&self) -> CumulativeCounts {
         self.total
     }
 
-    /// Takes what another VM tells.
+    /// Records the counts reported by another VM.
     ///
-    /// What a VM had sent before this one first hears of it is in the picture that
-    /// a dispatcher asks for when it begins.
+    /// Counts from before a VM's first report are part of the snapshot that a new dispatcher
+    /// requests.
     pub fn on_peer_counts(&mut self, now: Time, from: &Name, total: CumulativeCounts) {
         let known = self.peers.get(from).map(|peer| peer.total);
-        let (news, total) = match known {
+        let (added, total) = match known {
             None => (SendCounts::default(), total),
             Some(known) if known.count_id != total.count_id => (total.sent, total),
-            // A datagram that was overtaken brings smaller totals and nothing new.
+            // A reordered datagram has smaller totals and adds nothing.
             Some(known) => {
                 let sent = total.sent.max(known.sent);
                 (sent.minus(known.sent), CumulativeCounts { sent, ..total })
             }
         };
-        self.all.note(now, news);
+        self.fleet_window.record(now, added);
         let retried_before = self.peers.get(from).and_then(|peer| peer.retried_at);
-        let retried_at = if news.retries > 0 { Some(now) } else { retried_before };
-        let peer = Peer { total, heard_at: now, retried_at };
+        let retried_at = if added.retries > 0 { Some(now) } else { retried_before };
+        let peer = Peer { total, last_update_at: now, retried_at };
         match self.peers.get_mut(from) {
             Some(known) => *known = peer,
             None => self.add_peer(now, from.clone(), peer),
         }
     }
 
-    /// Returns what all dispatchers have sent in the last window, newest step
-    /// first; nothing if this VM doesn't know.
+    /// Returns the counts of all dispatchers in the last window, newest step first; empty if
+    /// this VM doesn't know the whole window.
     pub fn history(&mut self, now: Time) -> Vec<SendCounts> {
-        if !self.is_informed(now) {
+        if !self.is_window_known(now) {
             return Vec::new();
         }
-        self.all.advance(now);
-        self.all.steps.iter().copied().collect()
+        self.fleet_window.advance(now);
+        self.fleet_window.steps.iter().copied().collect()
     }
 
-    /// Takes what another VM knows of the last window.
+    /// Merges another VM's counts of the last window.
     pub fn on_history(&mut self, now: Time, history: &[SendCounts]) {
-        if history.is_empty() || !self.in_view.is_member {
+        if history.is_empty() || !self.visible.is_member {
             return;
         }
-        self.all.merge(now, history);
-        self.informed_at = self.informed_at.min(now);
+        self.fleet_window.merge(now, history);
+        self.window_known_at = self.window_known_at.min(now);
     }
 
-    /// Adds a VM, and forgets those that have been silent for long: names change with
-    /// every VM that is replaced.
+    /// Adds a VM and removes those without recent updates, since replaced VMs get new names.
     fn add_peer(&mut self, now: Time, name: Name, peer: Peer) {
-        let forgotten_after = window(self.limit) * FORGOTTEN_AFTER_WINDOWS;
-        self.peers.retain(|_, known| now.since(known.heard_at) < forgotten_after);
+        let expiry = window(self.limit) * PEER_EXPIRY_WINDOWS;
+        self.peers.retain(|_, known| now.since(known.last_update_at) < expiry);
         self.peers.insert(name, peer);
     }
 
-    fn note(&mut self, now: Time, sent: SendCounts) {
-        if !self.in_view.is_member {
-            return self.apart.note(now, sent);
+    fn record(&mut self, now: Time, sent: SendCounts) {
+        if !self.visible.is_member {
+            return self.non_dispatcher_window.record(now, sent);
         }
-        self.all.note(now, sent);
+        self.fleet_window.record(now, sent);
         self.total.sent = self.total.sent.plus(sent);
     }
 
-    fn is_informed(&self, now: Time) -> bool {
-        self.in_view.is_member && now >= self.informed_at
+    fn is_window_known(&self, now: Time) -> bool {
+        self.visible.is_member && now >= self.window_known_at
     }
 
     /// Returns how many retries are allowed in a window and how many were sent.
-    fn state(&mut self, now: Time) -> (f64, f64) {
-        if !self.in_view.is_member {
-            let sent = self.apart.sum(now);
+    fn usage(&mut self, now: Time) -> (f64, f64) {
+        if !self.visible.is_member {
+            let sent = self.non_dispatcher_window.sum(now);
             return (self.earned(sent), sent.retries as f64);
         }
-        // One VM after the other may take another's place; each would add its part.
-        let part = match (self.is_informed(now), self.is_late) {
-            (true, _) => INFORMED_PART,
-            (false, false) => UNINFORMED_PART,
+        // VMs may replace each other one after the other, and each would add its own slack.
+        let fraction = match (self.is_window_known(now), self.joined_late) {
+            (true, _) => SLACK_FRACTION,
+            (false, false) => UNKNOWN_WINDOW_SLACK_FRACTION,
             (false, true) => 0.0,
         };
-        let in_view = f64::from(self.in_view.count) / f64::from(self.expected.max(1));
-        let slack = f64::from(self.limit.slack) * part * in_view.min(1.0);
-        let sent = self.all.sum(now);
+        let visible_ratio = f64::from(self.visible.count) / f64::from(self.expected.max(1));
+        let slack = f64::from(self.limit.slack) * fraction * visible_ratio.min(1.0);
+        let sent = self.fleet_window.sum(now);
         (self.earned(sent) + slack, sent.retries as f64)
     }
 
@@ -331,33 +330,33 @@
     }
 }
 
-/// What was sent in the last window.
+/// Sliding window of counts.
 #[derive(Clone, Debug)]
-struct SentWindow {
+struct SlidingWindow {
     step: Duration,
     /// Newest first.
     steps: VecDeque<SendCounts>,
-    newest_began_at: Time,
+    newest_started_at: Time,
 }
 
-impl SentWindow {
-    fn new(now: Time, limit: RetryLimit) -> SentWindow {
-        SentWindow {
+impl SlidingWindow {
+    fn new(now: Time, limit: RetryLimit) -> SlidingWindow {
+        SlidingWindow {
             step: window(limit) / STEPS as u32,
             steps: VecDeque::from(vec![SendCounts::default(); STEPS + 1]),
-            newest_began_at: now,
+            newest_started_at: now,
         }
     }
 
-    fn note(&mut self, now: Time, sent: SendCounts) {
+    fn record(&mut self, now: Time, sent: SendCounts) {
         self.advance(now);
         if let Some(newest) = self.steps.front_mut() {
             *newest = newest.plus(sent);
         }
     }
 
-    /// Returns the retries of a whole window or a little more, and the requests of a
-    /// whole window or a little less.
+    /// Returns the retries of slightly more than a window and the requests of slightly less, so
+    /// that errors are on the safe side.
     fn sum(&mut self, now: Time) -> SendCounts {
         self.advance(now);
         let sum = self.steps.iter().copied().fold(SendCounts::default(), SendCounts::plus);
@@ -365,7 +364,7 @@
         SendCounts { requests: sum.requests.saturating_sub(oldest), ..sum }
     }
 
-    /// Takes what another VM has counted; a step may be off by one there.
+    /// Merges the counts of another VM, whose steps may be shifted by one.
     fn merge(&mut self, now: Time, others: &[SendCounts]) {
         self.advance(now);
         for (step, other) in self.steps.iter_mut().zip(others) {
@@ -374,15 +373,15 @@
     }
 
     fn advance(&mut self, now: Time) {
-        let mut passed = 0;
-        while now.since(self.newest_began_at) >= self.step && passed <= STEPS {
+        let mut elapsed_steps = 0;
+        while now.since(self.newest_started_at) >= self.step && elapsed_steps <= STEPS {
             self.steps.pop_back();
             self.steps.push_front(SendCounts::default());
-            self.newest_began_at += self.step;
-            passed += 1;
+            self.newest_started_at += self.step;
+            elapsed_steps += 1;
         }
-        if passed > STEPS {
-            self.newest_began_at = now;
+        if elapsed_steps > STEPS {
+            self.newest_started_at = now;
         }
     }
 }
--- a/crates/pistachiotrack-core/src/time.rs
+++ b/crates/pistachiotrack-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the decisions see it.
+//! Monotonic time, as passed to the decision logic.
 
 use std::{
     ops::{Add, AddAssign},
@@ -7,10 +7,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A moment on one process's monotonic clock, in microseconds since an
+/// A point in time on a process's monotonic clock, in microseconds since an
 /// arbitrary start.
 ///
-/// Values of two processes must not be compared.
+/// Values of different processes must not be compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,12 +20,12 @@
     /// The start of the clock.
     pub const ZERO: Time = Time(0);
 
-    /// Builds a time from microseconds since the start of the clock.
+    /// Creates a time from microseconds since the start of the clock.
     pub const fn from_micros(micros: u64) -> Time {
         Time(micros)
     }
 
-    /// Builds a time from milliseconds since the start of the clock.
+    /// Creates a time from milliseconds since the start of the clock.
     pub const fn from_millis(millis: u64) -> Time {
         Time(millis * 1000)
     }
@@ -45,7 +45,7 @@
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the moment `ago` earlier, at the earliest the clock's start.
+    /// Returns the time `ago` before this one, but not before the start of the clock.
     pub fn before(self, ago: Duration) -> Time {
         let ago_us = u64::try_from(ago.as_micros()).unwrap_or(u64::MAX);
         Time(self.0.saturating_sub(ago_us))
--- a/crates/pistachiotrack-core/src/vm.rs
+++ b/crates/pistachiotrack-core/src/vm.rs
@@ -8,8 +8,8 @@
 
 /// A VM of the fleet: one daemon with its addresses.
 ///
-/// A replaced VM may come back under the same name; `incarnation` tells the two
-/// apart and the larger one is the newer.
+/// A replaced VM may have the same name as the old one; `incarnation`
+/// distinguishes them, and the larger one is newer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Vm {
     /// Unique name.
@@ -23,15 +23,15 @@
     /// Address that other VMs use: TCP for forwarded requests, UDP for
     /// membership.
     pub peer_address: SocketAddr,
-    /// How much the VM can do, relative to the others: the lesser of its share of a
-    /// processor in percent and its link in Mbit/s.
+    /// Capacity relative to other VMs: the lesser of the VM's processor share in percent
+    /// and its link bandwidth in Mbit/s.
     pub capacity: u32,
 }
 
-/// Capacity of a VM that doesn't say.
+/// Capacity of a VM that doesn't report one.
 pub const DEFAULT_CAPACITY: u32 = 100;
 
-/// One line of the platform's list of VMs, which lags behind reality.
+/// Entry of the platform's list of VMs, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListedVm {
--- a/crates/pistachiotrack-core/tests/at_most_once.rs
+++ b/crates/pistachiotrack-core/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Stories of requests that must not be repeated.
+//! Requests that must run at most once.
 
 mod shard_support;
 
@@ -22,16 +22,16 @@
     })
 }
 
-// A booking's connection breaks after it was sent. The hearing may be booked;
-// sending it again could book it twice.
+// When the connection breaks after a booking was sent, the booking may have run and must not be
+// sent again.
 #[test]
-fn booking_is_not_sent_again_after_bytes_may_have_gone() {
-    let lost = [
+fn booking_is_not_retried_if_bytes_may_have_been_sent() {
+    let unknown_outcomes = [
         Outcome::Broken { fresh_connection: true },
         Outcome::Broken { fresh_connection: false },
         Outcome::TimedOut { fresh_connection: true },
     ];
-    for outcome in lost {
+    for outcome in unknown_outcomes {
         let mut world = world();
         let id = book(&mut world, None, false);
         world.outcome(world.attempt(id), outcome);
@@ -40,8 +40,8 @@
     }
 }
 
-// An endpoint is gone or full and says so before it runs the booking. The
-// booking is tried elsewhere, and refused as "not run" when nobody takes it.
+// When an endpoint is down or sheds a booking without running it, the booking is retried at another
+// endpoint, and refused as "not run" if none accepts it.
 #[test]
 fn booking_is_retried_only_if_certainly_not_run() {
     for outcome in [Outcome::Shed, Outcome::ConnectFailed, Outcome::NotSent] {
@@ -61,10 +61,10 @@
     }
 }
 
-// A clerk's program times out and sends the booking again with its key while
-// the first is at the endpoint. Both get the one answer.
+// A caller times out and repeats the booking with its key while the original is in flight. Both
+// requests get the same answer.
 #[test]
-fn duplicate_joins_the_first_and_gets_its_answer() {
+fn duplicate_waits_for_the_original_and_gets_its_answer() {
     let mut world = world();
     let first = book(&mut world, Some("k"), false);
     let second = book(&mut world, Some("k"), true);
@@ -77,10 +77,10 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-// The answer was too large to keep. The duplicate can't have it and is told
-// that the booking may have run; it is never run to get another answer.
+// The answer wasn't stored. A duplicate is answered with "unknown", since the booking may have run,
+// and is never run itself.
 #[test]
-fn duplicate_of_an_answer_not_kept_is_unknown() {
+fn duplicate_of_an_answer_not_stored_is_unknown() {
     let mut world = world();
     let first = book(&mut world, Some("k"), false);
     let joined = book(&mut world, Some("k"), false);
@@ -92,8 +92,8 @@
     }
 }
 
-// The first booking's answer is lost on the way. Its duplicates are told
-// "unknown" as well, those that waited and those that come later.
+// When the answer of the original is lost, its duplicates are answered with "unknown" too, both
+// those that waited and later ones.
 #[test]
 fn duplicate_of_an_unknown_outcome_is_unknown() {
     let mut world = world();
@@ -106,10 +106,10 @@
     }
 }
 
-// The first booking is refused unrun. Its key is forgotten, so the duplicate
-// that waited for it runs.
+// When the original is refused without being run, its key is removed, so that a waiting duplicate
+// runs.
 #[test]
-fn duplicate_runs_when_the_first_was_certainly_not_run() {
+fn duplicate_runs_if_the_original_was_certainly_not_run() {
     let mut world = world();
     let first = book(&mut world, Some("k"), false);
     let joined = book(&mut world, Some("k"), false);
@@ -122,25 +122,25 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-// The caller goes away while its booking is at the endpoint. What comes of it
-// is not known until the attempt ends; a duplicate must wait for that.
+// The caller disconnects while its booking is in flight. The outcome isn't known until the attempt
+// ends, so a duplicate must wait for that.
 #[test]
-fn key_outlives_its_caller() {
+fn key_is_kept_after_the_caller_disconnects() {
     for (outcome, runs) in [(Outcome::Cancelled, false), (Outcome::NotSent, true)] {
         let mut world = world();
         let first = book(&mut world, Some("k"), false);
         let attempt = world.attempt(first);
         world.cancel(first);
         let second = book(&mut world, Some("k"), false);
-        assert!(world.attempts_of(second).is_empty(), "the first may run yet");
+        assert!(world.attempts_of(second).is_empty(), "the original may still run");
         world.outcome(attempt, outcome);
         assert_eq!(world.attempts_of(second).len(), usize::from(runs), "{outcome:?}");
         assert_eq!(world.violations, Vec::<String>::new());
     }
 }
 
-// A caller repeats a booking whose first went to another owner, which is
-// gone. Nobody here can know whether it ran, so it is not run.
+// A caller repeats a booking whose original went to a former owner. This owner can't know whether it
+// ran, so the repeat isn't run.
 #[test]
 fn repeat_without_a_record_is_never_run() {
     let mut world = world();
@@ -151,8 +151,8 @@
     assert!(world.attempts.is_empty());
 }
 
-// The shard's owner changes with a hand-over. A duplicate at the successor gets
-// the stored answer of the first, and "unknown" for one still in flight.
+// After a hand-over, a duplicate at the successor gets the stored answer of the original, or
+// "unknown" if the original was still in flight.
 #[test]
 fn keys_are_handed_over() {
     let mut world = world();
@@ -161,9 +161,9 @@
     world.body_end(world.attempt(done), BodyEnd::Complete);
     world.store(done, b"booked");
     book(&mut world, Some("running"), false);
-    let handed = world.shard.hand_over(world.now);
+    let hand_over = world.shard.hand_over(world.now);
     let mut successor = Shard::new(world.now, shard_id(), &world.config, ShardSettings::default());
-    successor.on_hand_over(world.now, &handed);
+    successor.on_hand_over(world.now, &hand_over);
 
     let mut duplicate = world.requests[&done].request.clone();
     duplicate.id = RequestId(100);
@@ -176,10 +176,10 @@
     assert_eq!(refusal.execution, Execution::Unknown);
 }
 
-// A VM stood in for an owner and booked. It forgets the shard as unused, and a
-// duplicate of the booking is run. The shard must be kept for its key.
+// A VM that temporarily served a shard must keep it while it has a key of a booking: if it dropped
+// the shard as idle, a duplicate of the booking would run.
 #[test]
-fn a_shard_is_not_idle_while_a_request_runs_or_a_key_is_on_record() {
+fn shard_with_a_request_in_flight_or_a_key_is_not_idle() {
     for (key, idle_after) in [(None, true), (Some("k"), false)] {
         let mut world = world();
         assert!(world.shard.is_idle());
--- a/crates/pistachiotrack-core/tests/copies.rs
+++ b/crates/pistachiotrack-core/tests/copies.rs
@@ -1,8 +1,7 @@
-//! What may be said of a request whose copies are on their way.
+//! Refusals of requests with outstanding copies.
 //!
-//! A clerk is told that a booking was not run, books again, and the interpreter is sent to
-//! two courtrooms: one copy of the booking came back refused while another one was at an
-//! endpoint.
+//! Guards against a booking that runs twice: one copy is refused while another one is at an
+//! endpoint, the caller is told that the booking was not run, and books again.
 
 use pistachiotrack_core::{
     copies::{Copies, OutstandingCopy, Undispatched},
@@ -13,31 +12,31 @@
 };
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
-/// What happens to a copy.
+/// Event of a copy.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Send,
     Unsent,
-    HolderSaysNotRun,
-    HolderSaysUnknown,
+    ReportedNotRun,
+    ReportedUnknown,
     Shed,
     Broken,
     Answered,
-    Forgotten,
+    Dropped,
 }
 
 impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Event {
-        let ends = [
+        let end_events = [
             Event::Unsent,
-            Event::HolderSaysNotRun,
-            Event::HolderSaysUnknown,
+            Event::ReportedNotRun,
+            Event::ReportedUnknown,
             Event::Shed,
             Event::Broken,
             Event::Answered,
-            Event::Forgotten,
+            Event::Dropped,
         ];
-        if bool::arbitrary(g) { Event::Send } else { *g.choose(&ends).unwrap() }
+        if bool::arbitrary(g) { Event::Send } else { *g.choose(&end_events).unwrap() }
     }
 }
 
@@ -46,30 +45,30 @@
 }
 
 quickcheck! {
-    /// Compares with a plain count of copies that were sent and not certainly refused.
-    fn not_run_is_said_only_if_every_copy_came_back(events: Vec<Event>) -> bool {
+    /// Compares with a count of the copies that were sent and may have run.
+    fn refused_as_not_run_only_if_no_copy_is_outstanding(events: Vec<Event>) -> bool {
         let mut copies = Copies::from(Undispatched::on_arrival());
-        let (mut out, mut may_run, mut sent) = (Vec::new(), 0, 0);
+        let (mut outstanding, mut may_run, mut sent) = (Vec::new(), 0, 0);
         for event in events {
             if matches!(event, Event::Send) {
-                out.push(send(&mut copies, sent));
+                outstanding.push(send(&mut copies, sent));
                 may_run += 1;
                 sent += 1;
                 continue;
             }
-            let Some(copy) = out.pop() else { continue };
-            let returned = match event {
+            let Some(copy) = outstanding.pop() else { continue };
+            let not_run = match event {
                 Event::Unsent => Some(copy.unsent()),
-                Event::HolderSaysNotRun => copy.on_reported_execution(Execution::NotRun),
-                Event::HolderSaysUnknown => copy.on_reported_execution(Execution::Unknown),
+                Event::ReportedNotRun => copy.on_reported_execution(Execution::NotRun),
+                Event::ReportedUnknown => copy.on_reported_execution(Execution::Unknown),
                 Event::Shed => copy.on_outcome(Outcome::Shed),
                 Event::Broken => copy.on_outcome(Outcome::Broken { fresh_connection: true }),
                 Event::Answered => {
                     copy.on_outcome(Outcome::Answered { status: 200, fresh_connection: true })
                 }
-                Event::Send | Event::Forgotten => None,
+                Event::Send | Event::Dropped => None,
             };
-            if let Some(copy) = returned {
+            if let Some(copy) = not_run {
                 copies.record_not_run(copy);
                 may_run -= 1;
             }
@@ -85,7 +84,7 @@
 }
 
 #[test]
-fn a_decision_that_says_not_run_is_not_believed_while_a_copy_is_out() {
+fn not_run_decision_is_overridden_while_a_copy_is_outstanding() {
     let not_run = RefusalDecision {
         execution: Execution::NotRun,
         reason: Reason::QueueFull,
@@ -102,7 +101,7 @@
 }
 
 #[test]
-fn nothing_is_said_of_a_request_that_had_its_final_answer() {
+fn request_with_a_final_answer_is_not_refused_as_not_run() {
     let mut copies = Copies::from(Undispatched::on_arrival());
     assert_eq!(copies.finish().refuse(Reason::Paused, None).execution(), Execution::NotRun);
     assert!(!copies.is_certainly_not_run());
--- a/crates/pistachiotrack-core/tests/fleet_retry_budget.rs
+++ b/crates/pistachiotrack-core/tests/fleet_retry_budget.rs
@@ -1,4 +1,4 @@
-//! A limit of retries that the dispatchers of a service keep together.
+//! Retry limit that is shared by the dispatchers of a service.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -19,51 +19,51 @@
 const STEPS: u64 = 5_000;
 const START: Time = Time::from_millis(1_000_000);
 
-/// What happens in one run.
+/// Parameters of one simulated run.
 #[derive(Clone, Debug)]
-struct Run {
+struct Scenario {
     seed: u64,
     requests_percent: u32,
     failed_percent: u32,
     lost_percent: u32,
-    /// Time that news are on their way.
-    late_ms: u64,
+    /// Delay of an update.
+    delay_ms: u64,
     /// Steps at which all VMs restart, more than a window apart.
     restarts: Vec<u64>,
-    /// Steps at which one VM ceases to be a dispatcher and another becomes one.
-    changes: Vec<u64>,
+    /// Steps at which another VM replaces a dispatcher.
+    replacements: Vec<u64>,
 }
 
-impl Arbitrary for Run {
-    fn arbitrary(g: &mut Gen) -> Run {
+impl Arbitrary for Scenario {
+    fn arbitrary(g: &mut Gen) -> Scenario {
         let below = |g: &mut Gen, bound: u64| u64::arbitrary(g) % bound;
         let first = below(g, STEPS);
-        Run {
+        Scenario {
             seed: u64::arbitrary(g),
             requests_percent: 5 + below(g, 95) as u32,
             failed_percent: below(g, 101) as u32,
             lost_percent: below(g, 30) as u32,
-            late_ms: 0,
+            delay_ms: 0,
             restarts: vec![first, first + 1_500],
-            changes: (0..below(g, 8)).map(|_| below(g, STEPS)).collect(),
+            replacements: (0..below(g, 8)).map(|_| below(g, STEPS)).collect(),
         }
     }
 }
 
-/// The VMs of a deployment, of which the members of `dispatchers` dispatch.
+/// The VMs of a deployment; those in `dispatchers` are dispatchers.
 struct Fleet {
     budgets: Vec<FleetRetryBudget>,
     dispatchers: Vec<usize>,
     rng: Pcg32,
     lost_percent: u32,
-    counts: u32,
-    late_ms: u64,
-    on_the_way: VecDeque<News>,
+    next_count_id: u32,
+    delay_ms: u64,
+    in_transit: VecDeque<Update>,
     sent: Vec<(Time, bool)>,
 }
 
-/// What a VM tells another, and when it arrives.
-struct News {
+/// Update from one VM to another, with its arrival time.
+struct Update {
     at: Time,
     from: Name,
     to: usize,
@@ -71,15 +71,15 @@
 }
 
 impl Fleet {
-    fn new(now: Time, run: &Run) -> Fleet {
+    fn new(now: Time, scenario: &Scenario) -> Fleet {
         let mut fleet = Fleet {
             budgets: Vec::new(),
             dispatchers: (0..DISPATCHERS).collect(),
-            rng: Pcg32::seed_from_u64(run.seed),
-            lost_percent: run.lost_percent,
-            counts: 0,
-            late_ms: run.late_ms,
-            on_the_way: VecDeque::new(),
+            rng: Pcg32::seed_from_u64(scenario.seed),
+            lost_percent: scenario.lost_percent,
+            next_count_id: 0,
+            delay_ms: scenario.delay_ms,
+            in_transit: VecDeque::new(),
             sent: Vec::new(),
         };
         fleet.restart(now);
@@ -89,64 +89,65 @@
     fn restart(&mut self, now: Time) {
         self.budgets.clear();
         for vm in 0..VMS {
-            self.counts += 1;
-            let mut budget = FleetRetryBudget::new(now, LIMIT, DISPATCHERS as u32, self.counts);
-            budget.set_visible_dispatchers(now, self.view_of(vm));
+            self.next_count_id += 1;
+            let mut budget =
+                FleetRetryBudget::new(now, LIMIT, DISPATCHERS as u32, self.next_count_id);
+            budget.set_visible_dispatchers(now, self.visible_to(vm));
             self.budgets.push(budget);
         }
     }
 
-    fn view_of(&self, vm: usize) -> VisibleDispatchers {
+    fn visible_to(&self, vm: usize) -> VisibleDispatchers {
         let count = self.dispatchers.len() as u32;
         VisibleDispatchers { count, is_member: self.dispatchers.contains(&vm) }
     }
 
-    fn happens(&mut self, percent: u32) -> bool {
+    fn chance(&mut self, percent: u32) -> bool {
         self.rng.next_u32() % 100 < percent
     }
 
-    /// Replaces a dispatcher by another VM, which asks a third for a picture.
-    fn change(&mut self, now: Time) {
-        let place = self.rng.next_u32() as usize % DISPATCHERS;
+    /// Replaces a dispatcher by another VM, which requests a snapshot from a third.
+    fn replace_dispatcher(&mut self, now: Time) {
+        let index = self.rng.next_u32() as usize % DISPATCHERS;
         let new = (0..VMS).find(|vm| !self.dispatchers.contains(vm)).unwrap();
-        self.dispatchers[place] = new;
+        self.dispatchers[index] = new;
         for vm in 0..VMS {
-            let view = self.view_of(vm);
-            self.budgets[vm].set_visible_dispatchers(now, view);
+            let visible = self.visible_to(vm);
+            self.budgets[vm].set_visible_dispatchers(now, visible);
         }
-        let asked = self.dispatchers[(place + 1) % DISPATCHERS];
-        if !self.happens(self.lost_percent) {
-            let history = self.budgets[asked].history(now);
+        let source = self.dispatchers[(index + 1) % DISPATCHERS];
+        if !self.chance(self.lost_percent) {
+            let history = self.budgets[source].history(now);
             self.budgets[new].on_history(now, &history);
         }
     }
 
-    /// Takes in a request, and sends it once more if it fails.
+    /// Sends a request, and retries it if it fails.
     fn serve(&mut self, now: Time, failed_percent: u32) {
-        let is_old_address = self.happens(10);
+        let is_stale_address = self.chance(10);
         let draw = self.rng.next_u32() as usize;
-        let vm = match is_old_address {
+        let vm = match is_stale_address {
             true => draw % VMS,
             false => self.dispatchers[draw % DISPATCHERS],
         };
         self.budgets[vm].on_request(now);
         self.sent.push((now, false));
-        if self.happens(failed_percent) && self.budgets[vm].take(now) {
+        if self.chance(failed_percent) && self.budgets[vm].take(now) {
             self.sent.push((now, true));
         }
         let (from, total) = (Name::from(format!("vm-{vm}")), self.budgets[vm].total());
         for to in self.dispatchers.clone() {
-            if to != vm && !self.happens(self.lost_percent) {
-                let at = now + Duration::from_millis(self.late_ms);
-                self.on_the_way.push_back(News { at, from: from.clone(), to, total });
+            if to != vm && !self.chance(self.lost_percent) {
+                let at = now + Duration::from_millis(self.delay_ms);
+                self.in_transit.push_back(Update { at, from: from.clone(), to, total });
             }
         }
         self.deliver(now);
     }
 
     fn deliver(&mut self, now: Time) {
-        while self.on_the_way.front().is_some_and(|news| news.at <= now) {
-            let Some(News { from, to, total, .. }) = self.on_the_way.pop_front() else { return };
+        while self.in_transit.front().is_some_and(|update| update.at <= now) {
+            let Some(Update { from, to, total, .. }) = self.in_transit.pop_front() else { return };
             self.budgets[to].on_peer_counts(now, &from, total);
         }
     }
@@ -172,71 +173,71 @@
     }
 }
 
-fn play(run: &Run) -> Fleet {
-    let mut fleet = Fleet::new(START, run);
+fn simulate(scenario: &Scenario) -> Fleet {
+    let mut fleet = Fleet::new(START, scenario);
     for step in 0..STEPS {
         let now = START + Duration::from_millis(step * STEP_MS);
-        if run.restarts.contains(&step) {
+        if scenario.restarts.contains(&step) {
             fleet.restart(now);
         }
-        if run.changes.contains(&step) {
-            fleet.change(now);
+        if scenario.replacements.contains(&step) {
+            fleet.replace_dispatcher(now);
         }
-        if fleet.happens(run.requests_percent) {
-            fleet.serve(now, run.failed_percent);
+        if fleet.chance(scenario.requests_percent) {
+            fleet.serve(now, scenario.failed_percent);
         }
     }
     fleet
 }
 
-/// Endpoints fail while VMs restart, change places and lose what they tell each
-/// other. In no window may all of them together send more retries than allowed.
+/// Property: while endpoints fail, VMs restart and replace each other, and updates are lost, all
+/// VMs together never send more retries in a window than allowed.
 #[test]
 fn all_vms_together_stay_within_the_limit() {
-    fn property(run: Run) -> TestResult {
-        match play(&run).excess() {
+    fn property(scenario: Scenario) -> TestResult {
+        match simulate(&scenario).excess() {
             excess if excess <= 0.0 => TestResult::passed(),
-            excess => TestResult::error(format!("{excess:.1} retries too many in {run:?}")),
+            excess => TestResult::error(format!("{excess:.1} retries too many in {scenario:?}")),
         }
     }
     let rng = Gen::from_size_and_seed(40, 23);
-    QuickCheck::new().rng(rng).tests(60).quickcheck(property as fn(Run) -> TestResult);
+    QuickCheck::new().rng(rng).tests(60).quickcheck(property as fn(Scenario) -> TestResult);
 }
 
-/// All endpoints refuse six of ten bookings, and the links of the VMs are so full that
-/// what they tell each other is 0.4 s on its way. Each VM takes what it believes
-/// to be left, and together they send more retries than allowed.
+/// Endpoints fail 60 % of the requests, and updates take 0.4 s because links are saturated. Each VM
+/// would take the retries that remain by its outdated counts, and together they would exceed the
+/// limit.
 #[test]
-fn late_news_don_t_lead_to_too_many_retries() {
+fn delayed_updates_do_not_exceed_the_limit() {
     for seed in 0..20 {
-        let run = Run {
+        let scenario = Scenario {
             seed,
             requests_percent: 100,
             failed_percent: 60,
             lost_percent: 5,
-            late_ms: 400,
+            delay_ms: 400,
             restarts: Vec::new(),
-            changes: Vec::new(),
+            replacements: Vec::new(),
         };
-        let fleet = play(&run);
+        let fleet = simulate(&scenario);
         assert!(fleet.excess() <= 0.0, "{:.1} retries too many, seed {seed}", fleet.excess());
     }
 }
 
-/// Half of all requests fail for a minute. Most of what is allowed must be used, as
-/// each retry that isn't sent is a request that is lost.
+/// Half of all requests fail for 50 s. Most of the allowed retries must be used, as each retry that isn't
+/// sent is a failed request.
 #[test]
 fn most_of_the_limit_can_be_used() {
-    let run = Run {
+    let scenario = Scenario {
         seed: 1,
         requests_percent: 60,
         failed_percent: 50,
         lost_percent: 0,
-        late_ms: 0,
+        delay_ms: 0,
         restarts: Vec::new(),
-        changes: Vec::new(),
+        replacements: Vec::new(),
     };
-    let fleet = play(&run);
+    let fleet = simulate(&scenario);
     let requests = fleet.sent.len() - fleet.retries();
     let windows = (STEPS * STEP_MS) as f64 / LIMIT.window_ms as f64;
     let allowed = LIMIT.ratio * requests as f64 + f64::from(LIMIT.slack) * windows;
@@ -244,42 +245,42 @@
     assert!(used > 0.7, "{used:.2} of the allowed retries were used");
 }
 
-/// A booking service fails at one VM only, by a cut of its own paths. What the other
-/// dispatchers don't need is there for it: it isn't held to a sixth.
+/// Only one VM needs retries, because its network paths are broken. It may use what the other
+/// dispatchers don't need and isn't limited to a sixth.
 #[test]
-fn one_dispatcher_may_use_what_the_others_leave() {
-    let informed = START + Duration::from_millis(LIMIT.window_ms);
+fn one_dispatcher_may_use_retries_not_needed_by_others() {
+    let window_known = START + Duration::from_millis(LIMIT.window_ms);
     let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
     budget.set_visible_dispatchers(
         START,
         VisibleDispatchers { count: DISPATCHERS as u32, is_member: true },
     );
-    let taken = (0..100).take_while(|_| budget.take(informed)).count();
+    let taken = (0..100).take_while(|_| budget.take(window_known)).count();
     assert!(taken > LIMIT.slack as usize / 2, "{taken} retries");
 }
 
-/// A network partition leaves a VM alone, and it takes itself for the only dispatcher.
-/// The others use the limit too, so that it may only use its own part.
+/// A VM is partitioned off and sees itself as the only dispatcher. As the others use the limit too,
+/// it may use its own part only.
 #[test]
-fn a_dispatcher_that_is_alone_uses_its_part() {
-    let informed = START + Duration::from_millis(LIMIT.window_ms);
+fn partitioned_dispatcher_uses_only_its_part() {
+    let window_known = START + Duration::from_millis(LIMIT.window_ms);
     let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
     budget.set_visible_dispatchers(START, VisibleDispatchers { count: 1, is_member: true });
-    let taken = (0..100).take_while(|_| budget.take(informed)).count();
+    let taken = (0..100).take_while(|_| budget.take(window_known)).count();
     assert!(taken <= LIMIT.slack as usize / DISPATCHERS, "{taken} retries");
 }
 
-/// A hedge only saves time. While endpoints fail, it must leave retries to requests
-/// that would be lost without.
+/// Hedges only save time. While endpoints fail, they must leave half of the retries to requests that
+/// would fail without one.
 #[test]
-fn hedges_leave_half_to_retries_that_save_a_request() {
-    let informed = START + Duration::from_millis(LIMIT.window_ms);
+fn hedges_leave_half_of_the_retries_to_failed_requests() {
+    let window_known = START + Duration::from_millis(LIMIT.window_ms);
     let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
     budget.set_visible_dispatchers(
         START,
         VisibleDispatchers { count: DISPATCHERS as u32, is_member: true },
     );
-    let hedges = (0..100).take_while(|_| budget.take_for_hedge(informed)).count();
-    let retries = (0..100).take_while(|_| budget.take(informed)).count();
+    let hedges = (0..100).take_while(|_| budget.take_for_hedge(window_known)).count();
+    let retries = (0..100).take_while(|_| budget.take(window_known)).count();
     assert!(hedges > 0 && retries >= hedges, "{hedges} hedges, {retries} retries");
 }
--- a/crates/pistachiotrack-core/tests/idempotency.rs
+++ b/crates/pistachiotrack-core/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Bounds of the idempotency keys on record.
+//! Bounds of the idempotency key table.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,10 +22,10 @@
     Arc::new(StoredAnswer { status: 200, content_type: None, body: vec![7; bytes] })
 }
 
-// More keys come than are kept. The oldest answered one is forgotten, one whose
-// request is in flight never is: its duplicate would run beside it.
+// A full table evicts the oldest answered key, but never a key whose request is in flight: a
+// duplicate of it would run concurrently.
 #[test]
-fn oldest_finished_key_makes_room() {
+fn oldest_finished_key_is_evicted() {
     let mut table = table(KeySettings { max_keys: 2, ..KeySettings::default() });
     assert_eq!(claim(&mut table, Time::ZERO, 1, 1), Claim::Run);
     assert_eq!(claim(&mut table, Time::ZERO, 2, 2), Claim::Run);
@@ -36,8 +36,8 @@
     assert_eq!(table.len(), 2);
 }
 
-// Stored answers would fill a small VM's memory. The oldest body goes, but its
-// key stays: the duplicate is told "unknown" and not run.
+// Stored bodies are bounded, as they would fill a small VM's memory. The oldest body is evicted, but
+// its key stays: a duplicate is answered with "unknown" and not run.
 #[test]
 fn bodies_are_bounded_and_their_keys_stay() {
     let mut table = table(KeySettings { max_body_bytes: 100, ..KeySettings::default() });
@@ -49,8 +49,8 @@
     assert_eq!(claim(&mut table, Time::ZERO, 5, 3), Claim::Replay(answer(40)));
 }
 
-// An answer over the limit is not kept, so its duplicates hear "unknown" once
-// the answer has ended and the time to store it is over.
+// An answer over the size limit isn't stored. Its duplicates are answered with "unknown" when the
+// time to store it is over.
 #[test]
 fn large_answer_is_not_stored() {
     let mut table = table(KeySettings::default());
@@ -62,9 +62,9 @@
     assert_eq!(claim(&mut table, Time::from_millis(1_000), 3, 1), Claim::OutcomeUnknown);
 }
 
-// Old keys are forgotten; a repeat then finds no record and is not run.
+// Old keys expire; a repeat then has no record and isn't run.
 #[test]
-fn old_keys_are_forgotten() {
+fn old_keys_expire() {
     let settings = KeySettings { max_age: Duration::from_secs(1), ..KeySettings::default() };
     let mut table = table(settings);
     claim(&mut table, Time::ZERO, 1, 1);
@@ -77,8 +77,8 @@
     assert_eq!(repeat, Claim::NoRecord);
 }
 
-// A hand-over must fit into a message. The newest keys go first, and answers
-// over the bound go as keys alone.
+// A hand-over must fit into a message: the newest keys go first, and answers beyond the size limit
+// are left out while their keys are kept.
 #[test]
 fn hand_over_is_bounded_and_keeps_the_newest() {
     let settings =
--- a/crates/pistachiotrack-core/tests/retry.rs
+++ b/crates/pistachiotrack-core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries and what latencies they are judged by.
+//! Retry budget of an owner, latency percentiles and the adaptive concurrency limit.
 
 use std::time::Duration;
 
@@ -12,8 +12,7 @@
     (0..1_000).take_while(|_| budget.take(now)).count()
 }
 
-// A service fails for a while and recovers. Retries stay a fixed part of the
-// answers, whatever was saved up before.
+// Retries stay a fixed fraction of the successful requests, and accumulate up to the burst only.
 #[test]
 fn budget_follows_successful_work() {
     let settings = BudgetSettings { per_success: 0.1, per_second: 0.0, burst: 5.0 };
@@ -25,18 +24,18 @@
     assert_eq!(taken(&mut budget, Time::ZERO), 5);
 }
 
-// A quiet service has few answers to earn retries with. A small allowance by
-// time lets its one failed lookup go elsewhere.
+// A service with little traffic earns few retries by its successes. Retries earned over time let
+// a single failed request be retried.
 #[test]
-fn budget_has_a_floor_by_time() {
+fn budget_is_refilled_over_time() {
     let settings = BudgetSettings { per_success: 0.1, per_second: 1.0, burst: 5.0 };
     let mut budget = RetryBudget::new(Time::ZERO, settings);
     taken(&mut budget, Time::ZERO);
     assert_eq!(taken(&mut budget, Time::from_millis(2_500)), 2);
 }
 
-// Latencies change. The percentile says nothing before there are samples to
-// rest on, and follows within two windows.
+// There is no percentile before the minimum number of samples, and a change of latency shows
+// within two windows.
 #[test]
 fn percentile_follows_recent_latencies() {
     let mut recent = RecentLatency::default();
@@ -48,15 +47,15 @@
     assert!((49..=51).contains(&p95_ms), "{p95_ms}");
 }
 
-// An endpoint sheds a burst that was sent under one limit. The limit falls
-// once for it, not to the bottom.
+// Requests of one burst, sent under the same limit, are shed. The limit is lowered once for them,
+// not once for each.
 #[test]
-fn sheds_of_one_round_count_once() {
+fn sheds_within_one_service_time_count_once() {
     let mut limit = AdaptiveConcurrencyLimit::new(10);
-    let round = Duration::from_millis(100);
-    (0..5).for_each(|_| limit.on_shed(Time::from_millis(1_000), round));
+    let service_time = Duration::from_millis(100);
+    (0..5).for_each(|_| limit.on_shed(Time::from_millis(1_000), service_time));
     assert_eq!(limit.value(), 7);
-    (0..20).for_each(|n| limit.on_shed(Time::from_millis(2_000 + n * 100), round));
+    (0..20).for_each(|n| limit.on_shed(Time::from_millis(2_000 + n * 100), service_time));
     assert_eq!(limit.value(), 1);
     (0..100).for_each(|_| limit.on_success());
     assert_eq!(limit.value(), 10);
