--- a/crates/pistachiotrack-core/src/feature_flags.rs
+++ b/crates/pistachiotrack-core/src/feature_flags.rs
@@ -7,29 +7,38 @@
 #[serde(default, deny_unknown_fields)]
 pub struct FeatureFlags {
     /// Ranks endpoints by the estimated probability that a request fails.
-    pub risk: bool,
+    #[serde(rename = "risk")]
+    pub risk_ranking: bool,
     /// Gives immediate failures more weight than late ones.
     pub failure_times: bool,
     /// Sends a request to most endpoints every two seconds.
     pub coverage: bool,
     /// Sends such requests to all endpoints while many requests fail.
-    pub strain: bool,
+    #[serde(rename = "strain")]
+    pub coverage_on_failures: bool,
     /// Lets requests wait for endpoints with recent successes.
-    pub patience: bool,
+    #[serde(rename = "patience")]
+    pub wait_for_proven_endpoints: bool,
     /// Sends hedges of slow idempotent requests.
     pub hedges: bool,
     /// Abandons attempts of idempotent requests without an answer, and tries another endpoint.
-    pub give_ups: bool,
+    #[serde(rename = "give_ups")]
+    pub attempt_abandonment: bool,
     /// Sends some idempotent requests to endpoints with uncertain health.
-    pub exploring: bool,
+    #[serde(rename = "exploring")]
+    pub exploration: bool,
     /// Sends a request to new endpoints at once.
-    pub joiners_first: bool,
+    #[serde(rename = "joiners_first")]
+    pub new_endpoints_first: bool,
     /// Prefers endpoints in this VM's data centre.
-    pub home_first: bool,
+    #[serde(rename = "home_first")]
+    pub local_endpoints_first: bool,
     /// Divides the remaining retries among the VMs that need some.
-    pub retry_shares: bool,
+    #[serde(rename = "retry_shares")]
+    pub retry_division: bool,
     /// Lets requests wait for a requested snapshot.
-    pub picture_wait: bool,
+    #[serde(rename = "picture_wait")]
+    pub snapshot_wait: bool,
     /// Lowers the concurrency limit of endpoints that shed requests.
     pub adaptive_limits: bool,
     /// Ejects endpoints with enough evidence of failure.
@@ -41,18 +50,18 @@
 impl Default for FeatureFlags {
     fn default() -> FeatureFlags {
         FeatureFlags {
-            risk: true,
+            risk_ranking: true,
             failure_times: true,
             coverage: true,
-            strain: true,
-            patience: true,
+            coverage_on_failures: true,
+            wait_for_proven_endpoints: true,
             hedges: true,
-            give_ups: true,
-            exploring: true,
-            joiners_first: true,
-            home_first: true,
-            retry_shares: true,
-            picture_wait: true,
+            attempt_abandonment: true,
+            exploration: true,
+            new_endpoints_first: true,
+            local_endpoints_first: true,
+            retry_division: true,
+            snapshot_wait: true,
             adaptive_limits: true,
             ejection: true,
             slow_start: true,
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -50,7 +50,7 @@
     /// Returns the part of the risk that another endpoint would spare the request:
     /// what an endpoint that is certainly well fails too is left out.
     pub fn avoidable_risk(&self, now: Time, endpoint: &str) -> f64 {
-        if !self.mechanisms.risk {
+        if !self.mechanisms.risk_ranking {
             return 0.0;
         }
         (self.risk(now, endpoint) - self.spells.least_risk()).max(0.0)
--- a/crates/pistachiotrack-core/src/shard/flow.rs
+++ b/crates/pistachiotrack-core/src/shard/flow.rs
@@ -213,7 +213,7 @@
             tried: &live.tried,
             max_risk: self.max_risk(now, live),
             now,
-            is_strained: self.mechanisms.strain && self.strain.is_strained(),
+            is_strained: self.mechanisms.coverage_on_failures && self.strain.is_strained(),
             allow_tried,
         })
     }
@@ -227,7 +227,7 @@
     fn max_risk(&self, now: Time, live: &Live) -> f64 {
         let part = if live.request.idempotent { PATIENCE_PARTS.0 } else { PATIENCE_PARTS.1 };
         let patience = live.not_after.since(live.arrived).mul_f64(part);
-        let is_patient = self.mechanisms.patience
+        let is_patient = self.mechanisms.wait_for_proven_endpoints
             && now.since(live.arrived) < patience
             && (self.queue.len() <= PATIENT_QUEUE || self.proven_drain_time() <= patience);
         if is_patient { PATIENT_RISK } else { 1.0 }
@@ -364,7 +364,7 @@
     fn give_up_at(&self, now: Time, id: RequestId, standing: Standing) -> Option<Time> {
         let live = self.live.get(&id)?;
         let deadline = live.request.deadline;
-        let can_retry = self.mechanisms.give_ups
+        let can_retry = self.mechanisms.attempt_abandonment
             && live.request.idempotent
             && live.sent + 1 < live.request.max_attempts
             && self.pool.usable(true) > 1;
--- a/crates/pistachiotrack-core/src/shard/news.rs
+++ b/crates/pistachiotrack-core/src/shard/news.rs
@@ -174,7 +174,7 @@
     /// trip. It is of no help in the first second after a loss of all VMs, when nobody
     /// knows more.
     pub fn on_picture_asked(&mut self, now: Time) {
-        self.picture_due = self.mechanisms.picture_wait.then(|| now + PICTURE_WAIT);
+        self.picture_due = self.mechanisms.snapshot_wait.then(|| now + PICTURE_WAIT);
     }
 
     pub(super) fn awaits_picture(&self, now: Time) -> bool {
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -188,7 +188,7 @@
                 risk: 0.0,
                 last_seen: None,
                 last_sent: Time::ZERO,
-                is_untried: self.mechanisms.joiners_first,
+                is_untried: self.mechanisms.new_endpoints_first,
                 rate: None,
                 is_left_to_others: false,
                 peers: Vec::new(),
--- a/crates/pistachiotrack-core/src/shard/pool/ranking.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/ranking.rs
@@ -39,7 +39,7 @@
     /// found out by a failure. Requests that may run again look after the others.
     pub(super) fn pick_by_risk(&mut self, wanted: Wanted<'_>) -> Option<Pick> {
         let turn = Turn {
-            explores: self.mechanisms.exploring
+            explores: self.mechanisms.exploration
                 && wanted.idempotent
                 && wanted.tried.is_empty()
                 && self.rng.next_u32().is_multiple_of(EXPLORE_ONE_IN),
@@ -109,7 +109,7 @@
     }
 
     fn risk_rank(&self, slots: &Slots, idempotent: bool) -> u64 {
-        let is_away = self.mechanisms.home_first
+        let is_away = self.mechanisms.local_endpoints_first
             && self.home.as_ref().is_some_and(|home| *home != slots.endpoint.data_centre);
         let steps_to_stay = if idempotent { STEPS_TO_STAY.1 } else { STEPS_TO_STAY.0 };
         let distance = if is_away { steps_to_stay } else { 0 };
--- a/crates/pistachiotrack-core/src/shard/retries.rs
+++ b/crates/pistachiotrack-core/src/shard/retries.rs
@@ -28,7 +28,7 @@
             let count_id = hash::fnv(&begun.to_le_bytes()) as u32;
             let expected = expected_dispatchers(config, service);
             let mut budget = FleetRetryBudget::new(now, limit, expected, count_id);
-            budget.set_divides_remaining(settings.mechanisms.retry_shares);
+            budget.set_divides_remaining(settings.mechanisms.retry_division);
             retries = Retries::Fleet(budget);
         }
         retries.configure(now, config, service);
