--- a/crates/pistachiotrack-core/src/quarantine.rs
+++ b/crates/pistachiotrack-core/src/quarantine.rs
@@ -79,7 +79,7 @@
 pub struct Quarantine {
     settings: QuarantineSettings,
     records: FxHashMap<Fingerprint, Record>,
-    round: u64,
+    gossip_round: u64,
     rng: Pcg32,
 }
 
@@ -87,10 +87,10 @@
     /// Creates an empty quarantine.
     pub fn new(settings: QuarantineSettings, seed: u64) -> Quarantine {
         let rng = Pcg32::seed_from_u64(seed);
-        Quarantine { settings, records: FxHashMap::default(), round: 0, rng }
+        Quarantine { settings, records: FxHashMap::default(), gossip_round: 0, rng }
     }
 
-    /// Returns whether no request is suspected or held back.
+    /// Returns whether there is no record of any request.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -178,11 +178,11 @@
 
     /// Removes expired records and returns the updates to send in this gossip round.
     pub fn on_gossip_round(&mut self, now: Time) -> Vec<UpdateBatch> {
-        self.round += 1;
+        self.gossip_round += 1;
         let settings = &self.settings;
         self.records.retain(|_, record| !record.is_expired(now, settings));
         let mut batches = self.dispatcher_batches();
-        let is_slow_round = self.round.is_multiple_of(u64::from(self.settings.slow_rounds));
+        let is_slow_round = self.gossip_round.is_multiple_of(u64::from(self.settings.slow_rounds));
         let recent = self.fleet_updates();
         let count = self.settings.fanout;
         batches.extend(
--- a/crates/pistachiotrack-core/src/rate_limit.rs
+++ b/crates/pistachiotrack-core/src/rate_limit.rs
@@ -23,7 +23,7 @@
 
 /// Error for a text that isn't a valid rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no number of requests a second")]
+#[error("{0:?} is not a valid number of requests per second")]
 pub struct RateLimitError(String);
 
 impl RateLimit {
--- a/crates/pistachiotrack-core/tests/rate_limit.rs
+++ b/crates/pistachiotrack-core/tests/rate_limit.rs
@@ -46,9 +46,9 @@
     fn new(count: usize, limit: RateLimit, delay: Duration, seed: u64) -> GreedyVms {
         let share = RateShare { fraction: 1.0, is_sole_sender: count == 1 };
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut rate = || SharedRateLimiter::new(START, START, limit, share, rng.random());
+        let mut limiter = || SharedRateLimiter::new(START, START, limit, share, rng.random());
         GreedyVms {
-            vms: (0..count).map(|_| rate()).collect(),
+            vms: (0..count).map(|_| limiter()).collect(),
             share,
             delay,
             rng,
@@ -68,8 +68,8 @@
                 let is_tick = (ms + phase).is_multiple_of(tick.as_millis() as u64);
                 if is_tick && self.vms[vm].may_send(now, self.share) {
                     self.vms[vm].on_sent(now, self.share, self.rng.random());
-                    let news = self.vms[vm].update(now).unwrap();
-                    self.in_transit.push_back((now + self.delay, vm, news));
+                    let update = self.vms[vm].update(now).unwrap();
+                    self.in_transit.push_back((now + self.delay, vm, update));
                     sent.push(now);
                 }
             }
@@ -79,11 +79,11 @@
 
     fn deliver(&mut self, now: Time) {
         while self.in_transit.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, from, news)) = self.in_transit.pop_front() else { return };
+            let Some((_, from, update)) = self.in_transit.pop_front() else { return };
             let name = Name::from(format!("vm-{from}"));
-            for (vm, rate) in self.vms.iter_mut().enumerate().filter(|(vm, _)| *vm != from) {
-                let turn = Pcg64Mcg::seed_from_u64(now.as_micros() ^ vm as u64).random();
-                rate.on_peer_count(now, &name, news.sent, self.share, turn);
+            for (vm, limiter) in self.vms.iter_mut().enumerate().filter(|(vm, _)| *vm != from) {
+                let random = Pcg64Mcg::seed_from_u64(now.as_micros() ^ vm as u64).random();
+                limiter.on_peer_count(now, &name, update.sent, self.share, random);
             }
         }
     }
@@ -165,11 +165,11 @@
     let mut shard = dispatcher(2, true);
     serve(&mut shard, START, 1, Some("1"));
     let now = START + Duration::from_secs(5);
-    let mut told = news_of("endpoint-0", 0, Default::default());
+    let mut update = news_of("endpoint-0", 0, Default::default());
     for sent in [3, 8] {
         let rate = Some(RateUpdate { limit: limit("1"), age_ms: 0, sent });
-        told.endpoints = vec![EndpointNews { rate, ..told.endpoints[0] }];
-        shard.on_news(now, &Name::from("vm-02"), &told);
+        update.endpoints = vec![EndpointNews { rate, ..update.endpoints[0] }];
+        shard.on_news(now, &Name::from("vm-02"), &update);
     }
     let soon = now + Duration::from_millis(500);
     assert_eq!(dispatched(&shard.on_request(soon, booking(2, soon))), None);
@@ -178,21 +178,22 @@
 #[test]
 fn limit_and_its_end_are_broadcast() {
     let mut shard = dispatcher(2, true);
-    let (_, told) = serve(&mut shard, START, 1, Some("2.5"));
-    let rate = told.iter().flat_map(|news| &news.endpoints).find_map(|news| news.rate);
+    let (_, updates) = serve(&mut shard, START, 1, Some("2.5"));
+    let rate =
+        updates.iter().flat_map(|update| &update.endpoints).find_map(|endpoint| endpoint.rate);
     assert_eq!(rate.unwrap().limit, limit("2.5"));
     let mut other = dispatcher(2, true);
-    let limit_change = |shard: &mut Shard, now, told: &[ShardNews]| {
-        let actions = shared_support::pass_on(shard, now, told);
+    let limit_change = |shard: &mut Shard, now, updates: &[ShardNews]| {
+        let actions = shared_support::pass_on(shard, now, updates);
         actions.into_iter().find_map(|action| match action {
             ShardAction::RateLimit { limit, .. } => Some(limit),
             _ => None,
         })
     };
-    assert_eq!(limit_change(&mut other, START, &told), Some(Some(limit("2.5"))));
+    assert_eq!(limit_change(&mut other, START, &updates), Some(Some(limit("2.5"))));
     let later = START + Duration::from_secs(3);
-    let (_, told) = serve(&mut shard, later, 2, None);
-    assert_eq!(limit_change(&mut other, later, &told), Some(None));
+    let (_, updates) = serve(&mut shard, later, 2, None);
+    assert_eq!(limit_change(&mut other, later, &updates), Some(None));
 }
 
 #[test]
