--- a/crates/pistachiotrack-core/src/health/observation.rs
+++ b/crates/pistachiotrack-core/src/health/observation.rs
@@ -193,7 +193,7 @@
             }
             // Taken before, as a fact about the address.
             Outcome::Misdirected => {}
-            Outcome::NotSent | Outcome::WitnessFailed { .. } => {}
+            Outcome::NotSent | Outcome::RelayFailed { .. } => {}
         }
     }
 
@@ -309,7 +309,7 @@
             | Outcome::Misdirected
             | Outcome::NotSent
             | Outcome::Cancelled
-            | Outcome::WitnessFailed { .. } => {}
+            | Outcome::RelayFailed { .. } => {}
         }
     }
 
--- a/crates/pistachiotrack-core/src/health/spells.rs
+++ b/crates/pistachiotrack-core/src/health/spells.rs
@@ -83,7 +83,7 @@
             | Outcome::ConnectFailed
             | Outcome::Misdirected
             | Outcome::NotSent
-            | Outcome::WitnessFailed { .. }
+            | Outcome::RelayFailed { .. }
             | Outcome::Cancelled => None,
         }
     }
--- a/crates/pistachiotrack-core/src/health/via.rs
+++ b/crates/pistachiotrack-core/src/health/via.rs
@@ -145,7 +145,7 @@
                 state.evidence.connect = 0.0;
                 state.path = Path::Unasked;
             }
-            Outcome::NotSent | Outcome::Cancelled | Outcome::WitnessFailed { .. } => {}
+            Outcome::NotSent | Outcome::Cancelled | Outcome::RelayFailed { .. } => {}
             Outcome::ConnectFailed
             | Outcome::Misdirected
             | Outcome::Broken { .. }
--- a/crates/pistachiotrack-core/src/request.rs
+++ b/crates/pistachiotrack-core/src/request.rs
@@ -1,6 +1,6 @@
 //! Requests, attempts and their outcomes.
 
-use std::time::Duration;
+use std::{fmt, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
@@ -90,7 +90,7 @@
 }
 
 /// Outcome of an attempt, or the head of its answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The endpoint sent the head of an answer; the status may be a failure.
     Answered {
@@ -119,7 +119,7 @@
     },
     /// The VM that relayed the request failed, which is no evidence about the
     /// endpoint.
-    WitnessFailed {
+    RelayFailed {
         /// Whether bytes may have been sent to the endpoint.
         sent: bool,
     },
@@ -136,11 +136,38 @@
                 | Outcome::ConnectFailed
                 | Outcome::Misdirected
                 | Outcome::NotSent
-                | Outcome::WitnessFailed { sent: false }
+                | Outcome::RelayFailed { sent: false }
         )
     }
 }
 
+/// Prints the text that log lines have as `outcome=`, which must not change.
+impl fmt::Debug for Outcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Outcome::Answered { status, fresh_connection } => f
+                .debug_struct("Answered")
+                .field("status", status)
+                .field("fresh_connection", fresh_connection)
+                .finish(),
+            Outcome::Shed => f.write_str("Shed"),
+            Outcome::ConnectFailed => f.write_str("ConnectFailed"),
+            Outcome::Misdirected => f.write_str("Misdirected"),
+            Outcome::NotSent => f.write_str("NotSent"),
+            Outcome::Broken { fresh_connection } => {
+                f.debug_struct("Broken").field("fresh_connection", fresh_connection).finish()
+            }
+            Outcome::TimedOut { fresh_connection } => {
+                f.debug_struct("TimedOut").field("fresh_connection", fresh_connection).finish()
+            }
+            Outcome::RelayFailed { sent } => {
+                f.debug_struct("WitnessFailed").field("sent", sent).finish()
+            }
+            Outcome::Cancelled => f.write_str("Cancelled"),
+        }
+    }
+}
+
 /// Load and state that an endpoint reports in its answers; a hint only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointReport {
--- a/crates/pistachiotrack-core/src/shard/ending.rs
+++ b/crates/pistachiotrack-core/src/shard/ending.rs
@@ -95,7 +95,7 @@
             Outcome::NotSent => Reason::Paused,
             Outcome::ConnectFailed
             | Outcome::Misdirected
-            | Outcome::WitnessFailed { sent: false } => Reason::NoEndpoint,
+            | Outcome::RelayFailed { sent: false } => Reason::NoEndpoint,
             _ => Reason::AnswerLost,
         };
         let retry_after_ms = match execution {
@@ -136,7 +136,7 @@
     fn may_spend(&mut self, now: Time, of: &Attempt, outcome: Outcome) -> bool {
         let never_arrived = matches!(
             outcome,
-            Outcome::ConnectFailed | Outcome::NotSent | Outcome::WitnessFailed { sent: false }
+            Outcome::ConnectFailed | Outcome::NotSent | Outcome::RelayFailed { sent: false }
         );
         if never_arrived || of.is_given_up {
             return true;
--- a/crates/pistachiotrack-core/src/shard/via.rs
+++ b/crates/pistachiotrack-core/src/shard/via.rs
@@ -37,7 +37,7 @@
     /// Gives up a witness that did not do its part: the next one is used, and
     /// new ones are asked for when there is none.
     pub(super) fn on_witness_outcome(&mut self, now: Time, of: &Attempt, outcome: Outcome) {
-        let (Outcome::WitnessFailed { .. }, Some(failed)) = (outcome, &of.via) else { return };
+        let (Outcome::RelayFailed { .. }, Some(failed)) = (outcome, &of.via) else { return };
         let Some(witnesses) = self.witnesses.get_mut(&of.endpoint) else { return };
         witnesses.retain(|witness| witness != failed);
         if witnesses.is_empty() {
--- a/crates/pistachiotrack-core/tests/path.rs
+++ b/crates/pistachiotrack-core/tests/path.rs
@@ -237,7 +237,7 @@
     let id = send_to_e0(&mut world, false);
     let attempt = world.attempt(id);
     assert_eq!(via(&world, attempt), Some(name("w1")));
-    world.outcome(attempt, Outcome::WitnessFailed { sent: true });
+    world.outcome(attempt, Outcome::RelayFailed { sent: true });
     assert_eq!(world.refusal(id), Some((Execution::Unknown, Reason::AnswerLost)));
     assert_eq!(world.attempts_of(id).len(), 1);
     check(&world);
@@ -249,7 +249,7 @@
 fn a_booking_runs_once_elsewhere_when_the_witness_got_nothing_of_it() {
     let mut world = blind_world(3, &["w1", "w2"]);
     let id = send_to_e0(&mut world, false);
-    world.outcome(world.attempt(id), Outcome::WitnessFailed { sent: false });
+    world.outcome(world.attempt(id), Outcome::RelayFailed { sent: false });
     assert_eq!(world.attempts_of(id).len(), 2);
     world.answer(world.attempt(id));
     assert!(world.is_delivered(id));
@@ -297,7 +297,7 @@
         let id = send_to_e0(&mut world, true);
         assert_eq!(via(&world, world.attempt(id)), Some(name(witness)));
         assert!(world.path_checks.is_empty());
-        world.outcome(world.attempt(id), Outcome::WitnessFailed { sent });
+        world.outcome(world.attempt(id), Outcome::RelayFailed { sent });
         world.answer(world.attempt(id));
         assert!(world.is_delivered(id));
     }
@@ -306,7 +306,7 @@
     give_witnesses(&mut world, "e0", &["w3"]);
     let id = send_to_e0(&mut world, true);
     assert_eq!(via(&world, world.attempt(id)), Some(name("w3")));
-    world.outcome(world.attempt(id), Outcome::WitnessFailed { sent: false });
+    world.outcome(world.attempt(id), Outcome::RelayFailed { sent: false });
     world.answer(world.attempt(id));
 
     let nobody = PathAnswer::UnreachableByOthers;
@@ -331,7 +331,7 @@
     }
     assert_eq!(&*state(&world, "e0"), "healthy");
     for attempt in held {
-        world.outcome(attempt, Outcome::WitnessFailed { sent: true });
+        world.outcome(attempt, Outcome::RelayFailed { sent: true });
     }
     assert_eq!(&*state(&world, "e0"), "healthy");
     check(&world);
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -79,7 +79,7 @@
 fn outcome(kind: u8, is_via: bool) -> Outcome {
     let fresh_connection = kind & 0x80 != 0;
     if is_via && kind & 0x70 == 0 {
-        return Outcome::WitnessFailed { sent: kind & 1 == 0 };
+        return Outcome::RelayFailed { sent: kind & 1 == 0 };
     }
     match kind % 12 {
         0..=3 => answered(200),
--- a/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
@@ -225,10 +225,9 @@
             | Outcome::Misdirected
             | Outcome::Broken { .. }
             | Outcome::TimedOut { .. } => false,
-            Outcome::Shed
-            | Outcome::NotSent
-            | Outcome::WitnessFailed { .. }
-            | Outcome::Cancelled => return Vec::new(),
+            Outcome::Shed | Outcome::NotSent | Outcome::RelayFailed { .. } | Outcome::Cancelled => {
+                return Vec::new();
+            }
         };
         counts.requests += 1;
         if success {
--- a/crates/pistachiotrackd/src/via.rs
+++ b/crates/pistachiotrackd/src/via.rs
@@ -106,13 +106,13 @@
     fn outcome(self) -> Outcome {
         match self {
             // Only with an answer, which is then passed on.
-            ViaEnd::Answered { .. } => Outcome::WitnessFailed { sent: true },
-            ViaEnd::Refused => Outcome::WitnessFailed { sent: false },
+            ViaEnd::Answered { .. } => Outcome::RelayFailed { sent: true },
+            ViaEnd::Refused => Outcome::RelayFailed { sent: false },
             ViaEnd::ConnectFailed => Outcome::ConnectFailed,
             ViaEnd::NotSent => Outcome::NotSent,
             ViaEnd::Broken { fresh } => Outcome::Broken { fresh_connection: fresh },
             ViaEnd::TimedOut { fresh } => Outcome::TimedOut { fresh_connection: fresh },
-            ViaEnd::BodyBroken => Outcome::WitnessFailed { sent: true },
+            ViaEnd::BodyBroken => Outcome::RelayFailed { sent: true },
         }
     }
 
@@ -158,19 +158,19 @@
     /// written, or the witness's own word, makes an attempt certainly not run.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
-            ViaError::NoWitness(_) => Outcome::WitnessFailed { sent: false },
+            ViaError::NoWitness(_) => Outcome::RelayFailed { sent: false },
             ViaError::Ended(end) => end.outcome(),
-            ViaError::Unmarked { .. } => Outcome::WitnessFailed { sent: true },
+            ViaError::Unmarked { .. } => Outcome::RelayFailed { sent: true },
             ViaError::Leg(error) => match error {
                 ExchangeError::NoConnection(_) | ExchangeError::ClosedUnsent => {
-                    Outcome::WitnessFailed { sent: false }
+                    Outcome::RelayFailed { sent: false }
                 }
                 ExchangeError::TooLate
                 | ExchangeError::BodyGone
                 | ExchangeError::CallerBody { sent: false } => Outcome::NotSent,
                 ExchangeError::CallerBody { sent: true } => Outcome::Cancelled,
                 ExchangeError::Broken { .. } | ExchangeError::TimedOut { .. } => {
-                    Outcome::WitnessFailed { sent: true }
+                    Outcome::RelayFailed { sent: true }
                 }
             },
         }
