--- a/crates/pistachiotrack-core/src/idempotency.rs
+++ b/crates/pistachiotrack-core/src/idempotency.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys: joins duplicates of a request at the shard's owner.
+//! Idempotency keys: deduplicates requests at the shard's owner.
 //!
-//! The table knows only what this owner has seen within its bounds. A repeat
-//! that is not on record is answered with "unknown" and never run, because
-//! another owner may have run the first.
+//! The table only has keys that this owner has seen, within its bounds. A repeat
+//! without a record is answered with "unknown" and never run, because another
+//! owner may have run the original request.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -11,35 +11,35 @@
 
 use crate::{name::Name, request::RequestId, time::Time};
 
-/// Largest body that is kept for duplicates.
+/// Largest response body that is stored for duplicates.
 pub const MAX_STORED_BODY_BYTES: usize = 16 * 1024;
 
-/// An answer that is kept for duplicates of its request.
+/// Response that is stored for duplicates of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Value of the `content-type` header, if any.
     pub content_type: Option<String>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Bounds of the keys on record.
+/// Bounds of a key table.
 #[derive(Clone, Debug)]
 pub struct KeySettings {
-    /// Keys on record; the oldest finished one is forgotten for a new one.
+    /// Maximum number of keys; the oldest finished one is evicted for a new one.
     pub max_keys: usize,
-    /// Bytes of all stored bodies; the oldest body is dropped for a new one,
-    /// its key stays.
+    /// Maximum total size of stored bodies; the oldest body is evicted for a
+    /// new one, its key stays.
     pub max_body_bytes: usize,
-    /// Time after which a finished key is forgotten.
+    /// Time after which a finished key expires.
     pub max_age: Duration,
-    /// Time that a stored answer may take to follow the end of its body.
+    /// Maximum time from the end of an answer's body until the answer is stored.
     pub store_grace: Duration,
-    /// Keys that are handed over; the newest go first.
+    /// Maximum number of keys that are handed over, the newest first.
     pub max_hand_over_keys: usize,
-    /// Bytes of stored bodies that are handed over.
+    /// Maximum total size of stored bodies that are handed over.
     pub max_hand_over_bytes: usize,
 }
 
@@ -56,68 +56,68 @@
     }
 }
 
-/// A key on record as an owner tells its successor.
+/// A key that an owner hands over to its successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyHandOver {
     /// Customer that the key belongs to.
     pub customer: Name,
     /// The key.
     pub key: Name,
-    /// Time since the request came.
+    /// Time since the request arrived.
     pub age_ms: u64,
-    /// The stored answer; `None` if the outcome is unknown or not stored.
+    /// The stored answer; `None` if the outcome is unknown or the answer isn't stored.
     pub answer: Option<Arc<StoredAnswer>>,
 }
 
-/// What becomes of a request with a key.
+/// Decision on a request with a key. The original is the first request with the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// It is the first and may run.
+    /// This is the original and may run.
     Run,
-    /// The first is in flight; it waits for the first's answer.
+    /// The original is in flight; this request waits for its answer.
     Join,
-    /// The first has been answered.
+    /// The original has been answered.
     Replay(Arc<StoredAnswer>),
-    /// The first may have run and its answer is not held.
-    Lost,
-    /// It is a repeat and its first is not on record.
+    /// The original may have run and its answer isn't stored.
+    OutcomeUnknown,
+    /// This is a repeat and there is no record of the original.
     NoRecord,
-    /// Every key on record is in flight; it can't be recorded.
-    Full,
+    /// All keys in the table are in flight; this one can't be added.
+    TableFull,
 }
 
 type KeyId = (Name, Name);
 
 #[derive(Clone, Debug)]
 enum State {
-    /// The first is in flight, or its answer is on its way.
+    /// The original is in flight, or its answer isn't stored yet.
     InFlight {
         waiters: Vec<RequestId>,
     },
     Stored(Arc<StoredAnswer>),
-    Lost,
+    OutcomeUnknown,
 }
 
 #[derive(Clone, Debug)]
 struct Record {
-    since: Time,
+    received_at: Time,
     serial: u64,
     state: State,
 }
 
-/// The keys on record of one shard.
+/// Idempotency keys of one shard.
 #[derive(Clone, Debug)]
 pub struct KeyTable {
     settings: KeySettings,
     records: FxHashMap<KeyId, Record>,
     in_flight: FxHashMap<RequestId, KeyId>,
-    /// Finished records, oldest first; an entry whose serial is not its
-    /// record's is stale.
+    /// Finished records, oldest first; an entry is stale if its serial differs
+    /// from its record's.
     finished: VecDeque<(KeyId, u64)>,
     /// Records with a body, oldest first; stale entries as above.
     stored: VecDeque<(KeyId, u64)>,
-    /// Requests whose body ended and whose answer may still be stored.
-    ending: VecDeque<(Time, RequestId)>,
+    /// Requests whose answer is complete and may still be stored.
+    awaiting_store: VecDeque<(Time, RequestId)>,
     body_bytes: usize,
     next_serial: u64,
 }
@@ -131,23 +131,23 @@
             in_flight: FxHashMap::default(),
             finished: VecDeque::new(),
             stored: VecDeque::new(),
-            ending: VecDeque::new(),
+            awaiting_store: VecDeque::new(),
             body_bytes: 0,
             next_serial: 0,
         }
     }
 
-    /// Returns the number of keys on record.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no key is on record.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Decides what becomes of a request with a key.
+    /// Decides on a request with a key.
     pub fn claim(
         &mut self,
         now: Time,
@@ -156,7 +156,7 @@
         request: RequestId,
         repeat: bool,
     ) -> Claim {
-        self.forget_old(now);
+        self.evict_expired(now);
         let id = (customer.clone(), key.clone());
         if let Some(record) = self.records.get_mut(&id) {
             return match &mut record.state {
@@ -165,14 +165,14 @@
                     Claim::Join
                 }
                 State::Stored(answer) => Claim::Replay(answer.clone()),
-                State::Lost => Claim::Lost,
+                State::OutcomeUnknown => Claim::OutcomeUnknown,
             };
         }
         if repeat {
             return Claim::NoRecord;
         }
-        if self.records.len() >= self.settings.max_keys && !self.forget_oldest() {
-            return Claim::Full;
+        if self.records.len() >= self.settings.max_keys && !self.evict_oldest() {
+            return Claim::TableFull;
         }
         let state = State::InFlight { waiters: Vec::new() };
         self.insert(now, id.clone(), state);
@@ -180,8 +180,8 @@
         Claim::Run
     }
 
-    /// Notes that the first was certainly not run; returns the requests that
-    /// waited for it.
+    /// Records that the original was certainly not run; returns the requests
+    /// that waited for it.
     pub fn on_not_run(&mut self, request: RequestId) -> Vec<RequestId> {
         let Some(id) = self.in_flight.remove(&request) else { return Vec::new() };
         match self.records.remove(&id).map(|record| record.state) {
@@ -190,31 +190,31 @@
         }
     }
 
-    /// Notes that the first may have run and that its answer is lost; returns
+    /// Records that the original may have run and its answer is lost; returns
     /// the requests that waited for it.
-    pub fn on_lost(&mut self, request: RequestId) -> Vec<RequestId> {
-        self.finish(request, State::Lost)
+    pub fn on_answer_lost(&mut self, request: RequestId) -> Vec<RequestId> {
+        self.finish(request, State::OutcomeUnknown)
     }
 
-    /// Notes that the first's answer has come whole; it may be stored yet.
+    /// Records that the answer of the original is complete; it may still be stored.
     pub fn on_answered(&mut self, now: Time, request: RequestId) {
         if self.in_flight.contains_key(&request) {
-            self.ending.push_back((now, request));
+            self.awaiting_store.push_back((now, request));
         }
     }
 
-    /// Stores the first's answer; returns the requests that waited for it.
+    /// Stores the answer of the original; returns the requests that waited for it.
     pub fn on_stored(&mut self, request: RequestId, answer: &Arc<StoredAnswer>) -> Vec<RequestId> {
         if answer.body.len() > MAX_STORED_BODY_BYTES {
             return Vec::new();
         }
         let waiters = self.finish(request, State::Stored(answer.clone()));
-        self.bound_bodies();
+        self.evict_bodies();
         waiters
     }
 
-    /// Takes a waiting request out, whose caller or deadline is gone.
-    pub fn leave(&mut self, customer: &Name, key: &Name, request: RequestId) {
+    /// Removes a waiting request whose caller has disconnected or whose deadline has passed.
+    pub fn remove_waiter(&mut self, customer: &Name, key: &Name, request: RequestId) {
         let id = (customer.clone(), key.clone());
         if let Some(State::InFlight { waiters }) =
             self.records.get_mut(&id).map(|record| &mut record.state)
@@ -227,21 +227,21 @@
     /// that waited for them.
     pub fn on_tick(&mut self, now: Time) -> Vec<RequestId> {
         let mut waiters = Vec::new();
-        while let Some((ended_at, request)) = self.ending.front().copied() {
+        while let Some((ended_at, request)) = self.awaiting_store.front().copied() {
             if now < ended_at + self.settings.store_grace {
                 break;
             }
-            self.ending.pop_front();
-            waiters.extend(self.on_lost(request));
+            self.awaiting_store.pop_front();
+            waiters.extend(self.on_answer_lost(request));
         }
-        self.forget_old(now);
+        self.evict_expired(now);
         waiters
     }
 
-    /// Returns what a successor needs to know, the newest keys first.
+    /// Returns the keys to hand over to a successor, the newest first.
     ///
-    /// A key whose first is still in flight is handed over without an answer:
-    /// the successor can't know the outcome.
+    /// A key whose original is still in flight is handed over without an
+    /// answer, because the successor can't know the outcome.
     pub fn hand_over(&self, now: Time) -> Vec<KeyHandOver> {
         let mut records: Vec<_> = self.records.iter().collect();
         records.sort_by_key(|(_, record)| std::cmp::Reverse(record.serial));
@@ -257,49 +257,49 @@
             keys.push(KeyHandOver {
                 customer: customer.clone(),
                 key: key.clone(),
-                age_ms: now.since(record.since).as_millis() as u64,
+                age_ms: now.since(record.received_at).as_millis() as u64,
                 answer,
             });
         }
         keys
     }
 
-    /// Takes what a predecessor knew; what is on record here stays.
+    /// Adds the keys of a predecessor; existing records are kept.
     pub fn on_hand_over(&mut self, now: Time, keys: &[KeyHandOver]) {
-        for handed in keys.iter().rev() {
-            let id = (handed.customer.clone(), handed.key.clone());
+        for key in keys.iter().rev() {
+            let id = (key.customer.clone(), key.key.clone());
             if self.records.contains_key(&id) {
                 continue;
             }
-            if self.records.len() >= self.settings.max_keys && !self.forget_oldest() {
+            if self.records.len() >= self.settings.max_keys && !self.evict_oldest() {
                 return;
             }
-            let state = handed.answer.clone().map_or(State::Lost, State::Stored);
-            let since = now.before(Duration::from_millis(handed.age_ms));
-            self.insert_finished(since, id, state);
+            let state = key.answer.clone().map_or(State::OutcomeUnknown, State::Stored);
+            let received_at = now.before(Duration::from_millis(key.age_ms));
+            self.insert_finished(received_at, id, state);
         }
-        self.bound_bodies();
+        self.evict_bodies();
     }
 
     fn finish(&mut self, request: RequestId, state: State) -> Vec<RequestId> {
         let Some(id) = self.in_flight.remove(&request) else { return Vec::new() };
         let Some(record) = self.records.remove(&id) else { return Vec::new() };
         let State::InFlight { waiters } = record.state else { return Vec::new() };
-        self.insert_finished(record.since, id, state);
+        self.insert_finished(record.received_at, id, state);
         waiters
     }
 
-    fn insert(&mut self, since: Time, id: KeyId, state: State) -> u64 {
+    fn insert(&mut self, received_at: Time, id: KeyId, state: State) -> u64 {
         let serial = self.next_serial;
         self.next_serial += 1;
-        self.records.insert(id, Record { since, serial, state });
+        self.records.insert(id, Record { received_at, serial, state });
         serial
     }
 
-    fn insert_finished(&mut self, since: Time, id: KeyId, state: State) {
+    fn insert_finished(&mut self, received_at: Time, id: KeyId, state: State) {
         let body_bytes = body_bytes(&state);
         let is_stored = matches!(state, State::Stored(_));
-        let serial = self.insert(since, id.clone(), state);
+        let serial = self.insert(received_at, id.clone(), state);
         self.body_bytes += body_bytes;
         if is_stored {
             self.stored.push_back((id.clone(), serial));
@@ -307,16 +307,16 @@
         self.finished.push_back((id, serial));
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn evict_expired(&mut self, now: Time) {
         while let Some((id, serial)) = self.finished.front() {
             let record = self.records.get(id).filter(|record| record.serial == *serial);
-            if record.is_some_and(|record| now < record.since + self.settings.max_age) {
+            if record.is_some_and(|record| now < record.received_at + self.settings.max_age) {
                 break;
             }
             if record.is_none() {
                 self.finished.pop_front();
             } else {
-                self.forget_oldest();
+                self.evict_oldest();
             }
         }
         while let Some((id, serial)) = self.stored.front() {
@@ -327,8 +327,8 @@
         }
     }
 
-    /// Forgets the oldest finished key and returns whether there was one.
-    fn forget_oldest(&mut self) -> bool {
+    /// Evicts the oldest finished key and returns whether there was one.
+    fn evict_oldest(&mut self) -> bool {
         while let Some((id, serial)) = self.finished.pop_front() {
             if self.records.get(&id).is_none_or(|record| record.serial != serial) {
                 continue;
@@ -341,13 +341,13 @@
         false
     }
 
-    fn bound_bodies(&mut self) {
+    fn evict_bodies(&mut self) {
         while self.body_bytes > self.settings.max_body_bytes {
             let Some((id, serial)) = self.stored.pop_front() else { return };
             let Some(record) = self.records.get_mut(&id) else { continue };
             if record.serial == serial {
                 self.body_bytes -= body_bytes(&record.state);
-                record.state = State::Lost;
+                record.state = State::OutcomeUnknown;
             }
         }
     }
--- a/crates/pistachiotrack-core/src/lib.rs
+++ b/crates/pistachiotrack-core/src/lib.rs
@@ -1,12 +1,13 @@
-//! Decisions of the pistachiotrack proxy fleet, without any input or output.
+//! Decision logic of the pistachiotrack proxy fleet, without I/O.
 //!
-//! Every part is a plain struct that takes typed events together with a
+//! Each component is a plain struct that takes typed events together with a
 //! monotonic [`time::Time`] and returns typed actions. Nothing here opens a
-//! socket, reads a clock or starts a thread, so the daemon, the fault matrix,
-//! the fuzzers and the experiments all run the same code.
+//! socket, reads a clock or starts a thread, so that the daemon, the fault
+//! injection tests, the fuzzers and the experiments all run the same code.
 
 pub mod admin;
 pub mod admission;
+pub mod concurrency_limit;
 pub mod config;
 pub mod config_sync;
 pub mod contract;
@@ -14,13 +15,12 @@
 pub mod customer;
 pub mod data_centre;
 pub mod endpoint;
+pub mod feature_flags;
 pub mod fingerprint;
 pub mod hash;
 pub mod header;
 pub mod health;
 pub mod idempotency;
-pub mod limit;
-pub mod mechanism;
 pub mod membership;
 pub mod message;
 pub mod name;
--- /dev/null
+++ b/crates/pistachiotrack-core/src/retry/fleet_retry_budget.rs
@@ -0,0 +1,391 @@
+//! Retry limit that is shared by the dispatchers of a service.
+//!
+//! Each dispatcher reports to the others how much it has sent, so that each can compute how
+//! many retries remain for all of them. Dividing the limit among them instead would leave most
+//! of it unused, because failures come in bursts and not evenly at all VMs.
+
+use std::{collections::VecDeque, time::Duration};
+
+use rustc_hash::FxHashMap;
+use serde::{Deserialize, Serialize};
+
+use crate::{name::Name, service::RetryLimit, time::Time};
+
+/// Steps into which a window is divided; one more is kept, so that a whole window is covered
+/// at any time.
+const STEPS: usize = 20;
+/// Fraction of the slack used by dispatchers that know the whole last window. The rest covers
+/// what they don't know yet: two VMs taking the last retry at the same moment, datagrams in
+/// transit, and dispatchers that have just started.
+const SLACK_FRACTION: f64 = 0.75;
+/// Fraction of the slack used by dispatchers that don't know the whole last window, as after a
+/// restart of all VMs. Two restarts of all VMs in one window stay within the slack.
+const UNKNOWN_WINDOW_SLACK_FRACTION: f64 = 0.1;
+/// Fraction of the slack below which the remaining retries are divided among the VMs that need
+/// some. Above it, a burst of failures at one VM may take any number: if retries were always
+/// divided, they would come too late when endpoints fail in bursts.
+const DIVIDE_BELOW_FRACTION: f64 = 0.6;
+/// Time after its last retry during which another VM counts as needing more retries.
+const RETRY_DEMAND_TIME: Duration = Duration::from_secs(2);
+/// Time for which a VM's allowance is valid: over twice the delay of an update on a saturated
+/// link, so that VMs that need retries at the same time don't take the same ones.
+const ALLOWANCE_TIME: Duration = Duration::from_secs(1);
+/// Number of windows without an update after which a VM is removed.
+const PEER_EXPIRY_WINDOWS: u32 = 10;
+
+/// Number of requests and retries sent to endpoints.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SendCounts {
+    /// Requests, each counted once, when it is first sent.
+    pub requests: u64,
+    /// Number of times a request was sent again.
+    pub retries: u64,
+}
+
+impl SendCounts {
+    fn plus(self, other: SendCounts) -> SendCounts {
+        SendCounts {
+            requests: self.requests.saturating_add(other.requests),
+            retries: self.retries.saturating_add(other.retries),
+        }
+    }
+
+    fn minus(self, other: SendCounts) -> SendCounts {
+        SendCounts {
+            requests: self.requests.saturating_sub(other.requests),
+            retries: self.retries.saturating_sub(other.retries),
+        }
+    }
+
+    fn max(self, other: SendCounts) -> SendCounts {
+        SendCounts {
+            requests: self.requests.max(other.requests),
+            retries: self.retries.max(other.retries),
+        }
+    }
+}
+
+/// Total counts of what a VM has sent as a dispatcher.
+///
+/// Totals are sent instead of differences, so that the next datagram makes up for a lost one.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CumulativeCounts {
+    /// Random identifier of the count; it differs when the VM restarts its count.
+    pub count_id: u32,
+    /// Requests and retries sent.
+    pub sent: SendCounts,
+}
+
+/// Last counts reported by another VM.
+#[derive(Clone, Copy, Debug)]
+struct Peer {
+    total: CumulativeCounts,
+    last_update_at: Time,
+    /// Time of the last update with a new retry.
+    retried_at: Option<Time>,
+}
+
+/// The dispatchers of a service that are visible to a VM.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct VisibleDispatchers {
+    /// Number of dispatchers that this VM considers alive.
+    pub count: u32,
+    /// Whether this VM is one of them.
+    pub is_member: bool,
+}
+
+/// Retry budget of one VM under a limit that all VMs share.
+///
+/// Failure guarded against: all VMs together send more retries than the endpoints can handle
+/// (retry storm). It shows as load that grows while fewer requests are answered. The guard
+/// holds because all dispatchers count each other's retries against one limit; a VM that is no
+/// dispatcher, and whose retries the others don't count, earns each retry by its own requests;
+/// a VM that is partitioned off sees fewer dispatchers than expected and uses less of the
+/// slack; and while several VMs need retries, each takes only an allowance of the remaining
+/// ones at a time, as the others may just have taken theirs.
+#[derive(Clone, Debug)]
+pub struct FleetRetryBudget {
+    limit: RetryLimit,
+    /// Expected number of dispatchers.
+    expected: u32,
+    visible: VisibleDispatchers,
+    /// Whether this VM became a dispatcher after the budget was created.
+    joined_late: bool,
+    /// Counts of this VM as a dispatcher.
+    total: CumulativeCounts,
+    peers: FxHashMap<Name, Peer>,
+    /// Counts of this VM in the last window while it was no dispatcher.
+    non_dispatcher_window: SlidingWindow,
+    /// Known counts of all dispatchers in the last window.
+    fleet_window: SlidingWindow,
+    /// Time from which on `fleet_window` covers a whole window.
+    window_known_at: Time,
+    created_at: Time,
+    allowance: Allowance,
+    /// Whether the remaining retries are divided while several VMs need some.
+    divides_remaining: bool,
+}
+
+/// Part of the remaining retries that a VM may take within a short time.
+#[derive(Clone, Copy, Debug, Default)]
+struct Allowance {
+    remaining: f64,
+    valid_until: Time,
+}
+
+impl FleetRetryBudget {
+    /// Creates a budget without any counts.
+    ///
+    /// `count_id` is a random number.
+    pub fn new(now: Time, limit: RetryLimit, expected: u32, count_id: u32) -> FleetRetryBudget {
+        FleetRetryBudget {
+            limit,
+            expected,
+            visible: VisibleDispatchers::default(),
+            joined_late: false,
+            total: CumulativeCounts { count_id, sent: SendCounts::default() },
+            peers: FxHashMap::default(),
+            non_dispatcher_window: SlidingWindow::new(now, limit),
+            fleet_window: SlidingWindow::new(now, limit),
+            window_known_at: now + window(limit),
+            created_at: now,
+            allowance: Allowance::default(),
+            divides_remaining: true,
+        }
+    }
+
+    /// Returns the expected number of dispatchers.
+    pub fn expected(&self) -> u32 {
+        self.expected
+    }
+
+    /// Sets whether the remaining retries are divided among VMs that need some.
+    pub fn set_divides_remaining(&mut self, divides_remaining: bool) {
+        self.divides_remaining = divides_remaining;
+    }
+
+    /// Sets the limit and the expected number of dispatchers.
+    pub fn configure(&mut self, now: Time, limit: RetryLimit, expected: u32) {
+        if window(limit) != window(self.limit) {
+            self.non_dispatcher_window = SlidingWindow::new(now, limit);
+            self.fleet_window = SlidingWindow::new(now, limit);
+            self.window_known_at = now + window(limit);
+        }
+        self.limit = limit;
+        self.expected = expected;
+    }
+
+    /// Sets the visible dispatchers; returns whether this VM has just become a dispatcher and
+    /// must request a snapshot from another one.
+    pub fn set_visible_dispatchers(&mut self, now: Time, visible: VisibleDispatchers) -> bool {
+        let becomes_dispatcher = visible.is_member && !self.visible.is_member;
+        if becomes_dispatcher {
+            self.window_known_at = now + window(self.limit);
+            self.joined_late = now > self.created_at;
+        }
+        self.visible = visible;
+        becomes_dispatcher
+    }
+
+    /// Records the first sending of a request.
+    pub fn on_request(&mut self, now: Time) {
+        self.record(now, SendCounts { requests: 1, retries: 0 });
+    }
+
+    /// Records a retry that is sent regardless of the limit.
+    pub fn record_retry(&mut self, now: Time) {
+        self.record(now, SendCounts { requests: 0, retries: 1 });
+    }
+
+    /// Takes one retry from the budget and returns whether there was one.
+    pub fn take(&mut self, now: Time) -> bool {
+        let (allowed, spent) = self.usage(now);
+        let is_available = spent + 1.0 <= allowed && self.take_from_allowance(now, allowed - spent);
+        if is_available {
+            self.record_retry(now);
+        }
+        is_available
+    }
+
+    /// Takes one retry from this VM's allowance if few retries remain and others need some too.
+    fn take_from_allowance(&mut self, now: Time, remaining: f64) -> bool {
+        let needs_retries = |peer: &&Peer| {
+            peer.retried_at.is_some_and(|retried_at| now.since(retried_at) < RETRY_DEMAND_TIME)
+        };
+        let others = self.peers.values().filter(needs_retries).count();
+        let is_ample = !self.divides_remaining
+            || remaining >= f64::from(self.limit.slack) * DIVIDE_BELOW_FRACTION;
+        if is_ample || others == 0 || !self.visible.is_member {
+            return true;
+        }
+        if now >= self.allowance.valid_until {
+            // An allowance below one retry is carried over, otherwise no VM could take any.
+            let carried_over = self.allowance.remaining.min(1.0);
+            let portion = remaining / (others + 1) as f64;
+            self.allowance =
+                Allowance { remaining: carried_over + portion, valid_until: now + ALLOWANCE_TIME };
+        }
+        let is_available = self.allowance.remaining >= 1.0;
+        if is_available {
+            self.allowance.remaining -= 1.0;
+        }
+        is_available
+    }
+
+    /// Takes a retry for a hedge, which only saves time, and returns whether there was one: half
+    /// of the allowed retries are reserved for retries of failed requests.
+    pub fn take_for_hedge(&mut self, now: Time) -> bool {
+        let (allowed, spent) = self.usage(now);
+        spent + 1.0 <= allowed / 2.0 && self.take(now)
+    }
+
+    /// Returns the counts to report to the other VMs.
+    pub fn total(&self) -> CumulativeCounts {
+        self.total
+    }
+
+    /// Records the counts reported by another VM.
+    ///
+    /// Counts from before a VM's first report are part of the snapshot that a new dispatcher
+    /// requests.
+    pub fn on_peer_counts(&mut self, now: Time, from: &Name, total: CumulativeCounts) {
+        let known = self.peers.get(from).map(|peer| peer.total);
+        let (added, total) = match known {
+            None => (SendCounts::default(), total),
+            Some(known) if known.count_id != total.count_id => (total.sent, total),
+            // A reordered datagram has smaller totals and adds nothing.
+            Some(known) => {
+                let sent = total.sent.max(known.sent);
+                (sent.minus(known.sent), CumulativeCounts { sent, ..total })
+            }
+        };
+        self.fleet_window.record(now, added);
+        let retried_before = self.peers.get(from).and_then(|peer| peer.retried_at);
+        let retried_at = if added.retries > 0 { Some(now) } else { retried_before };
+        let peer = Peer { total, last_update_at: now, retried_at };
+        match self.peers.get_mut(from) {
+            Some(known) => *known = peer,
+            None => self.add_peer(now, from.clone(), peer),
+        }
+    }
+
+    /// Returns the counts of all dispatchers in the last window, newest step first; empty if
+    /// this VM doesn't know the whole window.
+    pub fn history(&mut self, now: Time) -> Vec<SendCounts> {
+        if !self.is_window_known(now) {
+            return Vec::new();
+        }
+        self.fleet_window.advance(now);
+        self.fleet_window.steps.iter().copied().collect()
+    }
+
+    /// Merges another VM's counts of the last window.
+    pub fn on_history(&mut self, now: Time, history: &[SendCounts]) {
+        if history.is_empty() || !self.visible.is_member {
+            return;
+        }
+        self.fleet_window.merge(now, history);
+        self.window_known_at = self.window_known_at.min(now);
+    }
+
+    /// Adds a VM and removes those without recent updates, since replaced VMs get new names.
+    fn add_peer(&mut self, now: Time, name: Name, peer: Peer) {
+        let expiry = window(self.limit) * PEER_EXPIRY_WINDOWS;
+        self.peers.retain(|_, known| now.since(known.last_update_at) < expiry);
+        self.peers.insert(name, peer);
+    }
+
+    fn record(&mut self, now: Time, sent: SendCounts) {
+        if !self.visible.is_member {
+            return self.non_dispatcher_window.record(now, sent);
+        }
+        self.fleet_window.record(now, sent);
+        self.total.sent = self.total.sent.plus(sent);
+    }
+
+    fn is_window_known(&self, now: Time) -> bool {
+        self.visible.is_member && now >= self.window_known_at
+    }
+
+    /// Returns how many retries are allowed in a window and how many were sent.
+    fn usage(&mut self, now: Time) -> (f64, f64) {
+        if !self.visible.is_member {
+            let sent = self.non_dispatcher_window.sum(now);
+            return (self.earned(sent), sent.retries as f64);
+        }
+        // VMs may replace each other one after the other, and each would add its own slack.
+        let fraction = match (self.is_window_known(now), self.joined_late) {
+            (true, _) => SLACK_FRACTION,
+            (false, false) => UNKNOWN_WINDOW_SLACK_FRACTION,
+            (false, true) => 0.0,
+        };
+        let visible_ratio = f64::from(self.visible.count) / f64::from(self.expected.max(1));
+        let slack = f64::from(self.limit.slack) * fraction * visible_ratio.min(1.0);
+        let sent = self.fleet_window.sum(now);
+        (self.earned(sent) + slack, sent.retries as f64)
+    }
+
+    fn earned(&self, sent: SendCounts) -> f64 {
+        self.limit.ratio * sent.requests as f64
+    }
+}
+
+/// Sliding window of counts.
+#[derive(Clone, Debug)]
+struct SlidingWindow {
+    step: Duration,
+    /// Newest first.
+    steps: VecDeque<SendCounts>,
+    newest_started_at: Time,
+}
+
+impl SlidingWindow {
+    fn new(now: Time, limit: RetryLimit) -> SlidingWindow {
+        SlidingWindow {
+            step: window(limit) / STEPS as u32,
+            steps: VecDeque::from(vec![SendCounts::default(); STEPS + 1]),
+            newest_started_at: now,
+        }
+    }
+
+    fn record(&mut self, now: Time, sent: SendCounts) {
+        self.advance(now);
+        if let Some(newest) = self.steps.front_mut() {
+            *newest = newest.plus(sent);
+        }
+    }
+
+    /// Returns the retries of slightly more than a window and the requests of slightly less, so
+    /// that errors are on the safe side.
+    fn sum(&mut self, now: Time) -> SendCounts {
+        self.advance(now);
+        let sum = self.steps.iter().copied().fold(SendCounts::default(), SendCounts::plus);
+        let oldest = self.steps.back().map_or(0, |step| step.requests);
+        SendCounts { requests: sum.requests.saturating_sub(oldest), ..sum }
+    }
+
+    /// Merges the counts of another VM, whose steps may be shifted by one.
+    fn merge(&mut self, now: Time, others: &[SendCounts]) {
+        self.advance(now);
+        for (step, other) in self.steps.iter_mut().zip(others) {
+            *step = step.max(*other);
+        }
+    }
+
+    fn advance(&mut self, now: Time) {
+        let mut elapsed_steps = 0;
+        while now.since(self.newest_started_at) >= self.step && elapsed_steps <= STEPS {
+            self.steps.pop_back();
+            self.steps.push_front(SendCounts::default());
+            self.newest_started_at += self.step;
+            elapsed_steps += 1;
+        }
+        if elapsed_steps > STEPS {
+            self.newest_started_at = now;
+        }
+    }
+}
+
+fn window(limit: RetryLimit) -> Duration {
+    Duration::from_millis(limit.window_ms.max(1))
+}
--- a/crates/pistachiotrack-core/src/shard/flow.rs
+++ b/crates/pistachiotrack-core/src/shard/flow.rs
@@ -8,7 +8,7 @@
     state::{Attempt, Live, Phase},
 };
 use crate::{
-    admission::Ticket,
+    admission::QueueEntry,
     health::{AttemptKind, Standing},
     idempotency::Claim,
     name::Name,
@@ -84,9 +84,9 @@
                 self.live.remove(&id);
                 self.out.push(ShardAction::Replay { request: id, answer });
             }
-            Claim::Lost => self.refuse_as_run(now, id, Reason::Duplicate),
+            Claim::OutcomeUnknown => self.refuse_as_run(now, id, Reason::Duplicate),
             Claim::NoRecord => self.refuse_as_run(now, id, Reason::NoRecord),
-            Claim::Full => self.refuse(now, id, Reason::QueueFull, None),
+            Claim::TableFull => self.refuse(now, id, Reason::QueueFull, None),
         }
     }
 
@@ -112,7 +112,7 @@
         let is_full = self.queue.len() >= self.queue_limit;
         if is_full && (!self.queue.is_empty() || !self.pool.has_free_slot(now)) {
             let hint = self.retry_hint(self.queue_wait(now));
-            let Some(victim) = self.queue.victim(&customer, class) else {
+            let Some(victim) = self.queue.eviction_candidate(&customer, class) else {
                 return self.refuse(now, id, Reason::QueueFull, hint);
             };
             self.refuse(now, victim, Reason::QueueFull, hint);
@@ -124,7 +124,7 @@
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(live) = self.live.get_mut(&id) else { return };
         live.phase = Phase::Queued;
-        let ticket = Ticket { deadline: live.request.deadline, request: id };
+        let ticket = QueueEntry { deadline: live.request.deadline, request: id };
         self.queue.push(&live.request.customer, live.request.class, ticket);
         self.expiry.insert((live.not_after, id));
     }
@@ -134,7 +134,7 @@
         if self.queue.is_empty() && self.pool.has_free_slot(now) {
             return Duration::ZERO;
         }
-        self.drain_time(self.queue.ahead(customer, class))
+        self.drain_time(self.queue.requests_ahead(customer, class))
     }
 
     /// Returns the time in which so many requests leave the queue.
@@ -213,7 +213,7 @@
             tried: &live.tried,
             max_risk: self.max_risk(now, live),
             now,
-            is_strained: self.mechanisms.strain && self.strain.is_strained(),
+            is_strained: self.mechanisms.coverage_on_failures && self.strain.is_strained(),
             allow_tried,
         })
     }
@@ -227,7 +227,7 @@
     fn max_risk(&self, now: Time, live: &Live) -> f64 {
         let part = if live.request.idempotent { PATIENCE_PARTS.0 } else { PATIENCE_PARTS.1 };
         let patience = live.not_after.since(live.arrived).mul_f64(part);
-        let is_patient = self.mechanisms.patience
+        let is_patient = self.mechanisms.wait_for_proven_endpoints
             && now.since(live.arrived) < patience
             && (self.queue.len() <= PATIENT_QUEUE || self.proven_drain_time() <= patience);
         if is_patient { PATIENT_RISK } else { 1.0 }
@@ -364,7 +364,7 @@
     fn give_up_at(&self, now: Time, id: RequestId, standing: Standing) -> Option<Time> {
         let live = self.live.get(&id)?;
         let deadline = live.request.deadline;
-        let can_retry = self.mechanisms.give_ups
+        let can_retry = self.mechanisms.attempt_abandonment
             && live.request.idempotent
             && live.sent + 1 < live.request.max_attempts
             && self.pool.usable(true) > 1;
@@ -444,6 +444,6 @@
     } else if in_doubt {
         ConnectionChoice::Fresh
     } else {
-        ConnectionChoice::Lively
+        ConnectionChoice::RecentlyUsed
     }
 }
--- /dev/null
+++ b/crates/pistachiotrack-core/tests/fleet_retry_budget.rs
@@ -0,0 +1,286 @@
+//! Retry limit that is shared by the dispatchers of a service.
+
+use std::{collections::VecDeque, time::Duration};
+
+use pistachiotrack_core::{
+    name::Name,
+    retry::{CumulativeCounts, FleetRetryBudget, VisibleDispatchers},
+    service::RetryLimit,
+    time::Time,
+};
+use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg32;
+
+const LIMIT: RetryLimit = RetryLimit { ratio: 0.2, slack: 62, window_ms: 10_000 };
+const VMS: usize = 20;
+const DISPATCHERS: usize = 6;
+const STEP_MS: u64 = 10;
+const STEPS: u64 = 5_000;
+const START: Time = Time::from_millis(1_000_000);
+
+/// Parameters of one simulated run.
+#[derive(Clone, Debug)]
+struct Scenario {
+    seed: u64,
+    requests_percent: u32,
+    failed_percent: u32,
+    lost_percent: u32,
+    /// Delay of an update.
+    delay_ms: u64,
+    /// Steps at which all VMs restart, more than a window apart.
+    restarts: Vec<u64>,
+    /// Steps at which another VM replaces a dispatcher.
+    replacements: Vec<u64>,
+}
+
+impl Arbitrary for Scenario {
+    fn arbitrary(g: &mut Gen) -> Scenario {
+        let below = |g: &mut Gen, bound: u64| u64::arbitrary(g) % bound;
+        let first = below(g, STEPS);
+        Scenario {
+            seed: u64::arbitrary(g),
+            requests_percent: 5 + below(g, 95) as u32,
+            failed_percent: below(g, 101) as u32,
+            lost_percent: below(g, 30) as u32,
+            delay_ms: 0,
+            restarts: vec![first, first + 1_500],
+            replacements: (0..below(g, 8)).map(|_| below(g, STEPS)).collect(),
+        }
+    }
+}
+
+/// The VMs of a deployment; those in `dispatchers` are dispatchers.
+struct Fleet {
+    budgets: Vec<FleetRetryBudget>,
+    dispatchers: Vec<usize>,
+    rng: Pcg32,
+    lost_percent: u32,
+    next_count_id: u32,
+    delay_ms: u64,
+    in_transit: VecDeque<Update>,
+    sent: Vec<(Time, bool)>,
+}
+
+/// Update from one VM to another, with its arrival time.
+struct Update {
+    at: Time,
+    from: Name,
+    to: usize,
+    total: CumulativeCounts,
+}
+
+impl Fleet {
+    fn new(now: Time, scenario: &Scenario) -> Fleet {
+        let mut fleet = Fleet {
+            budgets: Vec::new(),
+            dispatchers: (0..DISPATCHERS).collect(),
+            rng: Pcg32::seed_from_u64(scenario.seed),
+            lost_percent: scenario.lost_percent,
+            next_count_id: 0,
+            delay_ms: scenario.delay_ms,
+            in_transit: VecDeque::new(),
+            sent: Vec::new(),
+        };
+        fleet.restart(now);
+        fleet
+    }
+
+    fn restart(&mut self, now: Time) {
+        self.budgets.clear();
+        for vm in 0..VMS {
+            self.next_count_id += 1;
+            let mut budget =
+                FleetRetryBudget::new(now, LIMIT, DISPATCHERS as u32, self.next_count_id);
+            budget.set_visible_dispatchers(now, self.visible_to(vm));
+            self.budgets.push(budget);
+        }
+    }
+
+    fn visible_to(&self, vm: usize) -> VisibleDispatchers {
+        let count = self.dispatchers.len() as u32;
+        VisibleDispatchers { count, is_member: self.dispatchers.contains(&vm) }
+    }
+
+    fn chance(&mut self, percent: u32) -> bool {
+        self.rng.next_u32() % 100 < percent
+    }
+
+    /// Replaces a dispatcher by another VM, which requests a snapshot from a third.
+    fn replace_dispatcher(&mut self, now: Time) {
+        let index = self.rng.next_u32() as usize % DISPATCHERS;
+        let new = (0..VMS).find(|vm| !self.dispatchers.contains(vm)).unwrap();
+        self.dispatchers[index] = new;
+        for vm in 0..VMS {
+            let visible = self.visible_to(vm);
+            self.budgets[vm].set_visible_dispatchers(now, visible);
+        }
+        let source = self.dispatchers[(index + 1) % DISPATCHERS];
+        if !self.chance(self.lost_percent) {
+            let history = self.budgets[source].history(now);
+            self.budgets[new].on_history(now, &history);
+        }
+    }
+
+    /// Sends a request, and retries it if it fails.
+    fn serve(&mut self, now: Time, failed_percent: u32) {
+        let is_stale_address = self.chance(10);
+        let draw = self.rng.next_u32() as usize;
+        let vm = match is_stale_address {
+            true => draw % VMS,
+            false => self.dispatchers[draw % DISPATCHERS],
+        };
+        self.budgets[vm].on_request(now);
+        self.sent.push((now, false));
+        if self.chance(failed_percent) && self.budgets[vm].take(now) {
+            self.sent.push((now, true));
+        }
+        let (from, total) = (Name::from(format!("vm-{vm}")), self.budgets[vm].total());
+        for to in self.dispatchers.clone() {
+            if to != vm && !self.chance(self.lost_percent) {
+                let at = now + Duration::from_millis(self.delay_ms);
+                self.in_transit.push_back(Update { at, from: from.clone(), to, total });
+            }
+        }
+        self.deliver(now);
+    }
+
+    fn deliver(&mut self, now: Time) {
+        while self.in_transit.front().is_some_and(|update| update.at <= now) {
+            let Some(Update { from, to, total, .. }) = self.in_transit.pop_front() else { return };
+            self.budgets[to].on_peer_counts(now, &from, total);
+        }
+    }
+
+    /// Returns by how much the limit was exceeded in the worst window.
+    fn excess(&self) -> f64 {
+        let window = Duration::from_millis(LIMIT.window_ms);
+        let mut worst = f64::MIN;
+        for (index, (from, _)) in self.sent.iter().enumerate() {
+            let in_window =
+                self.sent[index..].iter().take_while(|(at, _)| at.since(*from) < window);
+            let (mut requests, mut retries) = (0.0, 0.0);
+            for (_, is_retry) in in_window {
+                if *is_retry { retries += 1.0 } else { requests += 1.0 }
+            }
+            worst = worst.max(retries - LIMIT.ratio * requests - f64::from(LIMIT.slack));
+        }
+        worst
+    }
+
+    fn retries(&self) -> usize {
+        self.sent.iter().filter(|(_, is_retry)| *is_retry).count()
+    }
+}
+
+fn simulate(scenario: &Scenario) -> Fleet {
+    let mut fleet = Fleet::new(START, scenario);
+    for step in 0..STEPS {
+        let now = START + Duration::from_millis(step * STEP_MS);
+        if scenario.restarts.contains(&step) {
+            fleet.restart(now);
+        }
+        if scenario.replacements.contains(&step) {
+            fleet.replace_dispatcher(now);
+        }
+        if fleet.chance(scenario.requests_percent) {
+            fleet.serve(now, scenario.failed_percent);
+        }
+    }
+    fleet
+}
+
+/// Property: while endpoints fail, VMs restart and replace each other, and updates are lost, all
+/// VMs together never send more retries in a window than allowed.
+#[test]
+fn all_vms_together_stay_within_the_limit() {
+    fn property(scenario: Scenario) -> TestResult {
+        match simulate(&scenario).excess() {
+            excess if excess <= 0.0 => TestResult::passed(),
+            excess => TestResult::error(format!("{excess:.1} retries too many in {scenario:?}")),
+        }
+    }
+    let rng = Gen::from_size_and_seed(40, 23);
+    QuickCheck::new().rng(rng).tests(60).quickcheck(property as fn(Scenario) -> TestResult);
+}
+
+/// Endpoints fail 60 % of the requests, and updates take 0.4 s because links are saturated. Each VM
+/// would take the retries that remain by its outdated counts, and together they would exceed the
+/// limit.
+#[test]
+fn delayed_updates_do_not_exceed_the_limit() {
+    for seed in 0..20 {
+        let scenario = Scenario {
+            seed,
+            requests_percent: 100,
+            failed_percent: 60,
+            lost_percent: 5,
+            delay_ms: 400,
+            restarts: Vec::new(),
+            replacements: Vec::new(),
+        };
+        let fleet = simulate(&scenario);
+        assert!(fleet.excess() <= 0.0, "{:.1} retries too many, seed {seed}", fleet.excess());
+    }
+}
+
+/// Half of all requests fail for 50 s. Most of the allowed retries must be used, as each retry that isn't
+/// sent is a failed request.
+#[test]
+fn most_of_the_limit_can_be_used() {
+    let scenario = Scenario {
+        seed: 1,
+        requests_percent: 60,
+        failed_percent: 50,
+        lost_percent: 0,
+        delay_ms: 0,
+        restarts: Vec::new(),
+        replacements: Vec::new(),
+    };
+    let fleet = simulate(&scenario);
+    let requests = fleet.sent.len() - fleet.retries();
+    let windows = (STEPS * STEP_MS) as f64 / LIMIT.window_ms as f64;
+    let allowed = LIMIT.ratio * requests as f64 + f64::from(LIMIT.slack) * windows;
+    let used = fleet.retries() as f64 / allowed;
+    assert!(used > 0.7, "{used:.2} of the allowed retries were used");
+}
+
+/// Only one VM needs retries, because its network paths are broken. It may use what the other
+/// dispatchers don't need and isn't limited to a sixth.
+#[test]
+fn one_dispatcher_may_use_retries_not_needed_by_others() {
+    let window_known = START + Duration::from_millis(LIMIT.window_ms);
+    let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
+    budget.set_visible_dispatchers(
+        START,
+        VisibleDispatchers { count: DISPATCHERS as u32, is_member: true },
+    );
+    let taken = (0..100).take_while(|_| budget.take(window_known)).count();
+    assert!(taken > LIMIT.slack as usize / 2, "{taken} retries");
+}
+
+/// A VM is partitioned off and sees itself as the only dispatcher. As the others use the limit too,
+/// it may use its own part only.
+#[test]
+fn partitioned_dispatcher_uses_only_its_part() {
+    let window_known = START + Duration::from_millis(LIMIT.window_ms);
+    let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
+    budget.set_visible_dispatchers(START, VisibleDispatchers { count: 1, is_member: true });
+    let taken = (0..100).take_while(|_| budget.take(window_known)).count();
+    assert!(taken <= LIMIT.slack as usize / DISPATCHERS, "{taken} retries");
+}
+
+/// Hedges only save time. While endpoints fail, they must leave half of the retries to requests that
+/// would fail without one.
+#[test]
+fn hedges_leave_half_of_the_retries_to_failed_requests() {
+    let window_known = START + Duration::from_millis(LIMIT.window_ms);
+    let mut budget = FleetRetryBudget::new(START, LIMIT, DISPATCHERS as u32, 1);
+    budget.set_visible_dispatchers(
+        START,
+        VisibleDispatchers { count: DISPATCHERS as u32, is_member: true },
+    );
+    let hedges = (0..100).take_while(|_| budget.take_for_hedge(window_known)).count();
+    let retries = (0..100).take_while(|_| budget.take(window_known)).count();
+    assert!(hedges > 0 && retries >= hedges, "{hedges} hedges, {retries} retries");
+}
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -5,7 +5,7 @@
 use pistachiotrack_core::{
     health::PathAnswer,
     name::Name,
-    request::{BodyEnd, Class, Outcome, Report},
+    request::{BodyEnd, Class, EndpointReport, Outcome},
     shard::{ShardHandOver, ShardMode},
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
@@ -79,7 +79,7 @@
 fn outcome(kind: u8, is_via: bool) -> Outcome {
     let fresh_connection = kind & 0x80 != 0;
     if is_via && kind & 0x70 == 0 {
-        return Outcome::WitnessFailed { sent: kind & 1 == 0 };
+        return Outcome::RelayFailed { sent: kind & 1 == 0 };
     }
     match kind % 12 {
         0..=3 => answered(200),
@@ -131,7 +131,7 @@
             world.outcome_with(
                 attempt,
                 outcome(kind, is_via),
-                Report { in_flight: None, draining, ..Report::default() },
+                EndpointReport { in_flight: None, draining, ..EndpointReport::default() },
             );
         }
         Step::BodyEnd { pick, end, stored } => {
@@ -139,7 +139,7 @@
             let model = &world.attempts[&attempt];
             let id = model.dispatch.request;
             let end = match end % 4 {
-                0 => BodyEnd::Cut,
+                0 => BodyEnd::Truncated,
                 1 => BodyEnd::CallerGone,
                 _ => BodyEnd::Complete,
             };
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -14,12 +14,12 @@
 use hyper::Response;
 use kameo::actor::ActorRef;
 use pistachiotrack_core::{
-    copies::{Copies, SentCopy},
+    copies::{Copies, OutstandingCopy},
     endpoint::Endpoint,
     name::Name,
-    quarantine::Admission,
+    quarantine::DispatchDecision,
     refusal::Reason,
-    request::{AttemptId, BodyEnd, FIRST_FAILURE_STATUS, Outcome, Report},
+    request::{AttemptId, BodyEnd, EndpointReport, FIRST_FAILURE_STATUS, Outcome},
     shard::Dispatch,
     time::Time,
 };
@@ -113,7 +113,7 @@
 /// An attempt without an answer so far.
 struct RunningAttempt {
     attempt: AttemptId,
-    copy: SentCopy,
+    copy: OutstandingCopy,
     end: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
     place: Place,
     give_up: GiveUp,
@@ -150,7 +150,7 @@
 /// An attempt that has ended, or whose answer has begun.
 struct Ended {
     attempt: AttemptId,
-    copy: SentCopy,
+    copy: OutstandingCopy,
     place: Place,
     end: AttemptEnd,
 }
@@ -201,7 +201,7 @@
             }
             Command::Refuse(verdict) => {
                 self.finished = true;
-                return Some(Served::refused(self.copies.finish().refuse_by(verdict)));
+                return Some(Served::refused(self.copies.finish().refuse_with(verdict)));
             }
         }
         None
@@ -215,14 +215,15 @@
                 self.inbound.fleet_id,
                 dispatch.endpoint
             );
-            self.tell_outcome(attempt, Outcome::NotSent, Report::default());
+            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
         if !self.inbound.body.is_at_hand() {
-            self.tell_outcome(attempt, Outcome::NotSent, Report::default());
+            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return Some(self.give_up(Reason::NoEndpoint));
         }
-        if let Admission::Held { retry_after } = self.context.quarantine.admit(&self.inbound) {
+        if let DispatchDecision::Held { retry_after } = self.context.quarantine.admit(&self.inbound)
+        {
             return self.hold_back(attempt, retry_after);
         }
         self.context.metrics.count(Event::Dispatch);
@@ -247,13 +248,13 @@
     /// another attempt is still on its way.
     fn hold_back(&mut self, attempt: AttemptId, retry_after: Duration) -> Option<Served> {
         if !self.running.is_empty() || !self.answered.is_empty() {
-            self.tell_outcome(attempt, Outcome::NotSent, Report::default());
+            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
         self.finished = true;
         // Told first, so that the shard doesn't place the request anew.
         let _ = self.shard.tell(CallerGone(self.inbound.id)).try_send();
-        self.tell_outcome(attempt, Outcome::NotSent, Report::default());
+        self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
         let retry_after_ms = Some(retry_after.as_millis() as u64);
         let copies = self.copies.finish();
         Some(Served::refused(copies.refuse(Reason::CrashesEndpoints, retry_after_ms)))
@@ -263,13 +264,13 @@
     /// a doubled booking. The guard holds because every attempt of a request
     /// passes here, and a copy counts as sent until it has come back.
     fn must_not_be_sent_again(&self) -> bool {
-        !self.copies.all_are_back() && !self.inbound.route.idempotent
+        !self.copies.is_certainly_not_run() && !self.inbound.route.idempotent
     }
 
     fn cancel(&mut self, attempt: AttemptId) {
         if let Some(index) = self.running.iter().position(|running| running.attempt == attempt) {
             drop(self.running.swap_remove(index));
-            self.tell_outcome(attempt, Outcome::Cancelled, Report::default());
+            self.tell_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
         }
         if let Some(index) = self.answered.iter().position(|answered| answered.attempt == attempt) {
             drop(self.answered.swap_remove(index));
@@ -280,7 +281,7 @@
     fn on_end(&mut self, ended: Ended) -> Option<Served> {
         let Ended { attempt, copy, place, end } = ended;
         if let Some(copy) = copy.on_outcome(end.outcome) {
-            self.copies.take_back(copy);
+            self.copies.record_not_run(copy);
         }
         self.log_end(&end);
         if matches!(end.outcome, Outcome::Broken { .. }) {
@@ -355,7 +356,7 @@
 
     /// Refuses the request without the shard's decision and tells the shard.
     fn give_up(&mut self, reason: Reason) -> Served {
-        let refusal = match self.copies.finish().settle() {
+        let refusal = match self.copies.finish().into_undispatched() {
             Ok(held) => held.refuse(reason, None),
             Err(copies) if reason == Reason::NoEndpoint => {
                 copies.refuse_as_unknown(Reason::AnswerLost)
@@ -380,7 +381,7 @@
         }
     }
 
-    fn tell_outcome(&self, attempt: AttemptId, outcome: Outcome, report: Report) {
+    fn tell_outcome(&self, attempt: AttemptId, outcome: Outcome, report: EndpointReport) {
         // A stopped shard closes the commands, which ends this task.
         let _ = self.shard.tell(AttemptOutcome { attempt, outcome, report }).try_send();
     }
@@ -397,7 +398,11 @@
         while let Some(command) = self.next_unread() {
             match command {
                 Command::Dispatch(dispatch) => {
-                    self.tell_outcome(dispatch.attempt, Outcome::NotSent, Report::default());
+                    self.tell_outcome(
+                        dispatch.attempt,
+                        Outcome::NotSent,
+                        EndpointReport::default(),
+                    );
                 }
                 Command::Cancel(_) | Command::GiveUp(_) => {}
                 Command::Deliver(_) | Command::Replay(_) | Command::Refuse(_) => {
@@ -407,7 +412,7 @@
         }
         for RunningAttempt { attempt, end, .. } in std::mem::take(&mut self.running) {
             drop(end);
-            self.tell_outcome(attempt, Outcome::Cancelled, Report::default());
+            self.tell_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
         }
         for answered in std::mem::take(&mut self.answered) {
             drop(answered.answer);
--- a/crates/pistachiotrackd/tests/peer_word.rs
+++ b/crates/pistachiotrackd/tests/peer_word.rs
@@ -4,18 +4,19 @@
 
 use hyper::{HeaderMap, header::HeaderValue};
 use pistachiotrack_core::{
-    copies::{Copies, Held},
+    copies::{Copies, Undispatched},
     header,
     name::Name,
-    refusal::{Execution, Reason, Verdict},
+    refusal::{Execution, Reason, RefusalDecision},
 };
 use pistachiotrackd::peer_word::{PeerAnswer, PeerWord, RefusalWord};
 
 const REQUEST: &str = "vm-01-1a23-7";
 
 fn word(execution: Execution) -> RefusalWord {
-    let verdict = Verdict { execution, reason: Reason::QueueFull, retry_after_ms: Some(40) };
-    let refusal = Copies::from(Held::on_arrival()).refuse_by(verdict);
+    let verdict =
+        RefusalDecision { execution, reason: Reason::QueueFull, retry_after_ms: Some(40) };
+    let refusal = Copies::from(Undispatched::on_arrival()).refuse_with(verdict);
     RefusalWord::new(&Name::from("vm-02"), &Name::from(REQUEST), &refusal)
 }
 
@@ -52,7 +53,7 @@
     for text in forged {
         let mut fields = HeaderMap::new();
         let value = HeaderValue::from_bytes(text.as_bytes()).unwrap();
-        fields.insert(header::PEER_WORD, value);
+        fields.insert(header::PEER_RESULT, value);
         fields.insert(header::OUTCOME, HeaderValue::from_static("not-run"));
         assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Wordless, "{text:.40}");
     }
