--- a/crates/pistachiotrack-core/examples/health_tick.rs
+++ b/crates/pistachiotrack-core/examples/health_tick.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use pistachiotrack_core::{
-    health::{AttemptKind, Candidate, Health, HealthSettings},
+    health::{AttemptKind, ConfiguredEndpoint, Health, HealthSettings},
     name::Name,
     request::{AttemptId, BodyEnd, Class, Outcome},
     time::Time,
@@ -28,8 +28,10 @@
 
 fn one_round(endpoints: usize, in_flight: usize, seed: u64) -> f64 {
     let names: Vec<Name> = (0..endpoints).map(|index| Name::from(format!("e{index}"))).collect();
-    let candidates: Vec<Candidate> =
-        names.iter().map(|name| Candidate { name: name.clone(), leaving: false }).collect();
+    let candidates: Vec<ConfiguredEndpoint> = names
+        .iter()
+        .map(|name| ConfiguredEndpoint { name: name.clone(), leaving: false })
+        .collect();
     let mut health =
         Health::new(Time::ZERO, HealthSettings::default(), &candidates, endpoints as u32, 1);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -39,7 +41,7 @@
     let mut send = |health: &mut Health, rng: &mut Pcg64Mcg, endpoint: usize, now: Time| {
         let attempt = AttemptId(next_attempt);
         next_attempt += 1;
-        health.on_dispatch(now, attempt, &names[endpoint], Class::Standard, AttemptKind::Work);
+        health.on_dispatch(now, attempt, &names[endpoint], Class::Standard, AttemptKind::Request);
         let normal = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         (endpoint, attempt, now + Duration::from_millis(20).mul_f64((0.5 * normal).exp()))
     };
--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -62,7 +62,7 @@
 
 /// An endpoint as the health decisions need it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Candidate {
+pub struct ConfiguredEndpoint {
     /// Name of the endpoint.
     pub name: Name,
     /// Whether the configuration marks it as leaving.
@@ -71,7 +71,7 @@
 
 /// Where an endpoint stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum HealthState {
     /// Gets work.
     Healthy,
     /// Gets work, with evidence against it.
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
     /// A caller's request.
-    Work,
+    Request,
     /// A caller's idempotent request on an endpoint under trial.
     Trial,
     /// A health check.
@@ -208,7 +208,7 @@
     /// The endpoint.
     pub endpoint: Name,
     /// Where it stands.
-    pub standing: Standing,
+    pub state: HealthState,
     /// Ejections so far that have not been forgiven.
     pub ejections: u32,
     /// Usual time to answer, if known.
@@ -247,7 +247,7 @@
     pub fn new(
         now: Time,
         settings: HealthSettings,
-        candidates: &[Candidate],
+        candidates: &[ConfiguredEndpoint],
         floor: u32,
         seed: u64,
     ) -> Health {
@@ -278,7 +278,7 @@
     pub fn on_config(
         &mut self,
         now: Time,
-        candidates: &[Candidate],
+        candidates: &[ConfiguredEndpoint],
         floor: u32,
     ) -> Vec<HealthAction> {
         self.floor = floor as usize;
@@ -288,7 +288,7 @@
         actions
     }
 
-    fn take_candidates(&mut self, now: Time, candidates: &[Candidate], new_phase: Phase) {
+    fn take_candidates(&mut self, now: Time, candidates: &[ConfiguredEndpoint], new_phase: Phase) {
         let mut old: FxHashMap<Name, EndpointState> =
             self.endpoints.drain(..).map(|endpoint| (endpoint.name.clone(), endpoint)).collect();
         self.positions.clear();
@@ -349,8 +349,9 @@
     }
 
     /// Returns where an endpoint stands.
-    pub fn standing(&self, endpoint: &str) -> Standing {
-        self.state(endpoint).map_or(Standing::Draining, |state| state.standing(self.threshold))
+    pub fn state(&self, endpoint: &str) -> HealthState {
+        self.endpoint_state(endpoint)
+            .map_or(HealthState::Draining, |state| state.health_state(self.threshold))
     }
 
     /// Returns the share of its slots that an endpoint may use now, 0 to 1.
@@ -359,7 +360,7 @@
     /// a time. One that this VM alone can't reach has none, unless its work goes
     /// through a witness.
     pub fn share(&self, now: Time, endpoint: &str) -> f64 {
-        let Some(state) = self.state(endpoint) else { return 0.0 };
+        let Some(state) = self.endpoint_state(endpoint) else { return 0.0 };
         if state.is_draining() || state.is_replaced() {
             return 0.0;
         }
@@ -378,7 +379,7 @@
     /// Returns whether only this VM can't reach the endpoint: it is not sick,
     /// and its work goes through another VM.
     pub fn unreachable_from_here(&self, endpoint: &str) -> bool {
-        self.state(endpoint).is_some_and(|state| {
+        self.endpoint_state(endpoint).is_some_and(|state| {
             state.via.is_some() || matches!(state.phase, Phase::PathBroken { .. })
         })
     }
@@ -386,7 +387,7 @@
     /// Returns whether the next request to an endpoint should go on a new
     /// connection, to tell a silent connection from a sick endpoint.
     pub fn wants_fresh_connection(&self, endpoint: &str) -> bool {
-        self.state(endpoint).is_some_and(|state| {
+        self.endpoint_state(endpoint).is_some_and(|state| {
             let on_trial = matches!(state.phase, Phase::Trial { .. });
             on_trial || state.evidence.doubtful() >= evidence::OBSERVATION_CAP / 2.0
         })
@@ -394,7 +395,7 @@
 
     /// Returns the evidence against an endpoint as a log-likelihood ratio.
     pub fn evidence(&self, endpoint: &str) -> f64 {
-        self.state(endpoint).map_or(0.0, |state| state.evidence.strength(self.threshold))
+        self.endpoint_state(endpoint).map_or(0.0, |state| state.evidence.strength(self.threshold))
     }
 
     /// Returns the evidence at which an endpoint is ejected.
@@ -404,7 +405,7 @@
 
     /// Returns why an endpoint was last ejected.
     pub fn last_reason(&self, endpoint: &str) -> Option<EjectReason> {
-        self.state(endpoint).and_then(|state| state.reason)
+        self.endpoint_state(endpoint).and_then(|state| state.reason)
     }
 
     /// Returns whether a further ejection would be held back by the floor.
@@ -418,7 +419,7 @@
         size_of::<EndpointState>()
     }
 
-    fn state(&self, endpoint: &str) -> Option<&EndpointState> {
+    fn endpoint_state(&self, endpoint: &str) -> Option<&EndpointState> {
         self.positions.get(endpoint).map(|&position| &self.endpoints[position])
     }
 
--- a/crates/pistachiotrack-core/src/health/hand_over.rs
+++ b/crates/pistachiotrack-core/src/health/hand_over.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     health::{
-        EjectReason, Health, HealthAction, HealthHandOver, Standing, reference::log_micros,
+        EjectReason, Health, HealthAction, HealthHandOver, HealthState, reference::log_micros,
         state::Phase,
     },
     request::Class,
@@ -30,9 +30,9 @@
             .iter()
             .map(|state| HealthHandOver {
                 endpoint: state.name.clone(),
-                standing: match state.phase {
-                    Phase::PathBroken { .. } => Standing::Healthy,
-                    _ => state.standing(self.threshold),
+                state: match state.phase {
+                    Phase::PathBroken { .. } => HealthState::Healthy,
+                    _ => state.health_state(self.threshold),
                 },
                 ejections: state.ejections,
                 usual_latency_us: state.usual_latency().map(|usual| usual.as_micros() as u64),
@@ -84,8 +84,8 @@
         if is_known || state.phase != Phase::InRotation {
             return;
         }
-        match old.standing {
-            Standing::Ejected | Standing::Trial => {
+        match old.state {
+            HealthState::Ejected | HealthState::Trial => {
                 state.evidence.note_sickness(1.0);
                 state.reason.get_or_insert(EjectReason::Failures);
                 if self.rotation_len() > self.floor {
@@ -94,11 +94,11 @@
                     self.hold(position, actions);
                 }
             }
-            Standing::Suspect | Standing::HeldByFloor => {
+            HealthState::Suspect | HealthState::HeldByFloor => {
                 state.evidence.restart(now, threshold / 2.0);
             }
-            Standing::SlowStart => state.phase = Phase::SlowStart { since: now },
-            Standing::Healthy | Standing::Draining => {}
+            HealthState::SlowStart => state.phase = Phase::SlowStart { since: now },
+            HealthState::Healthy | HealthState::Draining => {}
         }
     }
 }
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -43,7 +43,7 @@
 impl Health {
     /// Returns how likely the next request to an endpoint fails.
     pub fn risk(&self, now: Time, endpoint: &str) -> f64 {
-        let Some(state) = self.state(endpoint) else { return 1.0 };
+        let Some(state) = self.endpoint_state(endpoint) else { return 1.0 };
         self.spells.risk(state.belief.in_spell(&self.spells, now))
     }
 
@@ -97,7 +97,7 @@
 
     /// Returns the moment of the last answer, if there was one.
     pub fn last_seen(&self, endpoint: &str) -> Option<Time> {
-        self.state(endpoint).and_then(|state| state.last_seen)
+        self.endpoint_state(endpoint).and_then(|state| state.last_seen)
     }
 
     /// Notes how an endpoint ended a request of another VM.
@@ -125,7 +125,7 @@
         let flight = Flight {
             endpoint: state.id,
             class: ended.class,
-            kind: AttemptKind::Work,
+            kind: AttemptKind::Request,
             started,
             // Whose break on a pooled connection it was is not told: a break ranks the
             // endpoint and never casts doubt on this VM's own connections.
--- a/crates/pistachiotrack-core/src/health/state.rs
+++ b/crates/pistachiotrack-core/src/health/state.rs
@@ -9,7 +9,7 @@
     time::Time,
 };
 
-use super::{AttemptKind, Standing, via::Via};
+use super::{AttemptKind, HealthState, via::Via};
 
 /// Requests of a new endpoint that are judged leniently.
 const COLD_REQUESTS: u32 = 20;
@@ -191,23 +191,23 @@
         self.is_fit() && !self.leaving && self.drain.is_none()
     }
 
-    pub(super) fn standing(&self, threshold: f64) -> Standing {
+    pub(super) fn health_state(&self, threshold: f64) -> HealthState {
         if self.is_draining() {
-            return Standing::Draining;
+            return HealthState::Draining;
         }
         if self.is_replaced() {
-            return Standing::Ejected;
+            return HealthState::Ejected;
         }
         match self.phase {
-            Phase::Held => Standing::HeldByFloor,
-            Phase::Ejected { .. } => Standing::Ejected,
-            Phase::PathBroken { .. } => Standing::Suspect,
-            Phase::Trial { .. } => Standing::Trial,
-            Phase::SlowStart { .. } => Standing::SlowStart,
+            Phase::Held => HealthState::HeldByFloor,
+            Phase::Ejected { .. } => HealthState::Ejected,
+            Phase::PathBroken { .. } => HealthState::Suspect,
+            Phase::Trial { .. } => HealthState::Trial,
+            Phase::SlowStart { .. } => HealthState::SlowStart,
             Phase::InRotation if self.evidence.strength(threshold) >= threshold / 2.0 => {
-                Standing::Suspect
+                HealthState::Suspect
             }
-            Phase::InRotation => Standing::Healthy,
+            Phase::InRotation => HealthState::Healthy,
         }
     }
 
--- a/crates/pistachiotrack-core/src/health/via.rs
+++ b/crates/pistachiotrack-core/src/health/via.rs
@@ -111,7 +111,7 @@
 
     /// Returns whether the work of an endpoint goes through a witness.
     pub fn goes_via_witness(&self, endpoint: &str) -> bool {
-        self.state(endpoint).is_some_and(|state| state.via.is_some())
+        self.endpoint_state(endpoint).is_some_and(|state| state.via.is_some())
     }
 
     /// Tries a broken path again, with a health check, when that is due.
--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -35,7 +35,7 @@
     admission::AdmissionQueue,
     config::Config,
     endpoint::Endpoint,
-    health::{AttemptKind, EjectReason, Health, HealthSettings, PathAnswer, Standing},
+    health::{AttemptKind, EjectReason, Health, HealthSettings, HealthState, PathAnswer},
     idempotency::{KeySettings, KeyTable, StoredAnswer},
     mechanism::Mechanisms,
     name::Name,
@@ -409,7 +409,7 @@
                 EndpointStatus {
                     service: self.id.service.clone(),
                     endpoint: name.clone(),
-                    state: Name::from(state_name(self.health.standing(name))),
+                    state: Name::from(state_name(self.health.state(name))),
                     in_flight: slots.in_flight,
                     limit: slots.limit,
                     rate_limit: slots.rate_limit().map(RateLimit::per_second),
@@ -481,14 +481,14 @@
     (u64::from(service.floor) * shard_endpoints as u64).div_ceil(all) as u32
 }
 
-fn state_name(standing: Standing) -> &'static str {
+fn state_name(standing: HealthState) -> &'static str {
     match standing {
-        Standing::Healthy => "healthy",
-        Standing::Suspect => "suspect",
-        Standing::HeldByFloor => "held_by_floor",
-        Standing::Ejected => "ejected",
-        Standing::Trial => "trial",
-        Standing::SlowStart => "slow_start",
-        Standing::Draining => "draining",
+        HealthState::Healthy => "healthy",
+        HealthState::Suspect => "suspect",
+        HealthState::HeldByFloor => "held_by_floor",
+        HealthState::Ejected => "ejected",
+        HealthState::Trial => "trial",
+        HealthState::SlowStart => "slow_start",
+        HealthState::Draining => "draining",
     }
 }
--- a/crates/pistachiotrack-core/src/shard/flow.rs
+++ b/crates/pistachiotrack-core/src/shard/flow.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     admission::Ticket,
-    health::{AttemptKind, Standing},
+    health::{AttemptKind, HealthState},
     idempotency::Claim,
     name::Name,
     refusal::Reason,
@@ -196,7 +196,7 @@
                 continue;
             }
             let Some(pick) = self.pick(now, id, false) else { continue };
-            if pick.standing != Standing::Trial && self.retries.take_spare(now) {
+            if pick.standing != HealthState::Trial && self.retries.take_spare(now) {
                 self.start(now, id, pick);
             }
         }
@@ -249,8 +249,11 @@
         let give_up_at = self.give_up_at(now, id, pick.standing);
         let via = self.witness(&pick.name);
         let Some(live) = self.live.get_mut(&id) else { return };
-        let kind =
-            if pick.standing == Standing::Trial { AttemptKind::Trial } else { AttemptKind::Work };
+        let kind = if pick.standing == HealthState::Trial {
+            AttemptKind::Trial
+        } else {
+            AttemptKind::Request
+        };
         // A witness ends an attempt by itself, so that its word is the endpoint's.
         let deadline = live.request.deadline;
         let time_limit = give_up_at.filter(|_| via.is_some()).unwrap_or(deadline);
@@ -361,7 +364,7 @@
     /// retry is too late. An idempotent request that has another endpoint
     /// left is therefore given up halfway, unless that is within the usual
     /// latencies.
-    fn give_up_at(&self, now: Time, id: RequestId, standing: Standing) -> Option<Time> {
+    fn give_up_at(&self, now: Time, id: RequestId, standing: HealthState) -> Option<Time> {
         let live = self.live.get(&id)?;
         let deadline = live.request.deadline;
         let can_retry = self.mechanisms.give_ups
@@ -374,7 +377,7 @@
         let half = remaining(deadline, now) / 2;
         let patience = self.latency.p95().map(|p95| p95 * GIVE_UP_TIMES_P95);
         let allowed = match patience {
-            Some(patience) if standing == Standing::Trial => half.min(patience),
+            Some(patience) if standing == HealthState::Trial => half.min(patience),
             Some(patience) => half.max(patience),
             None => half,
         };
@@ -435,9 +438,10 @@
 /// outcome, so it gets one that has answered lately, or a new one if there
 /// are doubts about the endpoint. A retry after a pooled connection failed
 /// gets a new one, which tells the two causes apart.
-fn connection(live: &Live, standing: Standing) -> ConnectionChoice {
-    let in_doubt = matches!(standing, Standing::Suspect | Standing::HeldByFloor | Standing::Trial);
-    if live.needs_fresh || standing == Standing::Trial {
+fn connection(live: &Live, standing: HealthState) -> ConnectionChoice {
+    let in_doubt =
+        matches!(standing, HealthState::Suspect | HealthState::HeldByFloor | HealthState::Trial);
+    if live.needs_fresh || standing == HealthState::Trial {
         ConnectionChoice::Fresh
     } else if live.request.idempotent {
         ConnectionChoice::Any
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -18,7 +18,7 @@
 use super::{Choice, EndpointKey, ShardMode};
 use crate::{
     endpoint::Endpoint,
-    health::{Candidate, Health, Standing},
+    health::{ConfiguredEndpoint, Health, HealthState},
     limit::AdaptiveLimit,
     mechanism::Mechanisms,
     name::Name,
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Slots {
     pub(super) endpoint: Endpoint,
-    pub(super) standing: Standing,
+    pub(super) standing: HealthState,
     pub(super) in_flight: u32,
     /// Share of its slots that the endpoint may use.
     share: f64,
@@ -87,7 +87,7 @@
             && !self.is_left_to_others
             && !self.endpoint.leaving
             && self.share > 0.0
-            && !matches!(self.standing, Standing::Ejected | Standing::Draining)
+            && !matches!(self.standing, HealthState::Ejected | HealthState::Draining)
     }
 }
 
@@ -177,7 +177,7 @@
         for endpoint in endpoints {
             let slots = self.slots.entry(endpoint.name.clone()).or_insert_with(|| Slots {
                 endpoint: endpoint.clone(),
-                standing: Standing::Healthy,
+                standing: HealthState::Healthy,
                 in_flight: 0,
                 share: 1.0,
                 limit: 0,
@@ -206,9 +206,9 @@
         self.by_key.get(&key).cloned()
     }
 
-    pub(super) fn candidates(&self) -> Vec<Candidate> {
+    pub(super) fn candidates(&self) -> Vec<ConfiguredEndpoint> {
         self.configured()
-            .map(|slots| Candidate {
+            .map(|slots| ConfiguredEndpoint {
                 name: slots.endpoint.name.clone(),
                 leaving: slots.endpoint.leaving,
             })
@@ -223,7 +223,7 @@
         self.limited_per_second = 0.0;
         let share = self.rate_share;
         for (name, slots) in &mut self.slots {
-            slots.standing = health.standing(name);
+            slots.standing = health.state(name);
             if now >= slots.foreign_until {
                 slots.foreign = 0;
             }
@@ -269,13 +269,13 @@
         self.slots
             .values()
             .filter(|slots| slots.accepts_work())
-            .filter(|slots| idempotent || slots.standing != Standing::Trial)
+            .filter(|slots| idempotent || slots.standing != HealthState::Trial)
             .count()
     }
 
     pub(super) fn has_free_slot(&self, now: Time) -> bool {
         let is_free = |slots: &Slots| {
-            slots.is_free(now, self.rate_share) && slots.standing != Standing::Trial
+            slots.is_free(now, self.rate_share) && slots.standing != HealthState::Trial
         };
         self.in_flight < self.in_flight_limit && self.slots.values().any(is_free)
     }
@@ -302,13 +302,13 @@
             if is_tried && !wanted.allow_tried {
                 continue;
             }
-            let is_trial = slots.standing == Standing::Trial;
+            let is_trial = slots.standing == HealthState::Trial;
             if is_trial && (is_tried || !wanted.idempotent || !wanted.may_try) {
                 continue;
             }
             let rank = match slots.standing {
-                Standing::Suspect => 1,
-                Standing::HeldByFloor => 2,
+                HealthState::Suspect => 1,
+                HealthState::HeldByFloor => 2,
                 _ => 0,
             };
             let (order, handicap) = match (wanted.idempotent, explores) {
@@ -465,7 +465,7 @@
     if is_settling {
         limit = limit.min((all / SETTLING_DIVISOR).max(1));
     }
-    if mode == ShardMode::Careful || slots.standing == Standing::Trial {
+    if mode == ShardMode::Careful || slots.standing == HealthState::Trial {
         limit = 1;
     }
     limit.min(all.saturating_sub(slots.foreign)).saturating_sub(slots.peer_count())
--- a/crates/pistachiotrack-core/src/shard/pool/pick.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/pick.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::Slots;
-use crate::{health::Standing, name::Name, shard::Choice, time::Time};
+use crate::{health::HealthState, name::Name, shard::Choice, time::Time};
 
 /// What the endpoint of an attempt must be like.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 pub(in crate::shard) struct Pick {
     pub(in crate::shard) name: Name,
     pub(in crate::shard) address: SocketAddr,
-    pub(in crate::shard) standing: Standing,
+    pub(in crate::shard) standing: HealthState,
     pub(in crate::shard) choice: Choice,
 }
 
--- a/crates/pistachiotrack-core/src/shard/pool/ranking.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/ranking.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::{EXPLORE_ONE_IN, Pick, Pool, Slots, Wanted};
-use crate::{health::Standing, shard::Choice, time::Time};
+use crate::{health::HealthState, shard::Choice, time::Time};
 
 /// Whether it was tried, rank of its risk, load and a random tie-break; the least
 /// is chosen.
@@ -75,7 +75,7 @@
         if is_overdue(slots, wanted, turn) {
             return 1 + risk_rank;
         }
-        let is_trial = u64::from(slots.standing == Standing::Trial);
+        let is_trial = u64::from(slots.standing == HealthState::Trial);
         match (turn.explores, slots.risk >= UNSURE_RISK) {
             (true, true) => DUE_RANKS + slots.last_seen.map_or(0, Time::as_millis),
             (true, false) => u64::MAX - 1 + is_trial,
@@ -139,7 +139,7 @@
 
 fn may_take(slots: &Slots, wanted: &Wanted<'_>, turn: &Turn) -> bool {
     let is_tried = wanted.tried.contains(&slots.endpoint.name);
-    let is_trial = slots.standing == Standing::Trial;
+    let is_trial = slots.standing == HealthState::Trial;
     let is_unfit = is_trial && (is_tried || !wanted.idempotent || !wanted.may_try);
     let is_due = is_new(slots, wanted) || is_overdue(slots, wanted, turn);
     let is_risky = slots.risk > wanted.max_risk && !is_due && !turn.explores;
--- a/crates/pistachiotrack-core/tests/floor.rs
+++ b/crates/pistachiotrack-core/tests/floor.rs
@@ -7,8 +7,8 @@
 
 use pistachiotrack_core::{
     health::{
-        AttemptKind, Candidate, Health, HealthAction, HealthHandOver, HealthSettings, PathAnswer,
-        Standing,
+        AttemptKind, ConfiguredEndpoint, Health, HealthAction, HealthHandOver, HealthSettings,
+        HealthState, PathAnswer,
     },
     name::Name,
     request::{AttemptId, BodyEnd, Class, Outcome, Report},
@@ -128,10 +128,13 @@
     mask >> endpoint & 1 == 1
 }
 
-fn candidates(present: u8, leaving: u8) -> Vec<Candidate> {
+fn candidates(present: u8, leaving: u8) -> Vec<ConfiguredEndpoint> {
     (0..NAMES)
         .filter(|&endpoint| has(present, endpoint))
-        .map(|endpoint| Candidate { name: name(endpoint), leaving: has(leaving, endpoint) })
+        .map(|endpoint| ConfiguredEndpoint {
+            name: name(endpoint),
+            leaving: has(leaving, endpoint),
+        })
         .collect()
 }
 
@@ -246,9 +249,9 @@
     fn dispatch(&mut self, endpoint: u8) -> AttemptId {
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
-        let kind = match self.health.standing(&name(endpoint)) {
-            Standing::Trial => AttemptKind::Trial,
-            _ => AttemptKind::Work,
+        let kind = match self.health.state(&name(endpoint)) {
+            HealthState::Trial => AttemptKind::Trial,
+            _ => AttemptKind::Request,
         };
         self.health.on_dispatch(self.now, attempt, &name(endpoint), Class::Standard, kind);
         attempt
@@ -268,7 +271,7 @@
             .filter(|&endpoint| has(ejected, endpoint))
             .map(|endpoint| HealthHandOver {
                 endpoint: name(endpoint),
-                standing: Standing::Ejected,
+                state: HealthState::Ejected,
                 ejections: 1,
                 usual_latency_us: Some(1_000),
             })
@@ -304,37 +307,40 @@
         let mut disregarded = BTreeSet::new();
         for endpoint in 0..NAMES {
             let name = name(endpoint);
-            let standing = self.health.standing(&name);
+            let state = self.health.state(&name);
             let share = self.health.share(self.now, &name);
             if !has(self.present, endpoint) || has(self.leaving, endpoint) {
-                assert_eq!((standing, share), (Standing::Draining, 0.0), "{name}");
+                assert_eq!((state, share), (HealthState::Draining, 0.0), "{name}");
                 continue;
             }
-            let is_out = matches!(standing, Standing::Ejected | Standing::Trial);
+            let is_out = matches!(state, HealthState::Ejected | HealthState::Trial);
             let is_ejected = self.ejected.contains(&name);
             if is_out || is_ejected || self.health.unreachable_from_here(&name) {
                 self.was_out.insert(endpoint);
             }
             let says_so = self.said.contains_key(&endpoint);
-            if standing == Standing::Draining {
+            if state == HealthState::Draining {
                 assert!(says_so, "{name} does not say so");
                 assert_eq!(share, 0.0, "{name}");
                 continue;
             }
-            if standing == Standing::Ejected {
+            if state == HealthState::Ejected {
                 assert!(self.ejected.contains(&name), "{name} ejected without notice");
             }
             available += u8::from(!says_so);
             let gets_work = matches!(
-                standing,
-                Standing::Healthy | Standing::Suspect | Standing::HeldByFloor | Standing::SlowStart
+                state,
+                HealthState::Healthy
+                    | HealthState::Suspect
+                    | HealthState::HeldByFloor
+                    | HealthState::SlowStart
             );
             if gets_work && !self.health.unreachable_from_here(&name) {
-                assert!(share > 0.0, "{name} {standing:?}");
+                assert!(share > 0.0, "{name} {state:?}");
                 in_rotation += 1;
                 stays += u8::from(!says_so);
-            } else if standing != Standing::Trial {
-                assert_eq!(share, 0.0, "{name} {standing:?}");
+            } else if state != HealthState::Trial {
+                assert_eq!(share, 0.0, "{name} {state:?}");
             }
             if says_so {
                 disregarded.insert(endpoint);
@@ -435,7 +441,7 @@
         run.work(1, 20, End::Error);
     }
     let out = |run: &Run| {
-        (0..NAMES).filter(|&e| run.health.standing(&name(e)) == Standing::Ejected).count()
+        (0..NAMES).filter(|&e| run.health.state(&name(e)) == HealthState::Ejected).count()
     };
     assert_eq!(out(&run), 1);
     run.step(&Step::Config { present: u8::MAX, leaving: 0, floor: 6 });
--- a/crates/pistachiotrack-core/tests/gray_failure.rs
+++ b/crates/pistachiotrack-core/tests/gray_failure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pistachiotrack_core::{
-    health::{AttemptKind, Candidate, Health, HealthSettings},
+    health::{AttemptKind, ConfiguredEndpoint, Health, HealthSettings},
     name::Name,
     request::{AttemptId, Class, Outcome},
     time::Time,
@@ -27,8 +27,8 @@
 
 impl Service {
     fn new(endpoints: usize) -> Service {
-        let candidate = |index| Candidate { name: name(index), leaving: false };
-        let candidates: Vec<Candidate> = (0..endpoints).map(candidate).collect();
+        let candidate = |index| ConfiguredEndpoint { name: name(index), leaving: false };
+        let candidates: Vec<ConfiguredEndpoint> = (0..endpoints).map(candidate).collect();
         let settings = HealthSettings { ranks_failures: true, ..HealthSettings::default() };
         Service { health: Health::new(START, settings, &candidates, 0, 1), next_attempt: 1 }
     }
@@ -37,7 +37,7 @@
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
         let class = Class::Standard;
-        self.health.on_dispatch(now, attempt, &name(index), class, AttemptKind::Work);
+        self.health.on_dispatch(now, attempt, &name(index), class, AttemptKind::Request);
         attempt
     }
 
--- a/crates/pistachiotrack-core/tests/health_faults.rs
+++ b/crates/pistachiotrack-core/tests/health_faults.rs
@@ -6,7 +6,7 @@
 
 use health_world::{Reply, World};
 use pistachiotrack_core::{
-    health::{AttemptKind, EjectReason, HealthAction, PathAnswer, Standing},
+    health::{AttemptKind, EjectReason, HealthAction, HealthState, PathAnswer},
     name::Name,
     request::{AttemptId, Class, Outcome},
 };
@@ -129,14 +129,14 @@
             seen_unreachable = true;
             assert_eq!(world.health.share(world.now, "e5"), 0.0);
             let handed_over = world.health.hand_over(world.now);
-            assert_eq!(handed_over[5].standing, Standing::Healthy);
+            assert_eq!(handed_over[5].state, HealthState::Healthy);
         }
     }
     assert!(seen_unreachable);
     assert_eq!(world.ejections(), []);
 
     world.run(20_000, |_| Reply::GOOD);
-    assert_eq!(world.standing(5), Standing::Healthy);
+    assert_eq!(world.state(5), HealthState::Healthy);
 }
 
 /// An endpoint's machine is off: no connection opens, and the VMs that were
@@ -180,7 +180,13 @@
         let name = Name::from(format!("e{endpoint}"));
         for index in 0..if endpoint == 0 { 12 } else { 1 } {
             let attempt = AttemptId(1_000_000 + 100 * endpoint + index);
-            world.health.on_dispatch(world.now, attempt, &name, Class::Standard, AttemptKind::Work);
+            world.health.on_dispatch(
+                world.now,
+                attempt,
+                &name,
+                Class::Standard,
+                AttemptKind::Request,
+            );
         }
     }
     world.pause(4_000);
@@ -231,7 +237,7 @@
         if sent.endpoint == 3 && sent.dice < 0.5 { Reply::Shed } else { Reply::GOOD }
     });
     assert_eq!(world.ejections(), []);
-    assert_eq!(world.standing(3), Standing::Healthy);
+    assert_eq!(world.state(3), HealthState::Healthy);
 }
 
 /// Callers give up after a few milliseconds, on one endpoint more often than on
@@ -244,7 +250,7 @@
     let name = Name::from("e0");
     for index in 0..200 {
         let attempt = AttemptId(1_000_000 + index);
-        world.health.on_dispatch(world.now, attempt, &name, Class::Standard, AttemptKind::Work);
+        world.health.on_dispatch(world.now, attempt, &name, Class::Standard, AttemptKind::Request);
         world.now += Duration::from_millis(5);
         let outcome = Outcome::TimedOut { fresh_connection: true };
         world.health.on_outcome(world.now, attempt, outcome);
--- a/crates/pistachiotrack-core/tests/health_recovery.rs
+++ b/crates/pistachiotrack-core/tests/health_recovery.rs
@@ -5,8 +5,8 @@
 use health_world::{Reply, World, candidates};
 use pistachiotrack_core::{
     health::{
-        AttemptKind, Candidate, EjectReason, Health, HealthAction, HealthHandOver, HealthSettings,
-        Standing,
+        AttemptKind, ConfiguredEndpoint, EjectReason, Health, HealthAction, HealthHandOver,
+        HealthSettings, HealthState,
     },
     name::Name,
     request::Report,
@@ -37,7 +37,7 @@
     let readmitted =
         world.log.iter().any(|(_, action)| matches!(action, HealthAction::Readmitted { .. }));
     assert!(!readmitted);
-    assert!(matches!(world.standing(2), Standing::Ejected | Standing::Trial));
+    assert!(matches!(world.state(2), HealthState::Ejected | HealthState::Trial));
     assert!(world.dispatched[2] < world.dispatched[1] / 10);
 }
 
@@ -47,20 +47,21 @@
 fn a_recovered_endpoint_comes_back_slowly() {
     let mut world = warm_world(6, 3, 0.9);
     world.run(1_000, fail(2));
-    assert_eq!(world.standing(2), Standing::Ejected);
-    let mut seen = vec![Standing::Ejected];
+    assert_eq!(world.state(2), HealthState::Ejected);
+    let mut seen = vec![HealthState::Ejected];
     let mut last_share = 0.0;
     for _ in 0..3_000 {
         world.run(10, |_| Reply::GOOD);
-        let standing = world.standing(2);
-        if seen.last() != Some(&standing) {
-            seen.push(standing);
+        let state = world.state(2);
+        if seen.last() != Some(&state) {
+            seen.push(state);
         }
         let share = world.health.share(world.now, "e2");
         assert!(share >= last_share);
         last_share = share;
     }
-    let expected = [Standing::Ejected, Standing::Trial, Standing::SlowStart, Standing::Healthy];
+    let expected =
+        [HealthState::Ejected, HealthState::Trial, HealthState::SlowStart, HealthState::Healthy];
     assert_eq!(seen, expected);
     assert_eq!(last_share, 1.0);
 }
@@ -74,9 +75,9 @@
     world.trials_offered = false;
     world.run(1_000, fail(2));
     world.run(20_000, |_| Reply::GOOD);
-    assert_eq!(world.standing(2), Standing::Trial);
+    assert_eq!(world.state(2), HealthState::Trial);
     world.run(60_000, |_| Reply::GOOD);
-    assert_eq!(world.standing(2), Standing::Healthy);
+    assert_eq!(world.state(2), HealthState::Healthy);
     assert!(world.probes[2] > 0);
 }
 
@@ -119,7 +120,7 @@
     world.health.on_config(world.now, &all[..5], 3);
     all[5].leaving = false;
     world.health.on_config(world.now, &all, 3);
-    assert_eq!(world.standing(5), Standing::SlowStart);
+    assert_eq!(world.state(5), HealthState::SlowStart);
     assert!(world.health.share(world.now, "e5") < 0.2);
     let mut cold_requests = 0;
     world.run(30_000, |sent| {
@@ -130,7 +131,7 @@
         Reply::Answer { status: 200, factor: 5.0 }
     });
     assert_eq!(world.ejections(), []);
-    assert_eq!(world.standing(5), Standing::Healthy);
+    assert_eq!(world.state(5), HealthState::Healthy);
 }
 
 /// An endpoint says that it is leaving: no new work from that moment. Another
@@ -141,7 +142,7 @@
     let name = Name::from("e1");
     let report = Report { in_flight: None, draining: true, ..Report::default() };
     world.health.on_report(world.now, &name, report);
-    assert_eq!(world.standing(1), Standing::Draining);
+    assert_eq!(world.state(1), HealthState::Draining);
     let before = world.dispatched[1];
     world.run(5_000, |_| Reply::GOOD);
     assert_eq!(world.dispatched[1], before);
@@ -161,9 +162,9 @@
         world.run(100, |_| Reply::GOOD);
     }
     let standings =
-        |world: &World| (0..6).map(|endpoint| world.standing(endpoint)).collect::<Vec<_>>();
-    let mut expected = vec![Standing::Draining; 6];
-    expected[3] = Standing::Healthy;
+        |world: &World| (0..6).map(|endpoint| world.state(endpoint)).collect::<Vec<_>>();
+    let mut expected = vec![HealthState::Draining; 6];
+    expected[3] = HealthState::Healthy;
     assert_eq!(standings(&world), expected);
     let name = world.names[3].clone();
     for _ in 0..30 {
@@ -180,16 +181,16 @@
     let back = world.names[0].clone();
     world.health.on_report(world.now, &back, Report::default());
     world.run(20, |_| Reply::GOOD);
-    assert_eq!(world.standing(0), Standing::SlowStart);
-    assert_eq!(world.standing(3), Standing::Draining);
+    assert_eq!(world.state(0), HealthState::SlowStart);
+    assert_eq!(world.state(3), HealthState::Draining);
 
     let mut configured = candidates(6);
     configured[0].leaving = true;
     configured[1].leaving = true;
     world.health.on_config(world.now, &configured, 3);
-    assert_eq!(world.standing(0), Standing::Draining);
-    assert_eq!(world.standing(1), Standing::Draining);
-    assert_eq!(world.standing(2), Standing::Healthy);
+    assert_eq!(world.state(0), HealthState::Draining);
+    assert_eq!(world.state(1), HealthState::Draining);
+    assert_eq!(world.state(2), HealthState::Healthy);
     assert_eq!(world.ejections(), []);
 }
 
@@ -203,13 +204,13 @@
     world.health.on_report(world.now, &name, leaving);
     world.run(8_000, |_| Reply::GOOD);
     world.health.on_report(world.now, &name, Report::default());
-    assert_eq!(world.standing(1), Standing::Draining);
+    assert_eq!(world.state(1), HealthState::Draining);
     world.run(20_000, |_| Reply::GOOD);
-    assert_eq!(world.standing(1), Standing::Healthy);
+    assert_eq!(world.state(1), HealthState::Healthy);
 
     world.health.on_report(world.now, &name, leaving);
     world.run(90_000, |_| Reply::GOOD);
-    assert_eq!(world.standing(1), Standing::Healthy);
+    assert_eq!(world.state(1), HealthState::Healthy);
     assert_eq!(world.ejections(), []);
 }
 
@@ -237,15 +238,15 @@
     let mut old = warm_world(6, 3, 0.9);
     old.run(1_000, fail(2));
     let handed_over = old.health.hand_over(old.now);
-    assert_eq!(handed_over[2].standing, Standing::Ejected);
+    assert_eq!(handed_over[2].state, HealthState::Ejected);
     let usual_us = handed_over[1].usual_latency_us.unwrap();
     assert!((10_000..40_000).contains(&usual_us), "{usual_us}");
 
     let mut new = World::with_seed(6, 3, 0.9, 8);
     new.health.on_hand_over(new.now, &handed_over);
-    assert_eq!(new.standing(2), Standing::Ejected);
+    assert_eq!(new.state(2), HealthState::Ejected);
     new.run(30_000, |_| Reply::GOOD);
-    assert_eq!(new.standing(2), Standing::Healthy);
+    assert_eq!(new.state(2), HealthState::Healthy);
 }
 
 /// A predecessor hands over that all endpoints are ejected, which its own
@@ -254,9 +255,9 @@
 fn a_hand_over_keeps_the_floor() {
     let from: Vec<HealthHandOver> = candidates(6)
         .into_iter()
-        .map(|Candidate { name, .. }| HealthHandOver {
+        .map(|ConfiguredEndpoint { name, .. }| HealthHandOver {
             endpoint: name,
-            standing: Standing::Ejected,
+            state: HealthState::Ejected,
             ejections: 3,
             usual_latency_us: None,
         })
@@ -265,7 +266,7 @@
     let mut health = Health::new(Time::ZERO, settings, &candidates(6), 4, 1);
     health.on_hand_over(Time::ZERO, &from);
     let ejected =
-        from.iter().filter(|old| health.standing(&old.endpoint) == Standing::Ejected).count();
+        from.iter().filter(|old| health.state(&old.endpoint) == HealthState::Ejected).count();
     assert_eq!(ejected, 2);
     assert!(health.at_floor());
 }
@@ -288,8 +289,8 @@
     };
     world.run(4_000, sick);
     assert_eq!(world.health.last_reason("e0"), Some(EjectReason::Failures));
-    let standings: Vec<Standing> = (0..3).map(|endpoint| world.standing(endpoint)).collect();
-    assert_eq!(standings, [Standing::Ejected, Standing::Ejected, Standing::HeldByFloor]);
+    let standings: Vec<HealthState> = (0..3).map(|endpoint| world.state(endpoint)).collect();
+    assert_eq!(standings, [HealthState::Ejected, HealthState::Ejected, HealthState::HeldByFloor]);
     assert!(world.health.at_floor());
 
     let mut all = candidates(6);
@@ -297,7 +298,7 @@
     let actions = world.health.on_config(world.now, &all, 4);
     let name = Name::from("e1");
     assert!(actions.contains(&HealthAction::Readmitted { endpoint: name }), "{actions:?}");
-    assert_eq!(world.standing(1), Standing::HeldByFloor);
+    assert_eq!(world.state(1), HealthState::HeldByFloor);
 }
 
 #[test]
--- a/crates/pistachiotrack-core/tests/health_world/mod.rs
+++ b/crates/pistachiotrack-core/tests/health_world/mod.rs
@@ -6,8 +6,8 @@
 
 use pistachiotrack_core::{
     health::{
-        AttemptKind, Candidate, EjectReason, Health, HealthAction, HealthSettings, PathAnswer,
-        Standing,
+        AttemptKind, ConfiguredEndpoint, EjectReason, Health, HealthAction, HealthSettings,
+        HealthState, PathAnswer,
     },
     name::Name,
     request::{AttemptId, BodyEnd, Class, Outcome},
@@ -72,9 +72,9 @@
     rng: Pcg64Mcg,
 }
 
-pub fn candidates(count: usize) -> Vec<Candidate> {
+pub fn candidates(count: usize) -> Vec<ConfiguredEndpoint> {
     (0..count)
-        .map(|index| Candidate { name: Name::from(format!("e{index}")), leaving: false })
+        .map(|index| ConfiguredEndpoint { name: Name::from(format!("e{index}")), leaving: false })
         .collect()
 }
 
@@ -143,12 +143,12 @@
     }
 
     fn offer(&mut self, endpoint: usize, switch: &mut impl FnMut(Sent) -> Reply) {
-        let standing = self.health.standing(&self.names[endpoint]);
+        let state = self.health.state(&self.names[endpoint]);
         let share = self.health.share(self.now, &self.names[endpoint]);
-        let (slots, kind) = match standing {
-            Standing::Trial if self.trials_offered => (1, AttemptKind::Trial),
-            Standing::Trial => return,
-            _ => ((share * SLOTS as f64).ceil() as usize, AttemptKind::Work),
+        let (slots, kind) = match state {
+            HealthState::Trial if self.trials_offered => (1, AttemptKind::Trial),
+            HealthState::Trial => return,
+            _ => ((share * SLOTS as f64).ceil() as usize, AttemptKind::Request),
         };
         let rate_per_ms = self.load * SLOTS as f64 / 20.0;
         if self.in_use[endpoint] >= slots || self.rng.random::<f64>() > rate_per_ms {
@@ -220,8 +220,8 @@
         self.log.extend(actions.into_iter().map(|action| (now_ms, action)));
     }
 
-    pub fn standing(&self, endpoint: usize) -> Standing {
-        self.health.standing(&self.names[endpoint])
+    pub fn state(&self, endpoint: usize) -> HealthState {
+        self.health.state(&self.names[endpoint])
     }
 
     /// Returns when and why each ejection happened.
--- a/crates/pistachiotrack-core/tests/replaced_endpoint.rs
+++ b/crates/pistachiotrack-core/tests/replaced_endpoint.rs
@@ -12,7 +12,10 @@
 use std::time::Duration;
 
 use pistachiotrack_core::{
-    health::{AttemptKind, Candidate, EjectReason, Health, HealthAction, HealthSettings, Standing},
+    health::{
+        AttemptKind, ConfiguredEndpoint, EjectReason, Health, HealthAction, HealthSettings,
+        HealthState,
+    },
     name::Name,
     request::{AttemptId, Class, Outcome, Report, Request},
     shard::{Dispatch, Shard, ShardAction},
@@ -137,15 +140,15 @@
 #[test]
 fn the_floor_does_not_hold_an_endpoint_that_is_gone() {
     let name = |index: u32| Name::from(format!("e{index}"));
-    let candidates: Vec<Candidate> =
-        (0..2).map(|index| Candidate { name: name(index), leaving: false }).collect();
+    let candidates: Vec<ConfiguredEndpoint> =
+        (0..2).map(|index| ConfiguredEndpoint { name: name(index), leaving: false }).collect();
     let mut health = Health::new(START, HealthSettings::default(), &candidates, 2, 7);
     health.on_tick(START);
     let attempt = AttemptId(1);
-    health.on_dispatch(START, attempt, &name(0), Class::Standard, AttemptKind::Work);
+    health.on_dispatch(START, attempt, &name(0), Class::Standard, AttemptKind::Request);
     let actions = health.on_outcome(START, attempt, Outcome::Misdirected);
     let ejected = HealthAction::Ejected { endpoint: name(0), reason: EjectReason::Replaced };
     assert_eq!(actions, [ejected]);
-    assert_eq!((health.standing("e0"), health.share(START, "e0")), (Standing::Ejected, 0.0));
+    assert_eq!((health.state("e0"), health.share(START, "e0")), (HealthState::Ejected, 0.0));
     assert_eq!(health.share(START, "e1"), 1.0);
 }
--- a/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
@@ -3,7 +3,10 @@
 use std::time::Duration;
 
 use pistachiotrack_core::{
-    health::{AttemptKind, Candidate, Health, HealthAction, HealthSettings, PathAnswer, Standing},
+    health::{
+        AttemptKind, ConfiguredEndpoint, Health, HealthAction, HealthSettings, HealthState,
+        PathAnswer,
+    },
     name::Name,
     request::{AttemptId, BodyEnd, Class, Outcome, Report},
     time::Time,
@@ -53,8 +56,10 @@
     pub(super) fn new(endpoints: usize, floor: u32, sensitivity: f64, seed: u64) -> Core {
         let names: Vec<Name> =
             (0..endpoints).map(|index| Name::from(format!("e{index}"))).collect();
-        let candidates: Vec<Candidate> =
-            names.iter().map(|name| Candidate { name: name.clone(), leaving: false }).collect();
+        let candidates: Vec<ConfiguredEndpoint> = names
+            .iter()
+            .map(|name| ConfiguredEndpoint { name: name.clone(), leaving: false })
+            .collect();
         let settings = HealthSettings { sensitivity, ..HealthSettings::default() };
         Core { health: Health::new(Time::ZERO, settings, &candidates, floor, seed), names }
     }
@@ -115,8 +120,8 @@
 
     fn access(&self, now: Time, endpoint: usize) -> Access {
         let name = &self.names[endpoint];
-        match self.health.standing(name) {
-            Standing::Trial => Access::Trial,
+        match self.health.state(name) {
+            HealthState::Trial => Access::Trial,
             _ => match self.health.share(now, name) {
                 share if share > 0.0 => Access::Share(share),
                 _ => Access::Closed,
--- a/crates/pistachiotrack-standins/src/experiment/detect/run.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/run.rs
@@ -242,7 +242,7 @@
                 Access::Closed | Access::Trial => {}
             }
         }
-        best.map(|(_, endpoint)| (endpoint, AttemptKind::Work))
+        best.map(|(_, endpoint)| (endpoint, AttemptKind::Request))
     }
 
     fn send(&mut self, request: u64, vm: usize, endpoint: usize, kind: AttemptKind) {
