--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -31,7 +31,7 @@
 mod state;
 mod via;
 
-pub use risk::{BeliefOf, Seen};
+pub use risk::{EndpointEstimate, LastObservation};
 
 use reference::Reference;
 use spells::Spells;
@@ -48,7 +48,7 @@
     pub sensitivity: f64,
     /// Whether failed answers only lower an endpoint's rank for new work, by
     /// [`Health::risk`], and don't eject it.
-    pub ranks_failures: bool,
+    pub failures_only_lower_rank: bool,
     /// Mechanisms at work.
     pub mechanisms: Mechanisms,
 }
@@ -56,7 +56,7 @@
 impl Default for HealthSettings {
     fn default() -> HealthSettings {
         let mechanisms = Mechanisms::default();
-        HealthSettings { sensitivity: 0.5, ranks_failures: false, mechanisms }
+        HealthSettings { sensitivity: 0.5, failures_only_lower_rank: false, mechanisms }
     }
 }
 
@@ -226,7 +226,7 @@
 #[derive(Clone, Debug)]
 pub struct Health {
     threshold: f64,
-    ranks_failures: bool,
+    failures_only_lower_rank: bool,
     mechanisms: Mechanisms,
     floor: usize,
     endpoints: Vec<EndpointState>,
@@ -253,7 +253,7 @@
     ) -> Health {
         let mut health = Health {
             threshold: evidence::threshold(settings.sensitivity),
-            ranks_failures: settings.ranks_failures,
+            failures_only_lower_rank: settings.failures_only_lower_rank,
             mechanisms: settings.mechanisms,
             floor: 0,
             endpoints: Vec::new(),
@@ -378,7 +378,7 @@
 
     /// Returns whether only this VM can't reach the endpoint: it is not sick,
     /// and its work goes through another VM.
-    pub fn unreachable_from_here(&self, endpoint: &str) -> bool {
+    pub fn unreachable_from_this_vm(&self, endpoint: &str) -> bool {
         self.endpoint_state(endpoint).is_some_and(|state| {
             state.via.is_some() || matches!(state.phase, Phase::PathBroken { .. })
         })
@@ -404,7 +404,7 @@
     }
 
     /// Returns why an endpoint was last ejected.
-    pub fn last_reason(&self, endpoint: &str) -> Option<EjectReason> {
+    pub fn last_ejection_reason(&self, endpoint: &str) -> Option<EjectReason> {
         self.endpoint_state(endpoint).and_then(|state| state.reason)
     }
 
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -19,20 +19,20 @@
 
 /// What a VM believes of one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeliefOf {
+pub struct EndpointEstimate {
     /// The endpoint.
     pub endpoint: Name,
     /// What was last seen of it.
-    pub seen: Seen,
+    pub last_observation: LastObservation,
     /// Age of that.
     pub age_ms: u32,
 }
 
 /// What was last seen of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum LastObservation {
     /// It ended a request.
-    Ending {
+    AttemptEnded {
         /// How likely it was failing grayly then, in parts of 255.
         in_spell: u8,
     },
@@ -57,47 +57,47 @@
     }
 
     /// Returns what this VM believes of the endpoints that it has seen at work.
-    pub fn beliefs(&self, now: Time) -> Vec<BeliefOf> {
-        let belief_of = |state: &EndpointState| {
-            let (seen, at) = match state.replaced_at {
-                Some(at) => (Seen::Replaced, at),
+    pub fn estimates(&self, now: Time) -> Vec<EndpointEstimate> {
+        let estimate_of = |state: &EndpointState| {
+            let (last_observation, at) = match state.replaced_at {
+                Some(at) => (LastObservation::Replaced, at),
                 None => {
                     let (in_spell, at) = state.belief.last()?;
-                    (Seen::Ending { in_spell: (in_spell * 255.0) as u8 }, at)
+                    (LastObservation::AttemptEnded { in_spell: (in_spell * 255.0) as u8 }, at)
                 }
             };
             let age_ms = now.since(at).as_millis() as u32;
-            Some(BeliefOf { endpoint: state.name.clone(), seen, age_ms })
+            Some(EndpointEstimate { endpoint: state.name.clone(), last_observation, age_ms })
         };
-        self.endpoints.iter().filter_map(belief_of).collect()
+        self.endpoints.iter().filter_map(estimate_of).collect()
     }
 
     /// Takes what another VM believes where it has seen more lately.
-    pub fn on_beliefs(&mut self, now: Time, beliefs: &[BeliefOf]) -> Vec<HealthAction> {
+    pub fn on_estimates(&mut self, now: Time, estimates: &[EndpointEstimate]) -> Vec<HealthAction> {
         let mut actions = Vec::new();
-        for other in beliefs {
+        for other in estimates {
             let Some(&position) = self.positions.get(&other.endpoint) else { continue };
             let at = now.before(Duration::from_millis(u64::from(other.age_ms)));
             let state = &mut self.endpoints[position];
-            match other.seen {
-                Seen::Ending { in_spell } => {
+            match other.last_observation {
+                LastObservation::AttemptEnded { in_spell } => {
                     if state.belief.adopt(f64::from(in_spell) / 255.0, at) {
-                        state.last_seen = state.last_seen.max(Some(at));
+                        state.last_observed_at = state.last_observed_at.max(Some(at));
                     }
                 }
-                Seen::Replaced if state.last_seen < Some(at) => {
+                LastObservation::Replaced if state.last_observed_at < Some(at) => {
                     self.on_replaced(at, position, &mut actions);
                 }
                 // It has answered since.
-                Seen::Replaced => {}
+                LastObservation::Replaced => {}
             }
         }
         actions
     }
 
     /// Returns the moment of the last answer, if there was one.
-    pub fn last_seen(&self, endpoint: &str) -> Option<Time> {
-        self.endpoint_state(endpoint).and_then(|state| state.last_seen)
+    pub fn last_observed_at(&self, endpoint: &str) -> Option<Time> {
+        self.endpoint_state(endpoint).and_then(|state| state.last_observed_at)
     }
 
     /// Notes how an endpoint ended a request of another VM.
@@ -106,7 +106,7 @@
     /// for one to a request sent later than it was, after the endpoint had begun to fail. It
     /// shows as an endpoint that is known to fail and gets requests again. The guard holds
     /// because the age is told, so that both moments are the true ones.
-    pub fn on_peer_end(
+    pub fn on_peer_attempt_ended(
         &mut self,
         now: Time,
         endpoint: &Name,
@@ -177,6 +177,6 @@
         let state = &mut self.endpoints[position];
         let sign = self.spells.sign(end, now.since(started));
         state.belief.observe(&mut self.spells, now, started, sign);
-        state.last_seen = state.last_seen.max(Some(now));
+        state.last_observed_at = state.last_observed_at.max(Some(now));
     }
 }
--- a/crates/pistachiotrack-core/src/health/rotation.rs
+++ b/crates/pistachiotrack-core/src/health/rotation.rs
@@ -112,7 +112,7 @@
             return;
         }
         let reason = self.reason(position);
-        if self.ranks_failures && reason == EjectReason::Failures {
+        if self.failures_only_lower_rank && reason == EjectReason::Failures {
             return;
         }
         if reason == EjectReason::Unreachable {
--- a/crates/pistachiotrack-core/src/health/state.rs
+++ b/crates/pistachiotrack-core/src/health/state.rs
@@ -96,7 +96,7 @@
     pub(super) reason: Option<EjectReason>,
     pub(super) belief: Belief,
     /// Moment of the last answer or failure that counts.
-    pub(super) last_seen: Option<Time>,
+    pub(super) last_observed_at: Option<Time>,
     pub(super) ejections: u32,
     /// Last ejection or forgiven ejection.
     pub(super) ejections_at: Time,
@@ -129,7 +129,7 @@
             via: None,
             reason: None,
             belief: Belief::new(),
-            last_seen: None,
+            last_observed_at: None,
             ejections: 0,
             ejections_at: now,
             answers: 0,
--- a/crates/pistachiotrack-core/src/health/via.rs
+++ b/crates/pistachiotrack-core/src/health/via.rs
@@ -47,7 +47,7 @@
     /// can work through a witness. What was seen over the broken path says
     /// nothing about the endpoint and is forgotten; one that was ejected for
     /// it is tried again at once.
-    pub fn on_witness(&mut self, now: Time, endpoint: &Name) -> Vec<HealthAction> {
+    pub fn on_relay_found(&mut self, now: Time, endpoint: &Name) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         let Some(&position) = self.positions.get(endpoint) else { return actions };
         let start = READMITTED_PART * self.threshold;
@@ -86,7 +86,7 @@
     ///
     /// Until the answer is there the endpoint gets its work directly: should
     /// nobody reach it any more, it is ejected like any other.
-    pub fn on_witness_lost(&mut self, now: Time, endpoint: &Name) -> Vec<HealthAction> {
+    pub fn on_relay_lost(&mut self, now: Time, endpoint: &Name) -> Vec<HealthAction> {
         let Some(&position) = self.positions.get(endpoint) else { return Vec::new() };
         let suspicion = self.threshold / 2.0;
         let state = &mut self.endpoints[position];
@@ -102,7 +102,7 @@
     ///
     /// Its age shows nothing, since the witness may hang as well, and its
     /// latency is judged without what the way there may add.
-    pub fn on_via(&mut self, attempt: AttemptId) {
+    pub fn on_sent_via_relay(&mut self, attempt: AttemptId) {
         if let Some(flight) = self.flights.get_mut(&attempt) {
             flight.via = true;
             flight.started += VIA_ALLOWANCE;
@@ -110,7 +110,7 @@
     }
 
     /// Returns whether the work of an endpoint goes through a witness.
-    pub fn goes_via_witness(&self, endpoint: &str) -> bool {
+    pub fn is_relayed(&self, endpoint: &str) -> bool {
         self.endpoint_state(endpoint).is_some_and(|state| state.via.is_some())
     }
 
--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -164,7 +164,7 @@
             HealthSettings { mechanisms: settings.mechanisms, ..HealthSettings::default() };
         if let Some(service) = service {
             health_settings.sensitivity = service.sensitivity;
-            health_settings.ranks_failures = service.is_shared();
+            health_settings.failures_only_lower_rank = service.is_shared();
         }
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
         let candidates = pool.candidates();
@@ -415,7 +415,11 @@
                     rate_limit: slots.rate_limit().map(RateLimit::per_second),
                     evidence: self.health.evidence(name),
                     mode: Name::from(mode.as_str()),
-                    reason: self.health.last_reason(name).map(EjectReason::as_str).map(Name::from),
+                    reason: self
+                        .health
+                        .last_ejection_reason(name)
+                        .map(EjectReason::as_str)
+                        .map(Name::from),
                 }
             })
             .collect()
--- a/crates/pistachiotrack-core/src/shard/flow.rs
+++ b/crates/pistachiotrack-core/src/shard/flow.rs
@@ -304,7 +304,7 @@
                 risk_permille: (self.health.risk(now, &pick.name) * 1_000.0) as u16,
                 last_seen_ms_ago: self
                     .health
-                    .last_seen(&pick.name)
+                    .last_observed_at(&pick.name)
                     .map(|seen| now.since(seen).as_millis() as u64),
             },
             address: pick.address,
@@ -319,7 +319,7 @@
             self.health.on_fresh_connection(attempt);
         }
         if via.is_some() {
-            self.health.on_via(attempt);
+            self.health.on_sent_via_relay(attempt);
         }
     }
 
--- a/crates/pistachiotrack-core/src/shard/news.rs
+++ b/crates/pistachiotrack-core/src/shard/news.rs
@@ -11,7 +11,7 @@
 use super::{Served, Shard, ShardAction, state::Attempt};
 use crate::{
     hash,
-    health::BeliefOf,
+    health::EndpointEstimate,
     name::Name,
     ownership::ShardId,
     rate_limit::RateNews,
@@ -75,7 +75,7 @@
     /// The shard.
     pub shard: ShardId,
     /// The endpoints that it has seen at work.
-    pub beliefs: Vec<BeliefOf>,
+    pub beliefs: Vec<EndpointEstimate>,
     /// What all dispatchers have sent in the last window of the limit of retries,
     /// newest first; empty if the sender doesn't know.
     pub sent: Vec<Sent>,
@@ -151,7 +151,7 @@
         self.pool.set_peer_count(now, endpoint, from, told.in_flight, until);
         self.on_rate_news(now, from, endpoint, told);
         let Some(ended) = told.ended else { return };
-        let actions = self.health.on_peer_end(now, endpoint, ended);
+        let actions = self.health.on_peer_attempt_ended(now, endpoint, ended);
         self.on_health_actions(now, actions);
         if !ended.ending.is_failure() {
             self.latency.record(Duration::from_micros(ended.latency_us));
@@ -161,7 +161,7 @@
     /// Returns what this VM believes of the endpoints.
     pub fn picture(&mut self, now: Time) -> ShardPicture {
         let sent = self.retries.fleet().map(|budget| budget.history(now)).unwrap_or_default();
-        let (beliefs, rates) = (self.health.beliefs(now), self.pool.rate_limits(now));
+        let (beliefs, rates) = (self.health.estimates(now), self.pool.rate_limits(now));
         ShardPicture { shard: self.id.clone(), beliefs, sent, rates }
     }
 
@@ -187,7 +187,7 @@
             return Vec::new();
         }
         self.picture_due = None;
-        let actions = self.health.on_beliefs(now, &picture.beliefs);
+        let actions = self.health.on_estimates(now, &picture.beliefs);
         self.on_health_actions(now, actions);
         if let Some(budget) = self.retries.fleet() {
             budget.on_history(now, &picture.sent);
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -229,7 +229,7 @@
             }
             slots.peers.retain(|(_, _, until)| now < *until);
             slots.risk = health.avoidable_risk(now, name);
-            slots.last_seen = health.last_seen(name);
+            slots.last_seen = health.last_observed_at(name);
             slots.last_sent = slots.last_sent.max(slots.last_seen.unwrap_or(Time::ZERO));
             slots.is_untried &= slots.last_seen.is_none();
             slots.share = health.share(now, name);
--- a/crates/pistachiotrack-core/src/shard/via.rs
+++ b/crates/pistachiotrack-core/src/shard/via.rs
@@ -20,7 +20,7 @@
             return Vec::new();
         }
         self.witnesses.insert(endpoint.clone(), witnesses);
-        let actions = self.health.on_witness(now, endpoint);
+        let actions = self.health.on_relay_found(now, endpoint);
         self.on_health_actions(now, actions);
         self.pool.refresh(now, &self.health);
         self.advance(now)
@@ -28,7 +28,7 @@
 
     /// Returns the VM through which work goes to an endpoint, if it must.
     pub(super) fn witness(&self, endpoint: &Name) -> Option<Name> {
-        if !self.health.goes_via_witness(endpoint) {
+        if !self.health.is_relayed(endpoint) {
             return None;
         }
         self.witnesses.get(endpoint)?.first().cloned()
@@ -42,7 +42,7 @@
         witnesses.retain(|witness| witness != failed);
         if witnesses.is_empty() {
             self.witnesses.remove(&of.endpoint);
-            let actions = self.health.on_witness_lost(now, &of.endpoint);
+            let actions = self.health.on_relay_lost(now, &of.endpoint);
             self.on_health_actions(now, actions);
         }
     }
--- a/crates/pistachiotrack-core/tests/floor.rs
+++ b/crates/pistachiotrack-core/tests/floor.rs
@@ -315,7 +315,7 @@
             }
             let is_out = matches!(state, HealthState::Ejected | HealthState::Trial);
             let is_ejected = self.ejected.contains(&name);
-            if is_out || is_ejected || self.health.unreachable_from_here(&name) {
+            if is_out || is_ejected || self.health.unreachable_from_this_vm(&name) {
                 self.was_out.insert(endpoint);
             }
             let says_so = self.said.contains_key(&endpoint);
@@ -335,7 +335,7 @@
                     | HealthState::HeldByFloor
                     | HealthState::SlowStart
             );
-            if gets_work && !self.health.unreachable_from_here(&name) {
+            if gets_work && !self.health.unreachable_from_this_vm(&name) {
                 assert!(share > 0.0, "{name} {state:?}");
                 in_rotation += 1;
                 stays += u8::from(!says_so);
--- a/crates/pistachiotrack-core/tests/gray_failure.rs
+++ b/crates/pistachiotrack-core/tests/gray_failure.rs
@@ -29,7 +29,8 @@
     fn new(endpoints: usize) -> Service {
         let candidate = |index| ConfiguredEndpoint { name: name(index), leaving: false };
         let candidates: Vec<ConfiguredEndpoint> = (0..endpoints).map(candidate).collect();
-        let settings = HealthSettings { ranks_failures: true, ..HealthSettings::default() };
+        let settings =
+            HealthSettings { failures_only_lower_rank: true, ..HealthSettings::default() };
         Service { health: Health::new(START, settings, &candidates, 0, 1), next_attempt: 1 }
     }
 
--- a/crates/pistachiotrack-core/tests/health_faults.rs
+++ b/crates/pistachiotrack-core/tests/health_faults.rs
@@ -125,7 +125,7 @@
     let mut seen_unreachable = false;
     for _ in 0..100 {
         world.run(100, |sent| if sent.endpoint == 5 { Reply::NoConnection } else { Reply::GOOD });
-        if world.health.unreachable_from_here("e5") {
+        if world.health.unreachable_from_this_vm("e5") {
             seen_unreachable = true;
             assert_eq!(world.health.share(world.now, "e5"), 0.0);
             let handed_over = world.health.hand_over(world.now);
--- a/crates/pistachiotrack-core/tests/health_recovery.rs
+++ b/crates/pistachiotrack-core/tests/health_recovery.rs
@@ -288,7 +288,7 @@
         Reply::Answer { status: if fails { 500 } else { 200 }, factor: 1.0 }
     };
     world.run(4_000, sick);
-    assert_eq!(world.health.last_reason("e0"), Some(EjectReason::Failures));
+    assert_eq!(world.health.last_ejection_reason("e0"), Some(EjectReason::Failures));
     let standings: Vec<HealthState> = (0..3).map(|endpoint| world.state(endpoint)).collect();
     assert_eq!(standings, [HealthState::Ejected, HealthState::Ejected, HealthState::HeldByFloor]);
     assert!(world.health.at_floor());
--- a/crates/pistachiotrackd/src/news_link.rs
+++ b/crates/pistachiotrackd/src/news_link.rs
@@ -9,7 +9,7 @@
 
 use pistachiotrack_core::{
     hash,
-    health::BeliefOf,
+    health::EndpointEstimate,
     message::MAX_DATAGRAM_BYTES,
     name::Name,
     ownership::ShardId,
@@ -189,7 +189,7 @@
     pub(crate) fn answer(&self, to: SocketAddr, mut picture: ShardPicture) {
         let place = self.view.borrow().place(to);
         let beliefs = std::mem::take(&mut picture.beliefs);
-        let mut parts: Vec<&[BeliefOf]> = beliefs.chunks(BELIEFS_PER_DATAGRAM).collect();
+        let mut parts: Vec<&[EndpointEstimate]> = beliefs.chunks(BELIEFS_PER_DATAGRAM).collect();
         if parts.is_empty() {
             // The VM that asks waits for an answer, and may need the retries sent.
             parts.push(&[]);
@@ -209,7 +209,7 @@
         to: SocketAddr,
         place: Place,
         shard: ShardId,
-        beliefs: &[BeliefOf],
+        beliefs: &[EndpointEstimate],
         sent: Vec<Sent>,
         rates: &[(EndpointKey, RateNews)],
     ) {
