--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -18,24 +18,24 @@
     time::Time,
 };
 
-mod belief;
+mod baseline;
+mod episode_estimate;
+mod episode_model;
 mod evidence;
 mod hand_over;
 mod observation;
-mod reference;
+mod relay;
 mod replaced;
 mod risk;
 mod rotation;
 mod schedule;
-mod spells;
 mod state;
-mod via;
 
 pub use risk::{EndpointEstimate, LastObservation};
 
-use reference::Reference;
-use spells::Spells;
-use state::{EndpointState, Flight, Phase};
+use baseline::Baseline;
+use episode_model::EpisodeModel;
+use state::{EndpointState, InFlightAttempt, Phase};
 
 /// Settings of the health decisions of one shard.
 #[derive(Clone, Debug)]
@@ -231,9 +231,9 @@
     floor: usize,
     endpoints: Vec<EndpointState>,
     positions: FxHashMap<Name, usize>,
-    flights: FxHashMap<AttemptId, Flight>,
-    reference: Reference,
-    spells: Spells,
+    attempts: FxHashMap<AttemptId, InFlightAttempt>,
+    baseline: Baseline,
+    episode_model: EpisodeModel,
     /// Evidence that the better part of the endpoints has against it: what a
     /// fault of the whole service, or of this VM, explains.
     common_evidence: f64,
@@ -247,7 +247,7 @@
     pub fn new(
         now: Time,
         settings: HealthSettings,
-        candidates: &[ConfiguredEndpoint],
+        configured: &[ConfiguredEndpoint],
         floor: u32,
         seed: u64,
     ) -> Health {
@@ -258,15 +258,15 @@
             floor: 0,
             endpoints: Vec::new(),
             positions: FxHashMap::default(),
-            flights: FxHashMap::default(),
-            reference: Reference::default(),
-            spells: Spells::new(settings.mechanisms.failure_times),
+            attempts: FxHashMap::default(),
+            baseline: Baseline::default(),
+            episode_model: EpisodeModel::new(settings.mechanisms.failure_times),
             common_evidence: 0.0,
             last_tick: now,
             next_id: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
-        health.take_candidates(now, candidates, Phase::InRotation);
+        health.update_endpoints(now, configured, Phase::InRotation);
         health.floor = floor as usize;
         health
     }
@@ -278,39 +278,40 @@
     pub fn on_config(
         &mut self,
         now: Time,
-        candidates: &[ConfiguredEndpoint],
+        configured: &[ConfiguredEndpoint],
         floor: u32,
     ) -> Vec<HealthAction> {
         self.floor = floor as usize;
-        self.take_candidates(now, candidates, Phase::SlowStart { since: now });
+        self.update_endpoints(now, configured, Phase::SlowStart { since: now });
         let mut actions = Vec::new();
-        self.keep_floor(now, &mut actions);
+        self.enforce_floor(now, &mut actions);
         actions
     }
 
-    fn take_candidates(&mut self, now: Time, candidates: &[ConfiguredEndpoint], new_phase: Phase) {
-        let mut old: FxHashMap<Name, EndpointState> =
+    fn update_endpoints(&mut self, now: Time, configured: &[ConfiguredEndpoint], new_phase: Phase) {
+        let mut previous: FxHashMap<Name, EndpointState> =
             self.endpoints.drain(..).map(|endpoint| (endpoint.name.clone(), endpoint)).collect();
         self.positions.clear();
-        for candidate in candidates {
-            if self.positions.contains_key(&candidate.name) {
+        for endpoint_config in configured {
+            if self.positions.contains_key(&endpoint_config.name) {
                 continue;
             }
-            let endpoint = match old.remove(&candidate.name) {
+            let endpoint = match previous.remove(&endpoint_config.name) {
                 Some(mut endpoint) => {
-                    endpoint.set_leaving(now, candidate.leaving);
+                    endpoint.set_leaving(now, endpoint_config.leaving);
                     endpoint
                 }
                 None => {
                     self.next_id += 1;
-                    let name = candidate.name.clone();
-                    EndpointState::new(now, self.next_id, name, candidate.leaving, new_phase)
+                    let name = endpoint_config.name.clone();
+                    EndpointState::new(now, self.next_id, name, endpoint_config.leaving, new_phase)
                 }
             };
-            self.positions.insert(candidate.name.clone(), self.endpoints.len());
+            self.positions.insert(endpoint_config.name.clone(), self.endpoints.len());
             self.endpoints.push(endpoint);
         }
-        self.flights.retain(|_, flight| old.values().all(|gone| gone.id != flight.endpoint));
+        self.attempts
+            .retain(|_, attempt| previous.values().all(|gone| gone.id != attempt.endpoint));
     }
 
     /// Notes what an endpoint reports about itself.
@@ -322,14 +323,14 @@
         let mut actions = Vec::new();
         let Some(&position) = self.positions.get(endpoint) else { return actions };
         let state = &mut self.endpoints[position];
-        match &mut state.drain {
-            _ if report.draining => state.note_drain(now),
-            Some(drain) => {
-                drain.denied_at.get_or_insert(now);
+        match &mut state.drain_report {
+            _ if report.draining => state.record_drain_report(now),
+            Some(drain_report) => {
+                drain_report.withdrawn_at.get_or_insert(now);
             }
             None => return actions,
         }
-        self.keep_floor(now, &mut actions);
+        self.enforce_floor(now, &mut actions);
         actions
     }
 
@@ -337,13 +338,13 @@
     ///
     /// To be called before any event that the pause held up.
     pub fn on_pause(&mut self, now: Time, _gap: Duration) {
-        for flight in self.flights.values_mut() {
-            flight.tainted = true;
+        for attempt in self.attempts.values_mut() {
+            attempt.spans_pause = true;
         }
         for endpoint in &mut self.endpoints {
-            endpoint.evidence.undo(now);
-            endpoint.doubt_since = None;
-            endpoint.path = state::Path::Unasked;
+            endpoint.evidence.revert_to_last_tick(now);
+            endpoint.ambiguous_since = None;
+            endpoint.path_check = state::PathCheck::NotRequested;
         }
         self.last_tick = now;
     }
@@ -365,7 +366,7 @@
             return 0.0;
         }
         match state.phase {
-            Phase::InRotation | Phase::Held => 1.0,
+            Phase::InRotation | Phase::HeldByFloor => 1.0,
             Phase::Ejected { .. } | Phase::PathBroken { .. } => 0.0,
             Phase::Trial { .. } => TRIAL_SHARE,
             Phase::SlowStart { .. } if !self.mechanisms.slow_start => 1.0,
@@ -380,7 +381,7 @@
     /// and its work goes through another VM.
     pub fn unreachable_from_this_vm(&self, endpoint: &str) -> bool {
         self.endpoint_state(endpoint).is_some_and(|state| {
-            state.via.is_some() || matches!(state.phase, Phase::PathBroken { .. })
+            state.relay_route.is_some() || matches!(state.phase, Phase::PathBroken { .. })
         })
     }
 
@@ -389,7 +390,7 @@
     pub fn wants_fresh_connection(&self, endpoint: &str) -> bool {
         self.endpoint_state(endpoint).is_some_and(|state| {
             let on_trial = matches!(state.phase, Phase::Trial { .. });
-            on_trial || state.evidence.doubtful() >= evidence::OBSERVATION_CAP / 2.0
+            on_trial || state.evidence.ambiguous_total() >= evidence::OBSERVATION_CAP / 2.0
         })
     }
 
@@ -405,7 +406,7 @@
 
     /// Returns why an endpoint was last ejected.
     pub fn last_ejection_reason(&self, endpoint: &str) -> Option<EjectReason> {
-        self.endpoint_state(endpoint).and_then(|state| state.reason)
+        self.endpoint_state(endpoint).and_then(|state| state.last_ejection_reason)
     }
 
     /// Returns whether a further ejection would be held back by the floor.
@@ -432,6 +433,6 @@
     /// Those whose report is disregarded are not counted: they have to go as
     /// soon as they can, so the floor must not let any other go for them.
     fn rotation_len(&self) -> usize {
-        self.endpoints.iter().filter(|endpoint| endpoint.stays()).count()
+        self.endpoints.iter().filter(|endpoint| endpoint.counts_toward_floor()).count()
     }
 }
--- a/crates/pistachiotrack-core/src/health/evidence.rs
+++ b/crates/pistachiotrack-core/src/health/evidence.rs
@@ -10,11 +10,11 @@
 
 /// Failure rate of a healthy endpoint that the test never goes below, so that
 /// single failures of a quiet service weigh little.
-const FLOOR_FAILURE_RATE: f64 = 0.02;
+const MIN_FAILURE_RATE: f64 = 0.02;
 /// Factor over its peers' failure rate that an endpoint may have.
 const FAILURE_TOLERANCE: f64 = 1.5;
 /// Failure rate that counts as sick where the peers hardly fail.
-const SICK_FAILURE_RATE: f64 = 0.3;
+const FAULTY_FAILURE_RATE: f64 = 0.3;
 /// Largest contribution of one observation.
 pub(super) const OBSERVATION_CAP: f64 = 3.0;
 /// Time over which bad observations of one endpoint have a common cause: a
@@ -22,14 +22,14 @@
 /// observation. Evidence grows by one full observation in this time at most.
 const CORRELATION_TIME: Duration = Duration::from_millis(40);
 /// Part of the threshold that evidence from pooled connections alone fills.
-const DOUBT_PART: f64 = 0.6;
+const MAX_AMBIGUOUS_FRACTION: f64 = 0.6;
 /// Sums are capped at this multiple of the threshold, so that an endpoint that
 /// is held by the floor and recovers gets rid of its evidence.
 const SUM_CAP: f64 = 1.5;
 /// Time in which evidence about an idle endpoint halves.
 const HALF_LIFE: Duration = Duration::from_secs(30);
 /// Step of the running sickness estimate per observation.
-const SICKNESS_STEP: f64 = 0.2;
+const SEVERITY_STEP: f64 = 0.2;
 
 /// Threshold of the test for a sensitivity from 0 to 1.
 ///
@@ -42,19 +42,19 @@
 
 /// Log-likelihood ratio of a failure where the peers fail at `peer_rate`.
 pub(super) fn failure_score(peer_rate: f64) -> f64 {
-    let (null, sick) = failure_rates(peer_rate);
-    (sick / null).ln().min(OBSERVATION_CAP)
+    let (null, faulty) = failure_rates(peer_rate);
+    (faulty / null).ln().min(OBSERVATION_CAP)
 }
 
 /// Log-likelihood ratio of a success where the peers fail at `peer_rate`.
 pub(super) fn success_score(peer_rate: f64) -> f64 {
-    let (null, sick) = failure_rates(peer_rate);
-    ((1.0 - sick) / (1.0 - null)).ln()
+    let (null, faulty) = failure_rates(peer_rate);
+    ((1.0 - faulty) / (1.0 - null)).ln()
 }
 
 fn failure_rates(peer_rate: f64) -> (f64, f64) {
-    let null = (FAILURE_TOLERANCE * peer_rate).clamp(FLOOR_FAILURE_RATE, 0.9);
-    (null, SICK_FAILURE_RATE.max((2.0 * null + 0.1).min(0.97)))
+    let null = (FAILURE_TOLERANCE * peer_rate).clamp(MIN_FAILURE_RATE, 0.9);
+    (null, FAULTY_FAILURE_RATE.max((2.0 * null + 0.1).min(0.97)))
 }
 
 /// Log-likelihood ratio of a latency that a part `tail` of the peers exceeds.
@@ -71,7 +71,7 @@
 
 /// How one observation bears on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum EvidenceKind {
     /// An answer was a failure.
     Failure,
     /// An answer was late.
@@ -79,7 +79,7 @@
     /// No connection could be opened.
     Connect,
     /// Nothing came back on a pooled connection: endpoint or connection.
-    Doubt,
+    Ambiguous,
 }
 
 /// The running sums of one endpoint.
@@ -92,24 +92,24 @@
     /// From connections that could not be opened.
     pub(super) connect: f64,
     /// From pooled connections on which nothing came back.
-    pub(super) doubt: f64,
+    pub(super) ambiguous: f64,
     /// Like `slow`, from work still in flight; not a sum.
     pub(super) slow_in_flight: f64,
     /// Like `doubt`, from work still in flight; not a sum.
-    pub(super) doubt_in_flight: f64,
+    pub(super) ambiguous_in_flight: f64,
     /// Whether a health check on a new connection has hung or failed since the
     /// endpoint last answered: then doubt is about the endpoint.
-    pub(super) doubt_confirmed: bool,
+    pub(super) confirmed_by_probe: bool,
     /// How bad the endpoint is, from 0 to 1: orders endpoints at the floor.
-    pub(super) sickness: f64,
+    pub(super) severity: f64,
     last_bad: [Option<Time>; 4],
     decayed_at: Time,
-    at_last_tick: [f64; 4],
+    sums_at_last_tick: [f64; 4],
 }
 
 impl Evidence {
     /// Adds the score of an observation.
-    pub(super) fn add(&mut self, now: Time, kind: Kind, score: f64, threshold: f64) {
+    pub(super) fn add(&mut self, now: Time, kind: EvidenceKind, score: f64, threshold: f64) {
         let mut weight = 1.0;
         if score > 0.0 {
             let last_bad = self.last_bad[kind as usize].replace(now);
@@ -121,32 +121,36 @@
     }
 
     /// Notes how bad one observation was, from 0 to 1.
-    pub(super) fn note_sickness(&mut self, badness: f64) {
-        self.sickness += SICKNESS_STEP * (badness.clamp(0.0, 1.0) - self.sickness);
+    pub(super) fn update_severity(&mut self, observed: f64) {
+        self.severity += SEVERITY_STEP * (observed.clamp(0.0, 1.0) - self.severity);
     }
 
     /// Returns the evidence that fresh connections or answers gave.
-    pub(super) fn sure(&self) -> f64 {
+    pub(super) fn conclusive_total(&self) -> f64 {
         self.failures.max(self.slow + self.slow_in_flight).max(self.connect)
     }
 
     /// Returns the evidence from pooled connections only.
-    pub(super) fn doubtful(&self) -> f64 {
-        self.doubt + self.doubt_in_flight
+    pub(super) fn ambiguous_total(&self) -> f64 {
+        self.ambiguous + self.ambiguous_in_flight
     }
 
     /// Returns the evidence as a whole.
     pub(super) fn strength(&self, threshold: f64) -> f64 {
-        let cap = if self.doubt_confirmed { f64::INFINITY } else { DOUBT_PART * threshold };
-        self.sure() + self.doubtful().min(cap)
+        let cap = if self.confirmed_by_probe {
+            f64::INFINITY
+        } else {
+            MAX_AMBIGUOUS_FRACTION * threshold
+        };
+        self.conclusive_total() + self.ambiguous_total().min(cap)
     }
 
     /// Forgets everything but the sickness and begins at `start`.
-    pub(super) fn restart(&mut self, now: Time, start: f64) {
-        let sickness = self.sickness;
-        *self = Evidence { failures: start, slow: start, sickness, ..Evidence::default() };
+    pub(super) fn reset(&mut self, now: Time, start: f64) {
+        let severity = self.severity;
+        *self = Evidence { failures: start, slow: start, severity, ..Evidence::default() };
         self.decayed_at = now;
-        self.at_last_tick = self.sums();
+        self.sums_at_last_tick = self.sums();
     }
 
     /// Lets old evidence fade and remembers the sums for [`Evidence::undo`].
@@ -157,13 +161,18 @@
         self.failures *= factor;
         self.slow *= factor;
         self.connect *= factor;
-        self.doubt *= factor;
-        self.at_last_tick = self.sums();
+        self.ambiguous *= factor;
+        self.sums_at_last_tick = self.sums();
     }
 
     /// Limits the sums to what the peers have against them as well.
-    pub(super) fn limit(&mut self, limit: f64) {
-        for kind in [Kind::Failure, Kind::Slow, Kind::Connect, Kind::Doubt] {
+    pub(super) fn cap(&mut self, limit: f64) {
+        for kind in [
+            EvidenceKind::Failure,
+            EvidenceKind::Slow,
+            EvidenceKind::Connect,
+            EvidenceKind::Ambiguous,
+        ] {
             let sum = self.sum_mut(kind);
             *sum = sum.min(limit);
         }
@@ -171,28 +180,28 @@
 
     /// Takes back what was added since the last tick, and all that work in
     /// flight showed.
-    pub(super) fn undo(&mut self, now: Time) {
-        let [failures, slow, connect, doubt] = self.at_last_tick;
+    pub(super) fn revert_to_last_tick(&mut self, now: Time) {
+        let [failures, slow, connect, ambiguous] = self.sums_at_last_tick;
         self.failures = self.failures.min(failures);
         self.slow = self.slow.min(slow);
         self.connect = self.connect.min(connect);
-        self.doubt = self.doubt.min(doubt);
+        self.ambiguous = self.ambiguous.min(ambiguous);
         self.slow_in_flight = 0.0;
-        self.doubt_in_flight = 0.0;
-        self.doubt_confirmed = false;
+        self.ambiguous_in_flight = 0.0;
+        self.confirmed_by_probe = false;
         self.decayed_at = now;
     }
 
     fn sums(&self) -> [f64; 4] {
-        [self.failures, self.slow, self.connect, self.doubt]
+        [self.failures, self.slow, self.connect, self.ambiguous]
     }
 
-    fn sum_mut(&mut self, kind: Kind) -> &mut f64 {
+    fn sum_mut(&mut self, kind: EvidenceKind) -> &mut f64 {
         match kind {
-            Kind::Failure => &mut self.failures,
-            Kind::Slow => &mut self.slow,
-            Kind::Connect => &mut self.connect,
-            Kind::Doubt => &mut self.doubt,
+            EvidenceKind::Failure => &mut self.failures,
+            EvidenceKind::Slow => &mut self.slow,
+            EvidenceKind::Connect => &mut self.connect,
+            EvidenceKind::Ambiguous => &mut self.ambiguous,
         }
     }
 }
--- a/crates/pistachiotrack-core/src/health/hand_over.rs
+++ b/crates/pistachiotrack-core/src/health/hand_over.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     health::{
-        EjectReason, Health, HealthAction, HealthHandOver, HealthState, reference::log_micros,
+        EjectReason, Health, HealthAction, HealthHandOver, HealthState, baseline::ln_micros,
         state::Phase,
     },
     request::Class,
@@ -12,13 +12,13 @@
 };
 
 /// Time that a predecessor's ejection is trusted before the endpoint is tried.
-const TRUST: Duration = Duration::from_secs(5);
+const INHERITED_BACKOFF: Duration = Duration::from_secs(5);
 /// Own answers from which on own evidence goes before the predecessor's.
-const OWN_ANSWERS: u32 = 10;
+const MIN_OWN_ANSWERS: u32 = 10;
 /// Ejections taken over at most.
-const MAX_EJECTIONS: u32 = 6;
+const MAX_INHERITED_EJECTIONS: u32 = 6;
 /// Times that a predecessor's usual latency is entered as a reference.
-const LATENCY_ENTRIES: usize = 4;
+const LATENCY_SEED_SAMPLES: usize = 4;
 
 impl Health {
     /// Returns what a successor needs to know.
@@ -47,55 +47,56 @@
     /// this VM has seen enough answers itself, they go first.
     pub fn on_hand_over(&mut self, now: Time, from: &[HealthHandOver]) -> Vec<HealthAction> {
         let mut actions = Vec::new();
-        let seed_latency = self.reference.is_empty(Class::Standard);
-        for old in from {
-            let Some(&position) = self.positions.get(&old.endpoint) else { continue };
-            if let Some(usual_us) = old.usual_latency_us.filter(|_| seed_latency) {
+        let seed_latency = self.baseline.is_empty(Class::Standard);
+        for inherited in from {
+            let Some(&position) = self.positions.get(&inherited.endpoint) else { continue };
+            if let Some(usual_us) = inherited.usual_latency_us.filter(|_| seed_latency) {
                 self.seed_latency(position, Duration::from_micros(usual_us));
             }
-            self.take_standing(now, position, old, &mut actions);
+            self.apply_inherited_state(now, position, inherited, &mut actions);
         }
-        self.keep_floor(now, &mut actions);
+        self.enforce_floor(now, &mut actions);
         actions
     }
 
     fn seed_latency(&mut self, position: usize, usual: Duration) {
         let state = &mut self.endpoints[position];
-        state.usual_log_micros.get_or_insert(log_micros(usual));
+        state.usual_ln_micros.get_or_insert(ln_micros(usual));
         let id = state.id;
         for class in Class::ALL {
-            for _ in 0..LATENCY_ENTRIES {
-                self.reference.add_latency(class, id, usual);
+            for _ in 0..LATENCY_SEED_SAMPLES {
+                self.baseline.add_latency(class, id, usual);
             }
         }
     }
 
-    fn take_standing(
+    fn apply_inherited_state(
         &mut self,
         now: Time,
         position: usize,
-        old: &HealthHandOver,
+        inherited: &HealthHandOver,
         actions: &mut Vec<HealthAction>,
     ) {
         let threshold = self.threshold;
         let state = &mut self.endpoints[position];
-        state.ejections = state.ejections.max(old.ejections.min(MAX_EJECTIONS));
-        let is_known = state.answers >= OWN_ANSWERS;
-        if is_known || state.phase != Phase::InRotation {
+        state.ejections = state.ejections.max(inherited.ejections.min(MAX_INHERITED_EJECTIONS));
+        let has_own_evidence = state.answers >= MIN_OWN_ANSWERS;
+        if has_own_evidence || state.phase != Phase::InRotation {
             return;
         }
-        match old.state {
+        match inherited.state {
             HealthState::Ejected | HealthState::Trial => {
-                state.evidence.note_sickness(1.0);
-                state.reason.get_or_insert(EjectReason::Failures);
+                state.evidence.update_severity(1.0);
+                state.last_ejection_reason.get_or_insert(EjectReason::Failures);
                 if self.rotation_len() > self.floor {
-                    self.endpoints[position].phase = Phase::Ejected { until: now + TRUST };
+                    self.endpoints[position].phase =
+                        Phase::Ejected { until: now + INHERITED_BACKOFF };
                 } else {
-                    self.hold(position, actions);
+                    self.hold_by_floor(position, actions);
                 }
             }
             HealthState::Suspect | HealthState::HeldByFloor => {
-                state.evidence.restart(now, threshold / 2.0);
+                state.evidence.reset(now, threshold / 2.0);
             }
             HealthState::SlowStart => state.phase = Phase::SlowStart { since: now },
             HealthState::Healthy | HealthState::Draining => {}
--- a/crates/pistachiotrack-core/src/health/observation.rs
+++ b/crates/pistachiotrack-core/src/health/observation.rs
@@ -4,10 +4,9 @@
 
 use crate::{
     health::{
-        AttemptKind, Health, HealthAction,
-        evidence::{self, Kind, OBSERVATION_CAP},
-        reference,
-        state::{Flight, Path, Phase},
+        AttemptKind, Health, HealthAction, baseline,
+        evidence::{self, EvidenceKind, OBSERVATION_CAP},
+        state::{InFlightAttempt, PathCheck, Phase},
     },
     name::Name,
     request::{AttemptId, BodyEnd, Class, FIRST_FAILURE_STATUS, Outcome},
@@ -18,21 +17,21 @@
 const POOLED_BREAK_WEIGHT: f64 = 0.5;
 /// Age at which an attempt without answer is a failure where no latency of
 /// peers is known.
-const AGE_WITHOUT_PEERS: Duration = Duration::from_secs(1);
+const MAX_AGE_WITHOUT_PEERS: Duration = Duration::from_secs(1);
 /// Age at which a health check without answer has failed.
-const PROBE_LIMIT: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Ticks further apart than this may hide a pause of this process.
-const STALE_TICK: Duration = Duration::from_millis(500);
+const MAX_TICK_GAP: Duration = Duration::from_millis(500);
 /// Latency score above which a trial has failed, and the same for its age.
-const TRIAL_LATE: f64 = 1.0;
-const TRIAL_HUNG: f64 = 2.0;
+const TRIAL_LATENCY_SCORE_LIMIT: f64 = 1.0;
+const TRIAL_AGE_SCORE_LIMIT: f64 = 2.0;
 
 impl Health {
     /// Notes the start of an attempt.
     pub fn on_dispatch(
         &mut self,
         now: Time,
-        attempt: AttemptId,
+        attempt_id: AttemptId,
         endpoint: &Name,
         class: Class,
         kind: AttemptKind,
@@ -40,29 +39,29 @@
         let Some(&position) = self.positions.get(endpoint) else { return };
         let state = &mut self.endpoints[position];
         if kind != AttemptKind::Probe {
-            state.last_dispatch = now;
+            state.last_dispatch_at = now;
         }
-        let flight = Flight {
+        let attempt = InFlightAttempt {
             endpoint: state.id,
             class,
             kind,
             started: now,
-            fresh: kind == AttemptKind::Probe,
-            tainted: false,
-            via: false,
+            fresh_connection: kind == AttemptKind::Probe,
+            spans_pause: false,
+            via_relay: false,
             answered: false,
-            counted: false,
+            hang_counted: false,
         };
-        self.flights.insert(attempt, flight);
+        self.attempts.insert(attempt_id, attempt);
     }
 
     /// Notes that an attempt was sent on a new connection.
     ///
     /// Without this an attempt counts as sent on a pooled connection while it
     /// is in flight; health checks always count as sent on a new one.
-    pub fn on_fresh_connection(&mut self, attempt: AttemptId) {
-        if let Some(flight) = self.flights.get_mut(&attempt) {
-            flight.fresh = true;
+    pub fn on_fresh_connection(&mut self, attempt_id: AttemptId) {
+        if let Some(attempt) = self.attempts.get_mut(&attempt_id) {
+            attempt.fresh_connection = true;
         }
     }
 
@@ -70,34 +69,34 @@
     pub fn on_outcome(
         &mut self,
         now: Time,
-        attempt: AttemptId,
+        attempt_id: AttemptId,
         outcome: Outcome,
     ) -> Vec<HealthAction> {
         let mut actions = Vec::new();
-        let Some(flight) = self.flights.get_mut(&attempt) else { return actions };
-        flight.answered = true;
-        let mut flight = *flight;
-        if flight.kind == AttemptKind::Probe || !matches!(outcome, Outcome::Answered { .. }) {
-            self.flights.remove(&attempt);
+        let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return actions };
+        attempt.answered = true;
+        let mut attempt = *attempt;
+        if attempt.kind == AttemptKind::Probe || !matches!(outcome, Outcome::Answered { .. }) {
+            self.attempts.remove(&attempt_id);
         }
-        let Some(position) = self.position_of(flight.endpoint) else { return actions };
+        let Some(position) = self.position_of(attempt.endpoint) else { return actions };
         if let Outcome::Answered { fresh_connection, .. }
         | Outcome::Broken { fresh_connection }
         | Outcome::TimedOut { fresh_connection } = outcome
         {
-            flight.fresh |= fresh_connection;
+            attempt.fresh_connection |= fresh_connection;
         }
-        self.observe_risk(now, position, &flight, outcome);
+        self.update_episode_estimate(now, position, &attempt, outcome);
         let evidence = &mut self.endpoints[position].evidence;
         evidence.slow_in_flight = 0.0;
-        evidence.doubt_in_flight = 0.0;
+        evidence.ambiguous_in_flight = 0.0;
         if outcome == Outcome::Misdirected {
             self.on_replaced(now, position, &mut actions);
             return actions;
         }
-        if self.endpoints[position].via.is_some() && !flight.via {
-            if flight.kind == AttemptKind::Probe {
-                self.on_retest(now, position, outcome, &mut actions);
+        if self.endpoints[position].relay_route.is_some() && !attempt.via_relay {
+            if attempt.kind == AttemptKind::Probe {
+                self.on_path_retry(now, position, outcome, &mut actions);
                 return actions;
             }
             if !matches!(outcome, Outcome::Answered { .. }) {
@@ -105,26 +104,26 @@
             }
         }
 
-        let cant_connect = outcome == Outcome::ConnectFailed && !flight.tainted;
+        let connect_failed = outcome == Outcome::ConnectFailed && !attempt.spans_pause;
         match self.endpoints[position].phase {
             Phase::Ejected { .. } => {
-                if cant_connect {
-                    self.ask_when_out(now, position, &mut actions);
+                if connect_failed {
+                    self.request_path_check_when_out(now, position, &mut actions);
                 }
                 return actions;
             }
-            Phase::Trial { since, .. } if flight.started < since => return actions,
+            Phase::Trial { since, .. } if attempt.started < since => return actions,
             Phase::Trial { .. } | Phase::PathBroken { .. } => {
-                self.observe_trial(now, position, &flight, outcome, &mut actions);
-                if cant_connect {
-                    self.ask_when_out(now, position, &mut actions);
+                self.observe_trial(now, position, &attempt, outcome, &mut actions);
+                if connect_failed {
+                    self.request_path_check_when_out(now, position, &mut actions);
                 }
             }
-            Phase::InRotation | Phase::Held | Phase::SlowStart { .. } => {
-                self.observe(now, position, &flight, outcome);
+            Phase::InRotation | Phase::HeldByFloor | Phase::SlowStart { .. } => {
+                self.observe(now, position, &attempt, outcome);
             }
         }
-        self.decide(now, position, &mut actions);
+        self.evaluate_unless_stalled(now, position, &mut actions);
         actions
     }
 
@@ -132,22 +131,22 @@
     pub fn on_body_end(
         &mut self,
         now: Time,
-        attempt: AttemptId,
+        attempt_id: AttemptId,
         end: BodyEnd,
     ) -> Vec<HealthAction> {
         let mut actions = Vec::new();
-        let Some(flight) = self.flights.remove(&attempt) else { return actions };
-        if end != BodyEnd::Cut || flight.tainted {
+        let Some(attempt) = self.attempts.remove(&attempt_id) else { return actions };
+        if end != BodyEnd::Cut || attempt.spans_pause {
             return actions;
         }
-        let Some(position) = self.position_of(flight.endpoint) else { return actions };
+        let Some(position) = self.position_of(attempt.endpoint) else { return actions };
         match self.endpoints[position].phase {
-            Phase::Trial { since, .. } if flight.started >= since => {
+            Phase::Trial { since, .. } if attempt.started >= since => {
                 self.fail_trial(now, position, &mut actions);
             }
             _ if self.endpoints[position].in_rotation() => {
                 self.add_failure(now, position);
-                self.decide(now, position, &mut actions);
+                self.evaluate_unless_stalled(now, position, &mut actions);
             }
             _ => {}
         }
@@ -159,10 +158,15 @@
     /// A process that was paused sees timeouts and broken connections of its
     /// own making when it wakes. Ticks that stay away show that, so nothing is
     /// ejected until a tick, which comes after [`Health::on_pause`].
-    pub(super) fn decide(&mut self, now: Time, position: usize, actions: &mut Vec<HealthAction>) {
-        if now.since(self.last_tick) < STALE_TICK {
-            self.judge(now, position, actions);
-            self.keep_floor(now, actions);
+    pub(super) fn evaluate_unless_stalled(
+        &mut self,
+        now: Time,
+        position: usize,
+        actions: &mut Vec<HealthAction>,
+    ) {
+        if now.since(self.last_tick) < MAX_TICK_GAP {
+            self.evaluate(now, position, actions);
+            self.enforce_floor(now, actions);
         }
     }
 
@@ -170,26 +174,26 @@
         &mut self,
         now: Time,
         position: usize,
-        flight: &Flight,
+        attempt: &InFlightAttempt,
         outcome: Outcome,
     ) {
         match outcome {
-            Outcome::Answered { status, .. } => self.observe_answer(now, position, flight, status),
-            Outcome::Shed => self.note_alive(now, position, flight),
-            Outcome::ConnectFailed if flight.tainted => {}
+            Outcome::Answered { status, .. } => self.observe_answer(now, position, attempt, status),
+            Outcome::Shed => self.record_response(now, position, attempt),
+            Outcome::ConnectFailed if attempt.spans_pause => {}
             Outcome::ConnectFailed => {
                 let score = evidence::failure_score(self.peer_failure_rate(position));
-                self.add(now, position, Kind::Connect, score);
-                self.endpoints[position].evidence.note_sickness(1.0);
+                self.add(now, position, EvidenceKind::Connect, score);
+                self.endpoints[position].evidence.update_severity(1.0);
             }
-            Outcome::Broken { .. } if flight.tainted => {}
-            Outcome::Broken { .. } if flight.fresh => self.add_failure(now, position),
+            Outcome::Broken { .. } if attempt.spans_pause => {}
+            Outcome::Broken { .. } if attempt.fresh_connection => self.add_failure(now, position),
             Outcome::Broken { .. } => {
                 let score = evidence::failure_score(self.peer_failure_rate(position));
-                self.add(now, position, Kind::Doubt, POOLED_BREAK_WEIGHT * score);
+                self.add(now, position, EvidenceKind::Ambiguous, POOLED_BREAK_WEIGHT * score);
             }
             Outcome::TimedOut { .. } | Outcome::Cancelled => {
-                self.observe_unanswered(now, position, flight);
+                self.observe_unanswered(now, position, attempt);
             }
             // Taken before, as a fact about the address.
             Outcome::Misdirected => {}
@@ -197,80 +201,87 @@
         }
     }
 
-    fn observe_answer(&mut self, now: Time, position: usize, flight: &Flight, status: u16) {
+    fn observe_answer(
+        &mut self,
+        now: Time,
+        position: usize,
+        attempt: &InFlightAttempt,
+        status: u16,
+    ) {
         let is_failure = status >= FIRST_FAILURE_STATUS;
-        let is_reference = self.is_reference(position);
-        if flight.kind == AttemptKind::Probe {
+        let is_baseline_member = self.is_baseline_member(position);
+        if attempt.kind == AttemptKind::Probe {
             return self.observe_probe(now, position, is_failure);
         }
-        self.note_alive(now, position, flight);
-        if is_reference {
-            self.reference.count(&mut self.endpoints[position].tally, is_failure);
+        self.record_response(now, position, attempt);
+        if is_baseline_member {
+            self.baseline.count(&mut self.endpoints[position].answer_counts, is_failure);
         }
         if is_failure {
             return self.add_failure(now, position);
         }
 
         let score = evidence::success_score(self.peer_failure_rate(position));
-        self.add(now, position, Kind::Failure, score);
-        if flight.tainted {
+        self.add(now, position, EvidenceKind::Failure, score);
+        if attempt.spans_pause {
             return;
         }
-        let latency = now.since(flight.started);
-        let tail = self.tail(position, flight, latency);
+        let latency = now.since(attempt.started);
+        let tail = self.tail_probability(position, attempt, latency);
         if let Some(tail) = tail {
             let score = evidence::latency_score(tail).min(OBSERVATION_CAP);
-            self.add(now, position, Kind::Slow, score);
+            self.add(now, position, EvidenceKind::Slow, score);
         }
         let state = &mut self.endpoints[position];
-        state.evidence.note_sickness(tail.map_or(0.0, latency_badness));
+        state.evidence.update_severity(tail.map_or(0.0, latency_badness));
         let was_cold = state.is_cold();
-        state.note_latency(reference::log_micros(latency));
-        if is_reference && !was_cold && !flight.via {
-            self.reference.add_latency(flight.class, flight.endpoint, latency);
+        state.record_latency(baseline::ln_micros(latency));
+        if is_baseline_member && !was_cold && !attempt.via_relay {
+            self.baseline.add_latency(attempt.class, attempt.endpoint, latency);
         }
     }
 
     fn observe_probe(&mut self, now: Time, position: usize, is_failure: bool) {
         if is_failure {
-            self.endpoints[position].evidence.doubt_confirmed = true;
+            self.endpoints[position].evidence.confirmed_by_probe = true;
             return self.add_failure(now, position);
         }
         let score = evidence::success_score(self.peer_failure_rate(position));
-        self.add(now, position, Kind::Failure, score);
+        self.add(now, position, EvidenceKind::Failure, score);
         let state = &mut self.endpoints[position];
-        state.probe_passed = Some(now);
+        state.probe_passed_at = Some(now);
         state.evidence.connect = 0.0;
-        state.path = Path::Unasked;
+        state.path_check = PathCheck::NotRequested;
     }
 
     /// Takes an attempt that ended without any sign from the endpoint: it was
     /// in flight for its age, and would have taken longer.
-    fn observe_unanswered(&mut self, now: Time, position: usize, flight: &Flight) {
-        if flight.tainted {
+    fn observe_unanswered(&mut self, now: Time, position: usize, attempt: &InFlightAttempt) {
+        if attempt.spans_pause {
             return;
         }
-        let Some(score) = self.age_score(now, position, flight) else { return };
-        let kind = if flight.fresh { Kind::Slow } else { Kind::Doubt };
+        let Some(score) = self.age_score(now, position, attempt) else { return };
+        let kind =
+            if attempt.fresh_connection { EvidenceKind::Slow } else { EvidenceKind::Ambiguous };
         self.add(now, position, kind, score.min(OBSERVATION_CAP));
-        self.endpoints[position].evidence.note_sickness(1.0);
+        self.endpoints[position].evidence.update_severity(1.0);
     }
 
     /// Notes that the endpoint sent something on the attempt's connection.
     ///
     /// An answer shows that its connection and the path work, so it clears the
     /// doubt that one silent connection, or a path broken for a while, left.
-    fn note_alive(&mut self, now: Time, position: usize, flight: &Flight) {
+    fn record_response(&mut self, now: Time, position: usize, attempt: &InFlightAttempt) {
         let state = &mut self.endpoints[position];
-        state.last_answer = now;
-        state.evidence.doubt_confirmed = false;
+        state.last_answer_at = now;
+        state.evidence.confirmed_by_probe = false;
         state.evidence.connect = 0.0;
-        state.path = Path::Unasked;
-        if flight.fresh {
-            state.evidence.doubt = 0.0;
-            state.doubt_since = None;
+        state.path_check = PathCheck::NotRequested;
+        if attempt.fresh_connection {
+            state.evidence.ambiguous = 0.0;
+            state.ambiguous_since = None;
         } else {
-            state.evidence.doubt *= 0.5;
+            state.evidence.ambiguous *= 0.5;
         }
     }
 
@@ -278,28 +289,31 @@
         &mut self,
         now: Time,
         position: usize,
-        flight: &Flight,
+        attempt: &InFlightAttempt,
         outcome: Outcome,
         actions: &mut Vec<HealthAction>,
     ) {
-        if flight.tainted {
+        if attempt.spans_pause {
             return;
         }
         match outcome {
             Outcome::Answered { status, .. } if status >= FIRST_FAILURE_STATUS => {
                 self.fail_trial(now, position, actions);
             }
-            Outcome::Answered { .. } if flight.kind == AttemptKind::Probe => {
-                self.endpoints[position].probe_passed = Some(now);
+            Outcome::Answered { .. } if attempt.kind == AttemptKind::Probe => {
+                self.endpoints[position].probe_passed_at = Some(now);
             }
             Outcome::Answered { .. } => {
-                let latency = now.since(flight.started);
-                self.note_alive(now, position, flight);
-                let score = self.tail(position, flight, latency).map(evidence::latency_score);
+                let latency = now.since(attempt.started);
+                self.record_response(now, position, attempt);
+                let score =
+                    self.tail_probability(position, attempt, latency).map(evidence::latency_score);
                 match score {
-                    Some(score) if score > TRIAL_LATE => self.fail_trial(now, position, actions),
+                    Some(score) if score > TRIAL_LATENCY_SCORE_LIMIT => {
+                        self.fail_trial(now, position, actions)
+                    }
                     Some(score) if score > 0.0 => {}
-                    _ => self.pass_trial(now, position, actions),
+                    _ => self.record_trial_success(now, position, actions),
                 }
             }
             Outcome::ConnectFailed | Outcome::Broken { .. } | Outcome::TimedOut { .. } => {
@@ -318,29 +332,29 @@
         let mut hung: Vec<(usize, bool, f64)> = Vec::new();
         let mut hung_probes = Vec::new();
         let mut in_flight = vec![0_usize; self.endpoints.len()];
-        for (&attempt, flight) in &self.flights {
-            let Some(position) = self.position_of(flight.endpoint) else { continue };
-            let shows_nothing = flight.via || self.endpoints[position].via.is_some();
-            if flight.answered || flight.tainted || shows_nothing {
+        for (&attempt_id, attempt) in &self.attempts {
+            let Some(position) = self.position_of(attempt.endpoint) else { continue };
+            let is_relayed = attempt.via_relay || self.endpoints[position].relay_route.is_some();
+            if attempt.answered || attempt.spans_pause || is_relayed {
                 continue;
             }
-            if flight.kind == AttemptKind::Probe {
-                if !flight.counted && now.since(flight.started) >= PROBE_LIMIT {
-                    hung_probes.push((attempt, position));
+            if attempt.kind == AttemptKind::Probe {
+                if !attempt.hang_counted && now.since(attempt.started) >= PROBE_TIMEOUT {
+                    hung_probes.push((attempt_id, position));
                 }
                 continue;
             }
             in_flight[position] += 1;
-            if let Some(score) = self.age_score(now, position, flight) {
-                let unheard = self.endpoints[position].last_answer <= flight.started;
-                let score = if unheard { score } else { score.min(OBSERVATION_CAP) };
-                hung.push((position, flight.fresh, score));
+            if let Some(score) = self.age_score(now, position, attempt) {
+                let is_silent = self.endpoints[position].last_answer_at <= attempt.started;
+                let score = if is_silent { score } else { score.min(OBSERVATION_CAP) };
+                hung.push((position, attempt.fresh_connection, score));
             }
         }
-        self.take_hung_work(hung, &in_flight);
+        self.add_hung_attempts(hung, &in_flight);
         hung_probes.sort_unstable();
-        for (attempt, position) in hung_probes {
-            self.take_hung_probe(now, attempt, position, actions);
+        for (attempt_id, position) in hung_probes {
+            self.on_hung_probe(now, attempt_id, position, actions);
         }
         self.fail_hung_trials(now, actions);
     }
@@ -350,41 +364,41 @@
     /// One stall holds up all work in flight, so the second oldest counts half,
     /// the third a third. A single request may just be a long one: its part is
     /// capped however old it gets.
-    fn take_hung_work(&mut self, mut hung: Vec<(usize, bool, f64)>, in_flight: &[usize]) {
+    fn add_hung_attempts(&mut self, mut hung: Vec<(usize, bool, f64)>, in_flight: &[usize]) {
         for endpoint in &mut self.endpoints {
             endpoint.evidence.slow_in_flight = 0.0;
-            endpoint.evidence.doubt_in_flight = 0.0;
+            endpoint.evidence.ambiguous_in_flight = 0.0;
         }
         hung.sort_unstable_by(|a, b| (a.0, b.1).cmp(&(b.0, a.1)).then(b.2.total_cmp(&a.2)));
         let mut rank = 0;
         let mut last_position = None;
-        for (position, fresh, score) in hung {
+        for (position, fresh_connection, score) in hung {
             rank = if last_position == Some(position) { rank + 1 } else { 1 };
             last_position = Some(position);
             let score = if in_flight[position] < 2 { score.min(OBSERVATION_CAP) } else { score };
-            let part = score / f64::from(rank);
+            let contribution = score / f64::from(rank);
             let evidence = &mut self.endpoints[position].evidence;
-            if fresh {
-                evidence.slow_in_flight += part;
+            if fresh_connection {
+                evidence.slow_in_flight += contribution;
             } else {
-                evidence.doubt_in_flight += part;
+                evidence.ambiguous_in_flight += contribution;
             }
         }
     }
 
-    fn take_hung_probe(
+    fn on_hung_probe(
         &mut self,
         now: Time,
-        attempt: AttemptId,
+        attempt_id: AttemptId,
         position: usize,
         actions: &mut Vec<HealthAction>,
     ) {
-        let Some(flight) = self.flights.get_mut(&attempt) else { return };
-        flight.counted = true;
+        let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return };
+        attempt.hang_counted = true;
         if matches!(self.endpoints[position].phase, Phase::Trial { .. }) {
             self.fail_trial(now, position, actions);
         } else if self.endpoints[position].in_rotation() {
-            self.endpoints[position].evidence.doubt_confirmed = true;
+            self.endpoints[position].evidence.confirmed_by_probe = true;
             self.add_failure(now, position);
         }
     }
@@ -394,17 +408,17 @@
             .filter(|&position| {
                 let state = &self.endpoints[position];
                 let Phase::Trial { since, .. } = state.phase else { return false };
-                let hung = |flight: &Flight| {
-                    let is_trial = flight.endpoint == state.id && flight.started >= since;
-                    let is_open = !flight.answered && !flight.tainted && !flight.via;
+                let hung = |attempt: &InFlightAttempt| {
+                    let is_trial = attempt.endpoint == state.id && attempt.started >= since;
+                    let is_open = !attempt.answered && !attempt.spans_pause && !attempt.via_relay;
                     is_trial
                         && is_open
-                        && flight.kind != AttemptKind::Probe
+                        && attempt.kind != AttemptKind::Probe
                         && self
-                            .age_score(now, position, flight)
-                            .is_some_and(|score| score > TRIAL_HUNG)
+                            .age_score(now, position, attempt)
+                            .is_some_and(|score| score > TRIAL_AGE_SCORE_LIMIT)
                 };
-                self.flights.values().any(hung)
+                self.attempts.values().any(hung)
             })
             .collect();
         for position in failed {
@@ -413,43 +427,50 @@
     }
 
     /// Returns the evidence of an attempt that has not been answered, if any.
-    fn age_score(&self, now: Time, position: usize, flight: &Flight) -> Option<f64> {
-        let age = now.since(flight.started);
-        let tolerance = self.endpoints[position].tolerance();
-        if age < AGE_WITHOUT_PEERS && self.reference.is_usual(flight.class, age, tolerance) {
+    fn age_score(&self, now: Time, position: usize, attempt: &InFlightAttempt) -> Option<f64> {
+        let age = now.since(attempt.started);
+        let latency_tolerance = self.endpoints[position].latency_tolerance();
+        if age < MAX_AGE_WITHOUT_PEERS
+            && self.baseline.is_below_usual(attempt.class, age, latency_tolerance)
+        {
             return None;
         }
-        let score = match self.tail(position, flight, age) {
+        let score = match self.tail_probability(position, attempt, age) {
             Some(tail) => evidence::latency_score(tail),
-            None if age >= AGE_WITHOUT_PEERS => OBSERVATION_CAP,
+            None if age >= MAX_AGE_WITHOUT_PEERS => OBSERVATION_CAP,
             None => return None,
         };
         (score > 0.0).then_some(score)
     }
 
-    fn tail(&self, position: usize, flight: &Flight, latency: Duration) -> Option<f64> {
-        let tolerance = self.endpoints[position].tolerance();
-        self.reference.tail(flight.class, flight.endpoint, latency, tolerance)
+    fn tail_probability(
+        &self,
+        position: usize,
+        attempt: &InFlightAttempt,
+        latency: Duration,
+    ) -> Option<f64> {
+        let latency_tolerance = self.endpoints[position].latency_tolerance();
+        self.baseline.tail_probability(attempt.class, attempt.endpoint, latency, latency_tolerance)
     }
 
     fn peer_failure_rate(&self, position: usize) -> f64 {
-        self.reference.peer_failure_rate(&self.endpoints[position].tally)
+        self.baseline.peer_failure_rate(&self.endpoints[position].answer_counts)
     }
 
     /// Returns whether the endpoint may stand for what is normal.
-    fn is_reference(&self, position: usize) -> bool {
+    fn is_baseline_member(&self, position: usize) -> bool {
         let state = &self.endpoints[position];
         let excess = state.evidence.strength(self.threshold) - self.common_evidence;
-        state.in_rotation() && state.phase != Phase::Held && excess < self.threshold / 2.0
+        state.in_rotation() && state.phase != Phase::HeldByFloor && excess < self.threshold / 2.0
     }
 
     fn add_failure(&mut self, now: Time, position: usize) {
         let score = evidence::failure_score(self.peer_failure_rate(position));
-        self.add(now, position, Kind::Failure, score);
-        self.endpoints[position].evidence.note_sickness(1.0);
+        self.add(now, position, EvidenceKind::Failure, score);
+        self.endpoints[position].evidence.update_severity(1.0);
     }
 
-    fn add(&mut self, now: Time, position: usize, kind: Kind, score: f64) {
+    fn add(&mut self, now: Time, position: usize, kind: EvidenceKind, score: f64) {
         let evidence = &mut self.endpoints[position].evidence;
         evidence.add(now, kind, score, self.threshold);
     }
--- a/crates/pistachiotrack-core/src/health/via.rs
+++ b/crates/pistachiotrack-core/src/health/relay.rs
@@ -11,8 +11,8 @@
 use crate::{
     health::{
         Health, HealthAction,
-        rotation::READMITTED_PART,
-        state::{Path, Phase},
+        rotation::READMITTED_FRACTION,
+        state::{PathCheck, Phase},
     },
     name::Name,
     request::{AttemptId, Outcome},
@@ -20,23 +20,23 @@
 };
 
 /// Latency that the way through a witness may add to an answer.
-const VIA_ALLOWANCE: Duration = Duration::from_millis(5);
+const RELAY_LATENCY_ALLOWANCE: Duration = Duration::from_millis(5);
 /// Time after which a broken path is first tried again; it doubles with every
 /// try that fails.
-const RETEST: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Time after which a try is repeated of which no end was heard.
-const REPEAT_RETEST: Duration = Duration::from_secs(2);
+const LOST_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Tries after which that time no longer grows.
-const RETEST_DOUBLINGS: u32 = 4;
+const RETRY_DOUBLINGS: u32 = 4;
 /// Part of that time that is random, so that the owners that a cut has blinded
 /// together don't try together.
-const RETEST_JITTER: f64 = 0.2;
+const RETRY_JITTER: f64 = 0.2;
 
 /// A path of this VM that is broken while a witness reaches the endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Via {
-    retest_at: Time,
-    failed_retests: u32,
+pub(super) struct RelayRoute {
+    retry_at: Time,
+    failed_retries: u32,
 }
 
 impl Health {
@@ -50,34 +50,39 @@
     pub fn on_relay_found(&mut self, now: Time, endpoint: &Name) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         let Some(&position) = self.positions.get(endpoint) else { return actions };
-        let start = READMITTED_PART * self.threshold;
+        let start = READMITTED_FRACTION * self.threshold;
         let state = &mut self.endpoints[position];
         // An answer may come after an ejection, which ends the question.
-        if !matches!(state.path, Path::Asked(_)) && !matches!(state.phase, Phase::Ejected { .. }) {
+        if !matches!(state.path_check, PathCheck::Requested(_))
+            && !matches!(state.phase, Phase::Ejected { .. })
+        {
             return actions;
         }
-        state.path = Path::Unasked;
+        state.path_check = PathCheck::NotRequested;
         state.evidence.connect = 0.0;
-        if state.via.is_some() {
+        if state.relay_route.is_some() {
             // Another witness: neither the backoff of the endpoint nor that of
             // the path begins anew.
             return actions;
         }
         actions.push(HealthAction::PathBroken { endpoint: state.name.clone() });
-        state.via = Some(Via { retest_at: now + RETEST, failed_retests: 0 });
-        state.evidence.restart(now, start);
-        state.doubt_since = None;
+        state.relay_route = Some(RelayRoute { retry_at: now + RETRY_DELAY, failed_retries: 0 });
+        state.evidence.reset(now, start);
+        state.ambiguous_since = None;
         match state.phase {
-            Phase::InRotation | Phase::Held | Phase::SlowStart { .. } | Phase::Trial { .. } => {}
+            Phase::InRotation
+            | Phase::HeldByFloor
+            | Phase::SlowStart { .. }
+            | Phase::Trial { .. } => {}
             Phase::PathBroken { .. } => state.phase = Phase::InRotation,
             Phase::Ejected { .. } => {
-                state.phase = Phase::Trial { since: now, good: 0 };
-                state.last_dispatch = now;
-                state.probe_passed = None;
+                state.phase = Phase::Trial { since: now, successes: 0 };
+                state.last_dispatch_at = now;
+                state.probe_passed_at = None;
                 actions.push(HealthAction::TrialStarted { endpoint: state.name.clone() });
             }
         }
-        self.keep_floor(now, &mut actions);
+        self.enforce_floor(now, &mut actions);
         actions
     }
 
@@ -90,11 +95,11 @@
         let Some(&position) = self.positions.get(endpoint) else { return Vec::new() };
         let suspicion = self.threshold / 2.0;
         let state = &mut self.endpoints[position];
-        if state.via.take().is_none() {
+        if state.relay_route.take().is_none() {
             return Vec::new();
         }
         state.evidence.connect = state.evidence.connect.max(suspicion);
-        state.path = Path::Asked(now);
+        state.path_check = PathCheck::Requested(now);
         vec![HealthAction::CheckPath { endpoint: state.name.clone() }]
     }
 
@@ -102,56 +107,62 @@
     ///
     /// Its age shows nothing, since the witness may hang as well, and its
     /// latency is judged without what the way there may add.
-    pub fn on_sent_via_relay(&mut self, attempt: AttemptId) {
-        if let Some(flight) = self.flights.get_mut(&attempt) {
-            flight.via = true;
-            flight.started += VIA_ALLOWANCE;
+    pub fn on_sent_via_relay(&mut self, attempt_id: AttemptId) {
+        if let Some(attempt) = self.attempts.get_mut(&attempt_id) {
+            attempt.via_relay = true;
+            attempt.started += RELAY_LATENCY_ALLOWANCE;
         }
     }
 
     /// Returns whether the work of an endpoint goes through a witness.
     pub fn is_relayed(&self, endpoint: &str) -> bool {
-        self.endpoint_state(endpoint).is_some_and(|state| state.via.is_some())
+        self.endpoint_state(endpoint).is_some_and(|state| state.relay_route.is_some())
     }
 
     /// Tries a broken path again, with a health check, when that is due.
-    pub(super) fn retest(&mut self, now: Time, position: usize, actions: &mut Vec<HealthAction>) {
+    pub(super) fn retry_path_if_due(
+        &mut self,
+        now: Time,
+        position: usize,
+        actions: &mut Vec<HealthAction>,
+    ) {
         let state = &mut self.endpoints[position];
-        let Some(via) = &mut state.via else { return };
-        if now < via.retest_at || state.leaving {
+        let Some(route) = &mut state.relay_route else { return };
+        if now < route.retry_at || state.leaving {
             return;
         }
         // For the case that no slot is free for a health check now.
-        via.retest_at = now + REPEAT_RETEST;
-        state.last_probe = now;
+        route.retry_at = now + LOST_RETRY_DELAY;
+        state.last_probe_at = now;
         actions.push(HealthAction::Probe { endpoint: state.name.clone() });
     }
 
     /// Takes how the try of a broken path ended. Any answer shows that it works.
-    pub(super) fn on_retest(
+    pub(super) fn on_path_retry(
         &mut self,
         now: Time,
         position: usize,
         outcome: Outcome,
         actions: &mut Vec<HealthAction>,
     ) {
-        let jitter = 1.0 + RETEST_JITTER * (self.rng.random::<f64>() - 0.5);
+        let jitter = 1.0 + RETRY_JITTER * (self.rng.random::<f64>() - 0.5);
         let state = &mut self.endpoints[position];
-        let Some(via) = &mut state.via else { return };
+        let Some(route) = &mut state.relay_route else { return };
         match outcome {
             Outcome::Answered { .. } | Outcome::Shed => {
-                state.via = None;
+                state.relay_route = None;
                 actions.push(HealthAction::PathWorks { endpoint: state.name.clone() });
                 state.evidence.connect = 0.0;
-                state.path = Path::Unasked;
+                state.path_check = PathCheck::NotRequested;
             }
             Outcome::NotSent | Outcome::Cancelled | Outcome::WitnessFailed { .. } => {}
             Outcome::ConnectFailed
             | Outcome::Misdirected
             | Outcome::Broken { .. }
             | Outcome::TimedOut { .. } => {
-                via.failed_retests = (via.failed_retests + 1).min(RETEST_DOUBLINGS);
-                via.retest_at = now + RETEST.mul_f64(jitter * f64::from(1 << via.failed_retests));
+                route.failed_retries = (route.failed_retries + 1).min(RETRY_DOUBLINGS);
+                route.retry_at =
+                    now + RETRY_DELAY.mul_f64(jitter * f64::from(1 << route.failed_retries));
             }
         }
     }
@@ -164,7 +175,7 @@
     /// question. It shows as trials that can't connect from one VM only. The
     /// guard holds because an attempt that could not connect is noticed also
     /// after the ejection.
-    pub(super) fn ask_when_out(
+    pub(super) fn request_path_check_when_out(
         &mut self,
         now: Time,
         position: usize,
@@ -172,8 +183,8 @@
     ) {
         let state = &mut self.endpoints[position];
         let is_out = matches!(state.phase, Phase::Ejected { .. } | Phase::Trial { .. });
-        if is_out && state.path == Path::Unasked {
-            state.path = Path::Asked(now);
+        if is_out && state.path_check == PathCheck::NotRequested {
+            state.path_check = PathCheck::Requested(now);
             actions.push(HealthAction::CheckPath { endpoint: state.name.clone() });
         }
     }
--- a/crates/pistachiotrack-core/src/health/replaced.rs
+++ b/crates/pistachiotrack-core/src/health/replaced.rs
@@ -5,14 +5,14 @@
 use crate::{
     health::{
         EjectReason, Health, HealthAction,
-        state::{Path, Phase},
+        state::{PathCheck, Phase},
     },
     time::Time,
 };
 
 /// Time after which the address is tried again: a registry has dropped the endpoint's entry
 /// by then.
-const RECHECK: Duration = Duration::from_secs(5);
+const RETRY_DELAY: Duration = Duration::from_secs(5);
 
 impl Health {
     /// Takes an endpoint out at whose address another one answered at `at`.
@@ -33,33 +33,33 @@
         let is_news = !state.is_replaced();
         state.replaced_at = state.replaced_at.max(Some(at));
         state.evidence.connect = 0.0;
-        state.path = Path::Unasked;
-        state.reason = Some(EjectReason::Replaced);
+        state.path_check = PathCheck::NotRequested;
+        state.last_ejection_reason = Some(EjectReason::Replaced);
         if is_news {
             let endpoint = state.name.clone();
             actions.push(HealthAction::Ejected { endpoint, reason: EjectReason::Replaced });
         }
-        self.keep_floor(at, actions);
+        self.enforce_floor(at, actions);
     }
 
     /// Has the address tried again, by one request that may run again or a health check.
     ///
     /// Failure guarded against: something on the way turned a request away, and the
     /// endpoint is there after all; it would be lost for good.
-    pub(super) fn recheck_replaced(
+    pub(super) fn retry_replaced_if_due(
         &mut self,
         now: Time,
         position: usize,
         actions: &mut Vec<HealthAction>,
     ) {
         let state = &mut self.endpoints[position];
-        if state.replaced_at.is_none_or(|at| now.since(at) < RECHECK) {
+        if state.replaced_at.is_none_or(|at| now.since(at) < RETRY_DELAY) {
             return;
         }
         state.replaced_at = None;
-        state.phase = Phase::Trial { since: now, good: 0 };
-        state.last_dispatch = now;
-        state.probe_passed = None;
+        state.phase = Phase::Trial { since: now, successes: 0 };
+        state.last_dispatch_at = now;
+        state.probe_passed_at = None;
         actions.push(HealthAction::TrialStarted { endpoint: state.name.clone() });
     }
 }
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -8,8 +8,8 @@
 use crate::{
     health::{
         AttemptKind, Health, HealthAction,
-        spells::End,
-        state::{EndpointState, Flight, Phase},
+        episode_model::AttemptEnd,
+        state::{EndpointState, InFlightAttempt, Phase},
     },
     name::Name,
     request::Outcome,
@@ -34,7 +34,7 @@
     /// It ended a request.
     AttemptEnded {
         /// How likely it was failing grayly then, in parts of 255.
-        in_spell: u8,
+        episode_probability: u8,
     },
     /// Another endpoint answered at its address.
     Replaced,
@@ -44,7 +44,9 @@
     /// Returns how likely the next request to an endpoint fails.
     pub fn risk(&self, now: Time, endpoint: &str) -> f64 {
         let Some(state) = self.endpoint_state(endpoint) else { return 1.0 };
-        self.spells.risk(state.belief.in_spell(&self.spells, now))
+        self.episode_model.failure_probability(
+            state.episode_estimate.episode_probability(&self.episode_model, now),
+        )
     }
 
     /// Returns the part of the risk that another endpoint would spare the request:
@@ -53,7 +55,7 @@
         if !self.mechanisms.risk {
             return 0.0;
         }
-        (self.risk(now, endpoint) - self.spells.least_risk()).max(0.0)
+        (self.risk(now, endpoint) - self.episode_model.healthy_failure_probability()).max(0.0)
     }
 
     /// Returns what this VM believes of the endpoints that it has seen at work.
@@ -62,8 +64,13 @@
             let (last_observation, at) = match state.replaced_at {
                 Some(at) => (LastObservation::Replaced, at),
                 None => {
-                    let (in_spell, at) = state.belief.last()?;
-                    (LastObservation::AttemptEnded { in_spell: (in_spell * 255.0) as u8 }, at)
+                    let (episode_probability, at) = state.episode_estimate.last()?;
+                    (
+                        LastObservation::AttemptEnded {
+                            episode_probability: (episode_probability * 255.0) as u8,
+                        },
+                        at,
+                    )
                 }
             };
             let age_ms = now.since(at).as_millis() as u32;
@@ -80,8 +87,8 @@
             let at = now.before(Duration::from_millis(u64::from(other.age_ms)));
             let state = &mut self.endpoints[position];
             match other.last_observation {
-                LastObservation::AttemptEnded { in_spell } => {
-                    if state.belief.adopt(f64::from(in_spell) / 255.0, at) {
+                LastObservation::AttemptEnded { episode_probability } => {
+                    if state.episode_estimate.adopt(f64::from(episode_probability) / 255.0, at) {
                         state.last_observed_at = state.last_observed_at.max(Some(at));
                     }
                 }
@@ -120,63 +127,63 @@
             return actions;
         }
         let state = &mut self.endpoints[position];
-        state.last_dispatch = state.last_dispatch.max(now);
+        state.last_dispatch_at = state.last_dispatch_at.max(now);
         let started = ended_at.before(Duration::from_micros(ended.latency_us));
-        let flight = Flight {
+        let attempt = InFlightAttempt {
             endpoint: state.id,
             class: ended.class,
             kind: AttemptKind::Request,
             started,
             // Whose break on a pooled connection it was is not told: a break ranks the
             // endpoint and never casts doubt on this VM's own connections.
-            fresh: true,
-            tainted: false,
-            via: false,
+            fresh_connection: true,
+            spans_pause: false,
+            via_relay: false,
             answered: true,
-            counted: false,
+            hang_counted: false,
         };
         let outcome = match ended.ending {
             Ending::Answered { status } => Outcome::Answered { status, fresh_connection: false },
             Ending::Broken => Outcome::Broken { fresh_connection: true },
             Ending::Misdirected => Outcome::Misdirected,
         };
-        if let Some(end) = End::of(outcome) {
-            self.note_end(ended_at, position, started, end);
+        if let Some(end) = AttemptEnd::of(outcome) {
+            self.record_attempt_end(ended_at, position, started, end);
         }
         match self.endpoints[position].phase {
             Phase::Trial { since, .. } if started < since => return actions,
             Phase::Ejected { .. } | Phase::PathBroken { .. } => return actions,
             Phase::Trial { .. } => {
-                self.observe_trial(now, position, &flight, outcome, &mut actions);
+                self.observe_trial(now, position, &attempt, outcome, &mut actions);
             }
-            Phase::InRotation | Phase::Held | Phase::SlowStart { .. } => {
-                self.observe(ended_at, position, &flight, outcome);
+            Phase::InRotation | Phase::HeldByFloor | Phase::SlowStart { .. } => {
+                self.observe(ended_at, position, &attempt, outcome);
             }
         }
-        self.decide(now, position, &mut actions);
+        self.evaluate_unless_stalled(now, position, &mut actions);
         actions
     }
 
     /// Takes what an attempt says about gray failure.
-    pub(super) fn observe_risk(
+    pub(super) fn update_episode_estimate(
         &mut self,
         now: Time,
         position: usize,
-        flight: &Flight,
+        attempt: &InFlightAttempt,
         outcome: Outcome,
     ) {
-        if flight.kind == AttemptKind::Probe || flight.tainted {
+        if attempt.kind == AttemptKind::Probe || attempt.spans_pause {
             return;
         }
-        if let Some(end) = End::of(outcome) {
-            self.note_end(now, position, flight.started, end);
+        if let Some(end) = AttemptEnd::of(outcome) {
+            self.record_attempt_end(now, position, attempt.started, end);
         }
     }
 
-    fn note_end(&mut self, now: Time, position: usize, started: Time, end: End) {
+    fn record_attempt_end(&mut self, now: Time, position: usize, started: Time, end: AttemptEnd) {
         let state = &mut self.endpoints[position];
-        let sign = self.spells.sign(end, now.since(started));
-        state.belief.observe(&mut self.spells, now, started, sign);
+        let kind = self.episode_model.classify(end, now.since(started));
+        state.episode_estimate.observe(&mut self.episode_model, now, started, kind);
         state.last_observed_at = state.last_observed_at.max(Some(now));
     }
 }
--- a/crates/pistachiotrack-core/src/health/schedule.rs
+++ b/crates/pistachiotrack-core/src/health/schedule.rs
@@ -12,21 +12,21 @@
 };
 
 /// Healthy time after which one ejection is forgiven.
-const FORGIVE_AFTER: Duration = Duration::from_secs(60);
+const EJECTION_FORGET_TIME: Duration = Duration::from_secs(60);
 /// Shortest time between two health checks of an endpoint that gets work.
-const PROBE_GAP: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without work after which a suspect is probed.
-const IDLE: Duration = Duration::from_secs(1);
+const IDLE_BEFORE_PROBE: Duration = Duration::from_secs(1);
 /// Time between health checks of an endpoint that gets no work.
-const SLOW_PROBE_GAP: Duration = Duration::from_secs(5);
+const SLOW_PROBE_INTERVAL: Duration = Duration::from_secs(5);
 /// Time under trial without work after which passed health checks count.
-const TRIAL_PATIENCE: Duration = Duration::from_secs(30);
+const TRIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Age up to which a passed health check counts then.
-const PROBE_MEMORY: Duration = Duration::from_secs(10);
+const MAX_PROBE_AGE: Duration = Duration::from_secs(10);
 /// Time that an endpoint that said it is leaving stays out at least.
-const DRAIN_MIN: Duration = Duration::from_secs(10);
+const MIN_DRAIN: Duration = Duration::from_secs(10);
 /// Time without any report after which it is tried again.
-const DRAIN_FORGET: Duration = Duration::from_secs(60);
+const DRAIN_REPORT_EXPIRY: Duration = Duration::from_secs(60);
 
 impl Health {
     /// Does what is due: ages work in flight, ends backoffs, asks for probes.
@@ -39,17 +39,17 @@
             }
         }
         self.observe_ages(now, &mut actions);
-        self.common_evidence = self.evidence_of_peers(now, None);
+        self.common_evidence = self.common_evidence_against_peers(now, None);
         self.discount_common_fault();
-        for position in self.sickest_first() {
-            self.judge(now, position, &mut actions);
-            self.advance(now, position, &mut actions);
-            self.end_drain(now, position);
-            self.probe(now, position, &mut actions);
-            self.retest(now, position, &mut actions);
-            self.recheck_replaced(now, position, &mut actions);
+        for position in self.most_severe_first() {
+            self.evaluate(now, position, &mut actions);
+            self.advance_phase(now, position, &mut actions);
+            self.end_drain_if_due(now, position);
+            self.probe_if_due(now, position, &mut actions);
+            self.retry_path_if_due(now, position, &mut actions);
+            self.retry_replaced_if_due(now, position, &mut actions);
         }
-        self.keep_floor(now, &mut actions);
+        self.enforce_floor(now, &mut actions);
         actions
     }
 
@@ -64,19 +64,19 @@
         }
         let limit = self.common_evidence / COMMON_SPREAD;
         for endpoint in &mut self.endpoints {
-            endpoint.evidence.limit(limit);
+            endpoint.evidence.cap(limit);
         }
     }
 
     /// The sickest are judged first: at the floor the least sick stay in.
-    fn sickest_first(&self) -> Vec<usize> {
-        let sickness = |position: usize| self.endpoints[position].evidence.sickness;
+    fn most_severe_first(&self) -> Vec<usize> {
+        let severity = |position: usize| self.endpoints[position].evidence.severity;
         let mut positions: Vec<usize> = (0..self.endpoints.len()).collect();
-        positions.sort_by(|&a, &b| sickness(b).total_cmp(&sickness(a)));
+        positions.sort_by(|&a, &b| severity(b).total_cmp(&severity(a)));
         positions
     }
 
-    fn advance(&mut self, now: Time, position: usize, actions: &mut Vec<HealthAction>) {
+    fn advance_phase(&mut self, now: Time, position: usize, actions: &mut Vec<HealthAction>) {
         let half = self.threshold / 2.0;
         let threshold = self.threshold;
         let state = &mut self.endpoints[position];
@@ -85,22 +85,22 @@
         }
         match state.phase {
             Phase::Ejected { until } | Phase::PathBroken { until } if now >= until => {
-                state.phase = Phase::Trial { since: now, good: 0 };
-                state.last_dispatch = now;
-                state.probe_passed = None;
+                state.phase = Phase::Trial { since: now, successes: 0 };
+                state.last_dispatch_at = now;
+                state.probe_passed_at = None;
                 actions.push(HealthAction::TrialStarted { endpoint: state.name.clone() });
             }
-            Phase::Trial { since, .. } if is_proven_idle(state, now, since) => {
-                self.start_slowly(now, position, actions);
+            Phase::Trial { since, .. } if may_leave_idle_trial(state, now, since) => {
+                self.begin_slow_start(now, position, actions);
             }
             Phase::SlowStart { since } if now.since(since) >= SLOW_START => {
                 state.phase = Phase::InRotation;
             }
             Phase::InRotation if state.ejections > 0 => {
                 let is_well = state.evidence.strength(threshold) < half;
-                if is_well && now.since(state.ejections_at) >= FORGIVE_AFTER {
+                if is_well && now.since(state.ejections_changed_at) >= EJECTION_FORGET_TIME {
                     state.ejections -= 1;
-                    state.ejections_at = now;
+                    state.ejections_changed_at = now;
                 }
             }
             _ => {}
@@ -110,44 +110,44 @@
     /// Ends a drain that the endpoint has taken back, or that it has not
     /// confirmed for long: its reports may mislead. One that got work all the
     /// same has nothing to prove and goes on.
-    fn end_drain(&mut self, now: Time, position: usize) {
+    fn end_drain_if_due(&mut self, now: Time, position: usize) {
         let state = &mut self.endpoints[position];
-        let Some(drain) = state.drain else { return };
-        let age = now.since(drain.said_at);
-        if drain.denied_at.is_some() && age >= DRAIN_MIN {
-            state.drain = None;
-            if state.phase == Phase::InRotation && !drain.overruled {
+        let Some(drain_report) = state.drain_report else { return };
+        let age = now.since(drain_report.reported_at);
+        if drain_report.withdrawn_at.is_some() && age >= MIN_DRAIN {
+            state.drain_report = None;
+            if state.phase == Phase::InRotation && !drain_report.overridden {
                 state.phase = Phase::SlowStart { since: now };
             }
-        } else if drain.denied_at.is_none() && age >= DRAIN_FORGET {
-            state.drain = None;
-            if !drain.overruled {
-                state.phase = Phase::Trial { since: now, good: 0 };
+        } else if drain_report.withdrawn_at.is_none() && age >= DRAIN_REPORT_EXPIRY {
+            state.drain_report = None;
+            if !drain_report.overridden {
+                state.phase = Phase::Trial { since: now, successes: 0 };
             }
         }
     }
 
-    fn probe(&mut self, now: Time, position: usize, actions: &mut Vec<HealthAction>) {
+    fn probe_if_due(&mut self, now: Time, position: usize, actions: &mut Vec<HealthAction>) {
         let threshold = self.threshold;
         let state = &mut self.endpoints[position];
-        if state.leaving || state.is_replaced() || state.via.is_some() {
+        if state.leaving || state.is_replaced() || state.relay_route.is_some() {
             return;
         }
-        let since_probe = now.since(state.last_probe);
-        let idle = now.since(state.last_dispatch);
+        let since_probe = now.since(state.last_probe_at);
+        let idle = now.since(state.last_dispatch_at);
         let is_due = if state.is_draining() {
-            since_probe >= SLOW_PROBE_GAP
+            since_probe >= SLOW_PROBE_INTERVAL
         } else if matches!(state.phase, Phase::Trial { .. }) {
-            since_probe >= SLOW_PROBE_GAP && idle >= SLOW_PROBE_GAP
-        } else if state.in_rotation() && since_probe >= PROBE_GAP {
+            since_probe >= SLOW_PROBE_INTERVAL && idle >= SLOW_PROBE_INTERVAL
+        } else if state.in_rotation() && since_probe >= PROBE_INTERVAL {
             let is_suspect = state.evidence.strength(threshold) >= threshold / 2.0;
-            let is_doubtful = state.evidence.doubtful() >= threshold / 2.0;
-            is_doubtful || (is_suspect && idle >= IDLE)
+            let is_doubtful = state.evidence.ambiguous_total() >= threshold / 2.0;
+            is_doubtful || (is_suspect && idle >= IDLE_BEFORE_PROBE)
         } else {
             false
         };
         if is_due {
-            state.last_probe = now;
+            state.last_probe_at = now;
             actions.push(HealthAction::Probe { endpoint: state.name.clone() });
         }
     }
@@ -158,7 +158,7 @@
 /// A passed health check never readmits alone, but a service without any
 /// idempotent work has nothing else: time, a passed check and a slow start,
 /// in which little evidence ejects again, have to do.
-fn is_proven_idle(state: &EndpointState, now: Time, since: Time) -> bool {
-    let no_work = state.last_dispatch <= since && now.since(since) >= TRIAL_PATIENCE;
-    no_work && state.probe_passed.is_some_and(|passed| now.since(passed) < PROBE_MEMORY)
+fn may_leave_idle_trial(state: &EndpointState, now: Time, since: Time) -> bool {
+    let no_work = state.last_dispatch_at <= since && now.since(since) >= TRIAL_IDLE_TIMEOUT;
+    no_work && state.probe_passed_at.is_some_and(|passed| now.since(passed) < MAX_PROBE_AGE)
 }
