--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -1,8 +1,9 @@
-//! Which endpoints of a shard can really answer.
+//! Outlier detection among the endpoints of a shard.
 //!
-//! Evidence comes from real work: how attempts end, how long they take against
-//! the other endpoints of the shard, and how old the work in flight is. A
-//! sequential test per endpoint decides; see `docs/design/health.md`.
+//! Evidence comes from real requests: how attempts end, how long they take
+//! compared with the other endpoints of the shard, and how old the attempts in
+//! flight are. A sequential test per endpoint decides; see
+//! `docs/design/health.md`.
 
 use std::{fmt, time::Duration};
 
@@ -37,7 +38,7 @@
 use episode_model::EpisodeModel;
 use state::{EndpointState, InFlightAttempt, Phase};
 
-/// Settings of the health decisions of one shard.
+/// Settings of the outlier detection of one shard.
 #[derive(Clone, Debug)]
 pub struct HealthSettings {
     /// From 0 (fewest false ejections) to 1 (fastest detection).
@@ -46,10 +47,10 @@
     /// number of independent observations of a healthy endpoint between two
     /// false ejections is at least `exp(threshold)`.
     pub sensitivity: f64,
-    /// Whether failed answers only lower an endpoint's rank for new work, by
+    /// Whether failed answers only lower an endpoint's rank for new requests, by
     /// [`Health::risk`], and don't eject it.
     pub failures_only_lower_rank: bool,
-    /// Mechanisms at work.
+    /// Enabled mechanisms.
     pub mechanisms: Mechanisms,
 }
 
@@ -60,35 +61,36 @@
     }
 }
 
-/// An endpoint as the health decisions need it.
+/// An endpoint of the shard, as the configuration lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfiguredEndpoint {
     /// Name of the endpoint.
     pub name: Name,
-    /// Whether the configuration marks it as leaving.
+    /// Whether the configuration marks the endpoint as leaving.
     pub leaving: bool,
 }
 
-/// Where an endpoint stands.
+/// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HealthState {
-    /// Gets work.
+    /// Gets requests.
     Healthy,
-    /// Gets work, with evidence against it.
+    /// Gets requests, although there is evidence against it.
     Suspect,
-    /// Would be ejected but for the floor; gets work.
+    /// Would be ejected, but the floor (the minimum number of endpoints in
+    /// rotation) keeps it; gets requests.
     HeldByFloor,
-    /// Gets no work.
+    /// Gets no requests.
     Ejected,
     /// Gets one idempotent request at a time.
     Trial,
-    /// Gets a growing share of work.
+    /// Gets a growing share of requests.
     SlowStart,
-    /// Leaving; gets no new work.
+    /// Is leaving; gets no new requests.
     Draining,
 }
 
-/// What kind of work an attempt is.
+/// Kind of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
     /// A caller's request.
@@ -104,9 +106,9 @@
 pub enum EjectReason {
     /// Answers were failures.
     Failures,
-    /// Answers were late or did not come.
+    /// Answers were late or missing.
     Slow,
-    /// It could not be reached, by others neither.
+    /// Neither this VM nor the VMs that were asked could reach it.
     Unreachable,
     /// Another endpoint answered at its address.
     Replaced,
@@ -124,33 +126,33 @@
     }
 }
 
-/// Answer of VMs elsewhere that were asked whether they reach an endpoint.
+/// Answer of other VMs that were asked whether they reach an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathAnswer {
-    /// Others reach it: this VM's path is broken.
+    /// Other VMs reach it: this VM's path is broken.
     ReachedByOthers,
-    /// Others don't reach it either.
+    /// Other VMs don't reach it either.
     UnreachableByOthers,
-    /// Nobody answered.
+    /// No VM answered.
     NoAnswer,
 }
 
-/// What the caller of the health decisions has to do or know.
+/// An action for the caller of [`Health`] to carry out, or a change to record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HealthAction {
     /// An endpoint was ejected.
     Ejected {
         /// The endpoint.
         endpoint: Name,
-        /// Why.
+        /// Why it was ejected.
         reason: EjectReason,
     },
-    /// An endpoint may be tried again.
+    /// The trial of an endpoint started: single requests may be sent to it.
     TrialStarted {
         /// The endpoint.
         endpoint: Name,
     },
-    /// An endpoint gets work again.
+    /// An endpoint gets requests again.
     Readmitted {
         /// The endpoint.
         endpoint: Name,
@@ -160,29 +162,30 @@
         /// The endpoint.
         endpoint: Name,
     },
-    /// Only this VM can't reach an endpoint, and its work goes through another.
+    /// Only this VM can't reach an endpoint; requests for it go through a relay,
+    /// another VM that reaches it.
     PathBroken {
         /// The endpoint.
         endpoint: Name,
     },
-    /// Work goes directly to an endpoint again.
+    /// Requests are sent directly to an endpoint again.
     PathWorks {
         /// The endpoint.
         endpoint: Name,
     },
-    /// Asks VMs elsewhere whether they reach the endpoint.
+    /// Other VMs are to be asked whether they reach the endpoint.
     CheckPath {
         /// The endpoint.
         endpoint: Name,
     },
-    /// Sends a health check, for want of real work.
+    /// A health check is to be sent, as there are no requests to judge by.
     Probe {
         /// The endpoint.
         endpoint: Name,
     },
 }
 
-/// Writes the action as key=value pairs for a line of the log.
+/// Formats the action as the key=value pairs of a log line.
 impl fmt::Display for HealthAction {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (action, endpoint) = match self {
@@ -202,27 +205,28 @@
     }
 }
 
-/// What an owner tells its successor about an endpoint.
+/// Health of an endpoint, as the shard's owner hands it over to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthHandOver {
     /// The endpoint.
     pub endpoint: Name,
-    /// Where it stands.
+    /// Its health state.
     pub state: HealthState,
-    /// Ejections so far that have not been forgiven.
+    /// Ejections that still count for the backoff.
     pub ejections: u32,
-    /// Usual time to answer, if known.
+    /// Usual latency of an answer, if known.
     pub usual_latency_us: Option<u64>,
 }
 
-/// Share of a new or readmitted endpoint at the start of its slow start.
+/// Share of its slots that an endpoint may use at the beginning of a slow start.
 const SLOW_START_SHARE: f64 = 0.1;
-/// Length of a slow start.
+/// Duration of a slow start.
 const SLOW_START: Duration = Duration::from_secs(10);
-/// Share of an endpoint under trial: small enough for one request at a time.
+/// Share of its slots that an endpoint under trial may use: small enough that it
+/// gets one request at a time.
 const TRIAL_SHARE: f64 = 0.01;
 
-/// The health of one shard's endpoints.
+/// Detects and ejects faulty endpoints of one shard, and readmits them.
 #[derive(Clone, Debug)]
 pub struct Health {
     threshold: f64,
@@ -234,8 +238,8 @@
     attempts: FxHashMap<AttemptId, InFlightAttempt>,
     baseline: Baseline,
     episode_model: EpisodeModel,
-    /// Evidence that the better part of the endpoints has against it: what a
-    /// fault of the whole service, or of this VM, explains.
+    /// Evidence that most of the endpoints have against them. A fault of the
+    /// whole service, or of this VM, explains it.
     common_evidence: f64,
     last_tick: Time,
     next_id: u32,
@@ -243,7 +247,7 @@
 }
 
 impl Health {
-    /// Creates the health of a shard; every endpoint starts healthy.
+    /// Creates the state of a shard in which every endpoint is healthy.
     pub fn new(
         now: Time,
         settings: HealthSettings,
@@ -271,7 +275,7 @@
         health
     }
 
-    /// Takes a new set of endpoints and a new floor.
+    /// Applies a new set of endpoints and a new floor.
     ///
     /// New endpoints begin with a slow start, and so do endpoints that were
     /// leaving and no longer are.
@@ -314,11 +318,11 @@
             .retain(|_, attempt| previous.values().all(|gone| gone.id != attempt.endpoint));
     }
 
-    /// Notes what an endpoint reports about itself.
+    /// Handles an endpoint's report about itself.
     ///
-    /// Only the mark of leaving counts; what it says about its load is left to
-    /// the reader. The mark is a hint: it is disregarded where no endpoint would
-    /// be left in rotation, while the configuration's mark always holds.
+    /// Only the mark that it is draining is used, not its load. The mark is a
+    /// hint: it is disregarded if no endpoint would be left in rotation. The
+    /// configuration's mark of a leaving endpoint always applies.
     pub fn on_report(&mut self, now: Time, endpoint: &Name, report: Report) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         let Some(&position) = self.positions.get(endpoint) else { return actions };
@@ -334,9 +338,9 @@
         actions
     }
 
-    /// Forgets evidence that only shows this process's own pause.
+    /// Discards evidence that a pause of this process explains.
     ///
-    /// To be called before any event that the pause held up.
+    /// Must be called before any event that the pause delayed.
     pub fn on_pause(&mut self, now: Time, _gap: Duration) {
         for attempt in self.attempts.values_mut() {
             attempt.spans_pause = true;
@@ -349,7 +353,7 @@
         self.last_tick = now;
     }
 
-    /// Returns where an endpoint stands.
+    /// Returns the health state of an endpoint; `Draining` if it is unknown.
     pub fn state(&self, endpoint: &str) -> HealthState {
         self.endpoint_state(endpoint)
             .map_or(HealthState::Draining, |state| state.health_state(self.threshold))
@@ -357,9 +361,9 @@
 
     /// Returns the share of its slots that an endpoint may use now, 0 to 1.
     ///
-    /// An endpoint under trial has a tiny share that stands for one request at
-    /// a time. One that this VM alone can't reach has none, unless its work goes
-    /// through a witness.
+    /// The share of an endpoint under trial allows one request at a time. An
+    /// endpoint that only this VM can't reach has a share of 0, unless its
+    /// requests go through a relay.
     pub fn share(&self, now: Time, endpoint: &str) -> f64 {
         let Some(state) = self.endpoint_state(endpoint) else { return 0.0 };
         if state.is_draining() || state.is_replaced() {
@@ -377,16 +381,16 @@
         }
     }
 
-    /// Returns whether only this VM can't reach the endpoint: it is not sick,
-    /// and its work goes through another VM.
+    /// Returns whether only this VM can't reach the endpoint: the endpoint is
+    /// not faulty, and its requests go through another VM.
     pub fn unreachable_from_this_vm(&self, endpoint: &str) -> bool {
         self.endpoint_state(endpoint).is_some_and(|state| {
             state.relay_route.is_some() || matches!(state.phase, Phase::PathBroken { .. })
         })
     }
 
-    /// Returns whether the next request to an endpoint should go on a new
-    /// connection, to tell a silent connection from a sick endpoint.
+    /// Returns whether the next request to an endpoint should use a new
+    /// connection, to distinguish a silent connection from a faulty endpoint.
     pub fn wants_fresh_connection(&self, endpoint: &str) -> bool {
         self.endpoint_state(endpoint).is_some_and(|state| {
             let on_trial = matches!(state.phase, Phase::Trial { .. });
@@ -409,13 +413,13 @@
         self.endpoint_state(endpoint).and_then(|state| state.last_ejection_reason)
     }
 
-    /// Returns whether a further ejection would be held back by the floor.
+    /// Returns whether the floor would prevent a further ejection.
     pub fn at_floor(&self) -> bool {
         self.rotation_len() <= self.floor
     }
 
-    /// Returns the bytes that the state of one endpoint takes, without its
-    /// name and without work in flight.
+    /// Returns the size in bytes of the state of one endpoint, without its name
+    /// and without attempts in flight.
     pub fn endpoint_bytes() -> usize {
         size_of::<EndpointState>()
     }
@@ -428,10 +432,12 @@
         self.endpoints.iter().position(|endpoint| endpoint.id == id)
     }
 
-    /// Returns how many endpoints are in rotation with no report against them.
+    /// Returns the number of endpoints in rotation that don't report that they
+    /// are draining.
     ///
-    /// Those whose report is disregarded are not counted: they have to go as
-    /// soon as they can, so the floor must not let any other go for them.
+    /// Endpoints whose report is disregarded are not counted: they leave the
+    /// rotation as soon as possible, so no other endpoint may be ejected because
+    /// of them.
     fn rotation_len(&self) -> usize {
         self.endpoints.iter().filter(|endpoint| endpoint.counts_toward_floor()).count()
     }
--- a/crates/pistachiotrack-core/src/health/baseline.rs
+++ b/crates/pistachiotrack-core/src/health/baseline.rs
@@ -1,25 +1,26 @@
-//! What is normal for the shard just now: latencies and failures of the peers.
+//! Recent latencies and failure rates of a shard's endpoints, which an endpoint is
+//! compared with.
 
 use std::time::Duration;
 
 use crate::request::Class;
 
-/// Latencies kept per class.
+/// Number of latencies kept per class.
 const WINDOW_LEN: usize = 256;
-/// Fewest latencies of peers that allow a judgement.
+/// Fewest latencies of peers that an endpoint is compared with.
 const MIN_PEER_SAMPLES: usize = 8;
-/// New latencies after which the upper quantile is worked out again.
+/// Number of new latencies after which the quantiles are recalculated.
 const QUANTILE_INTERVAL: usize = 16;
 /// Quantile beyond which the tail is extrapolated as a power law.
 const HIGH_QUANTILE: f64 = 0.95;
-/// Quantile below which a latency is no evidence whatever the endpoint's own
-/// part of the answers is, up to half: most of its peers took longer.
+/// Quantile below which a latency is no evidence, as most of the peers took longer.
+/// Holds while the endpoint itself gave up to half of the answers.
 const USUAL_QUANTILE: f64 = 0.2;
 /// Exponent of the extrapolated tail.
 const TAIL_EXPONENT: f64 = 2.0;
-/// Answers of the shard that the failure rate reaches back over.
+/// Number of the shard's answers over which the failure rate is averaged.
 const WINDOW_ANSWERS: f64 = 100.0;
-/// Answers that the peers' failure rate is mixed with, all good.
+/// Number of good answers that are added to the peers' answers as a prior.
 const PRIOR_ANSWERS: f64 = 20.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -78,10 +79,10 @@
     }
 }
 
-/// Answers and failures, the old ones fading with each new answer of the shard.
+/// Numbers of answers and failures, which decay with each new answer of the shard.
 ///
-/// Fading by answers and not by time lets a fault of the whole service become
-/// normal after the same few answers per endpoint whatever the load is.
+/// Decaying by answers and not by time makes a fault of the whole service normal
+/// after the same few answers per endpoint whatever the load is.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AnswerCounts {
     answers: f64,
@@ -107,7 +108,7 @@
     }
 }
 
-/// Latencies and failures of a shard's endpoints.
+/// Recent latencies and failures of a shard's endpoints.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Baseline {
     latency_windows: [LatencyWindow; Class::ALL.len()],
@@ -121,15 +122,15 @@
         self.latency_windows[class as usize].push(LatencySample { endpoint, ln_latency });
     }
 
-    /// Counts an answer of an endpoint that is not suspected.
+    /// Counts an answer of an endpoint that is not suspect.
     pub(super) fn count(&mut self, own: &mut AnswerCounts, failure: bool) {
         let shard_answers = self.total.decayed_at + 1;
         self.total.count(shard_answers, failure);
         own.count(shard_answers, failure);
     }
 
-    /// Returns the part of the peers' answers that took longer than `latency`
-    /// divided by `tolerance`, or `None` where too little is known.
+    /// Returns the fraction of the peers' answers that took longer than `latency`
+    /// divided by `latency_tolerance`, or `None` with too few samples.
     pub(super) fn tail_probability(
         &self,
         class: Class,
@@ -141,8 +142,8 @@
         self.latency_windows[class as usize].tail_probability(endpoint, ln_latency)
     }
 
-    /// Returns whether so short a latency is no evidence, without the scan that
-    /// [`Reference::tail`] does.
+    /// Returns whether a latency is too short to be evidence, without the scan
+    /// of all samples that [`Baseline::tail_probability`] does.
     pub(super) fn is_below_usual(
         &self,
         class: Class,
@@ -163,13 +164,13 @@
         failures / (answers + PRIOR_ANSWERS)
     }
 
-    /// Returns whether no latency of the class is known.
+    /// Returns whether there is no latency of the class.
     pub(super) fn is_empty(&self, class: Class) -> bool {
         self.latency_windows[class as usize].samples.is_empty()
     }
 }
 
-/// Natural logarithm of a duration in microseconds.
+/// Returns the natural logarithm of a duration in microseconds.
 pub(super) fn ln_micros(duration: Duration) -> f32 {
     (duration.as_micros().max(1) as f32).ln()
 }
--- a/crates/pistachiotrack-core/src/health/episode_estimate.rs
+++ b/crates/pistachiotrack-core/src/health/episode_estimate.rs
@@ -1,51 +1,52 @@
-//! How likely an endpoint is in a spell in which most of its work fails.
+//! Probability that an endpoint is in an episode of gray failure, in which most of
+//! its requests fail.
 //!
-//! Endpoints fail grayly for some seconds and are well again, while their health
-//! checks say nothing. The belief is that of a two-state Markov process that is
-//! seen only through answers: each answer moves it, and time lets it fade to what
-//! is known of any endpoint of the service.
+//! Endpoints can fail for some seconds and recover while their health checks pass.
+//! The estimate is the state probability of a two-state hidden Markov model that is
+//! observed through the results of attempts: each result updates it, and without
+//! results it decays to the stationary probability of the service's endpoints.
 
 use crate::{
     health::episode_model::{EpisodeModel, ObservedInterval, ResultKind},
     time::Time,
 };
 
-/// Bounds of the belief, so that a changed endpoint is noticed after few answers.
+/// Bounds of the estimate, so that a change of the endpoint is detected after few results.
 const PROBABILITY_BOUNDS: (f64, f64) = (0.002, 0.995);
-/// Belief from which on an endpoint is taken to be in a spell, and below which the spell
-/// is taken to be over: one lucky answer in a spell ends none.
+/// Probability from which an episode is taken to have begun, and below which it is taken
+/// to be over. They differ so that a single good answer doesn't end an episode.
 const EPISODE_START: f64 = 0.5;
 const EPISODE_END: f64 = 0.1;
 
-/// How likely an endpoint is in a spell.
+/// Estimate of the probability that an endpoint is in an episode.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EpisodeEstimate {
-    /// `None` while nothing is known of this endpoint.
+    /// `None` until there is a result of this endpoint.
     last: Option<LastEstimate>,
 }
 
-/// The belief at the last moment of which something is known.
+/// The estimate at the time of the last result.
 #[derive(Clone, Copy, Debug)]
 struct LastEstimate {
     episode_probability: f64,
     at: Time,
-    /// When the present spell was found out, if there is one.
+    /// When the present episode was detected, if there is one.
     episode_since: Option<Time>,
 }
 
 impl EpisodeEstimate {
-    /// Begins with what is known of any endpoint.
+    /// Creates an estimate without results, equal to the stationary probability.
     pub(super) fn new() -> EpisodeEstimate {
         EpisodeEstimate { last: None }
     }
 
-    /// Takes how a request that was sent at `started` ended at `now`.
+    /// Applies the result, at `now`, of an attempt that was sent at `started`.
     ///
-    /// A good answer shows that the endpoint was well when it got the request.
-    /// Failure guarded against: answers to requests of before a spell come one after
-    /// the other while it lasts, and each clears the endpoint anew. It shows as half of
-    /// the requests failing where one in ten was expected. The guard holds because an
-    /// answer to what was sent before the spell was found out doesn't move the belief.
+    /// A good answer shows that the endpoint was healthy when it got the request.
+    /// Answers to requests from before an episode can arrive one after the other while
+    /// it lasts. If each of them lowered the estimate, half of the requests would fail
+    /// where one in ten was expected. A good answer to a request that was sent before
+    /// the episode was detected therefore leaves the estimate unchanged.
     pub(super) fn observe(
         &mut self,
         episode_model: &mut EpisodeModel,
@@ -74,7 +75,8 @@
         });
     }
 
-    /// Takes what another VM believed at a moment, if that is newer.
+    /// Adopts another VM's estimate of the time `at` if it is newer, and returns
+    /// whether it was.
     pub(super) fn adopt(&mut self, episode_probability: f64, at: Time) -> bool {
         if self.last.is_some_and(|last| last.at >= at) {
             return false;
@@ -88,12 +90,12 @@
         true
     }
 
-    /// Returns the belief and the moment that it is of, if anything is known.
+    /// Returns the estimate at the last result and the time of that result, if any.
     pub(super) fn last(&self) -> Option<(f64, Time)> {
         self.last.map(|last| (last.episode_probability, last.at))
     }
 
-    /// Returns how likely the endpoint is in a spell.
+    /// Returns the probability that the endpoint is in an episode at `now`.
     pub(super) fn episode_probability(&self, episode_model: &EpisodeModel, now: Time) -> f64 {
         match self.last {
             Some(last) => episode_model.decayed(last.episode_probability, now.since(last.at)),
--- a/crates/pistachiotrack-core/src/health/episode_model.rs
+++ b/crates/pistachiotrack-core/src/health/episode_model.rs
@@ -1,70 +1,72 @@
-//! What spells of gray failure look like at a service, learned from its endpoints.
+//! Model of a service's episodes of gray failure, learned from its endpoints.
 //!
-//! Endpoints fail grayly in different ways: some answer with a status, some reset the
-//! connection, some fail after the work is done. Which of these is the sign of a spell,
-//! how often spells begin and how long they last is counted for each service, starting
-//! from a weak prior: signs by how likely the endpoint was in a spell as it gave them,
-//! spells as they are found out and end.
+//! Gray failures take different forms: some endpoints answer with an error status, some
+//! reset the connection, some fail after the request has run. Which kinds of results
+//! indicate an episode, how often episodes begin and how long they last is counted for
+//! each service, starting from a weak prior. Results are weighted by the probability that
+//! the endpoint was in an episode; episodes are counted when they are detected and when
+//! they end.
 //!
-//! Against one fixed rate of failures for all kinds of them, fewer requests that must not
-//! run again fail.
+//! Compared with one fixed failure rate for all kinds of failures, fewer non-idempotent
+//! requests fail.
 
 use std::time::Duration;
 
 use crate::request::{FIRST_FAILURE_STATUS, Outcome};
 
-/// Part of the usual time of a good answer within which a failure came at once: the
-/// endpoint didn't work on the request.
+/// Fraction of the usual latency of a good answer up to which a failure counts as early:
+/// the endpoint has not processed the request.
 const EARLY_FRACTION: f64 = 0.2;
-/// Weight of one good answer in the usual time: about the last 50 count.
+/// Weight of one good answer in the usual latency: about the last 50 count.
 const USUAL_WEIGHT: f64 = 0.02;
 
-/// Number of signs.
+/// Number of kinds of results.
 const RESULT_KINDS: usize = 6;
-/// How often each sign is expected in a spell and outside of one before any was seen,
-/// in the order of [`Sign`]. Failures at once tell most, late ones little: wrong here,
-/// they are corrected by the first dozens of attempts.
+/// Prior frequencies of the kinds of results during episodes and outside of them, in the
+/// order of [`ResultKind`]. Early failures indicate an episode strongly, late ones weakly.
+/// Where the prior is wrong for a service, the first dozens of attempts correct it.
 const PRIOR_IN_EPISODE: [f64; RESULT_KINDS] = [0.20, 0.30, 0.08, 0.30, 0.08, 0.04];
 const PRIOR_OUTSIDE_EPISODE: [f64; RESULT_KINDS] = [0.965, 0.004, 0.015, 0.004, 0.006, 0.006];
-/// Attempts that the prior counts as.
+/// Number of attempts that the prior counts as, during episodes and outside of them.
 const PRIOR_ATTEMPTS: (f64, f64) = (10.0, 100.0);
-/// Attempts that are remembered: enough for rates of a hundredth outside of spells, and
-/// few enough to follow a service that changes within a minute of its work.
+/// Number of attempts that the counts are limited to, during episodes and outside of them:
+/// enough to measure rates of 1 % outside of episodes, and few enough to follow a change of
+/// the service within a minute of its traffic.
 const WINDOW_ATTEMPTS: (f64, f64) = (300.0, 2_000.0);
 
-/// Mean time between two spells of an endpoint and mean length of one before any was
-/// seen, in seconds, and the time for which the prior counts.
+/// Prior mean time between two episodes of an endpoint and prior mean length of an
+/// episode, and the observed time that the prior counts as.
 const PRIOR_MEAN_GAP_S: f64 = 40.0;
 const PRIOR_MEAN_EPISODE_S: f64 = 8.0;
 const PRIOR_WEIGHT_S: f64 = 40.0;
-/// Time of endpoints under watch that is remembered, in seconds.
+/// Observed time that the event rates are limited to.
 const WINDOW_S: f64 = 400.0;
-/// Bounds of the rates, in events a second, so that few observations don't make a spell
-/// last forever or a moment.
+/// Bounds of the rates at which episodes start and end, in events per second. Few
+/// observations must not lead to episodes that never end or that end at once.
 const START_RATE_BOUNDS: (f64, f64) = (0.002, 0.2);
 const END_RATE_BOUNDS: (f64, f64) = (0.02, 1.0);
-/// Longest gap between two observations that tells about rates: within a longer one a
-/// spell may have come and gone.
+/// Longest interval between two results that is used for the rates: within a longer one
+/// an episode may have begun and ended unnoticed.
 const MAX_OBSERVATION_GAP: Duration = Duration::from_secs(2);
 
-/// What an attempt shows of its endpoint.
+/// Kind of an attempt's result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResultKind {
     /// A good answer.
     Success,
-    /// A failure status, before the endpoint can have done the work.
+    /// A failure status, before the endpoint can have processed the request.
     EarlyFailure,
-    /// A failure status after the work.
+    /// A failure status after the request was processed.
     LateFailure,
-    /// A broken connection, before the endpoint can have done the work.
+    /// A broken connection, before the endpoint can have processed the request.
     EarlyBreak,
-    /// A broken connection after a while.
+    /// A broken connection later than that.
     LateBreak,
     /// No answer in time.
     Timeout,
 }
 
-/// How an attempt ended, as far as it tells of gray failure.
+/// How an attempt ended, as far as it is evidence for or against gray failure.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum AttemptEnd {
     Answered { status: u16 },
@@ -73,7 +75,8 @@
 }
 
 impl AttemptEnd {
-    /// That no connection opened says nothing, as the request can go elsewhere.
+    /// Converts an outcome. A connection that could not be opened is not counted, as the
+    /// request can be sent elsewhere.
     pub(super) fn of(outcome: Outcome) -> Option<AttemptEnd> {
         match outcome {
             Outcome::Answered { status, .. } => Some(AttemptEnd::Answered { status }),
@@ -89,31 +92,32 @@
     }
 }
 
-/// Time for which an endpoint was under watch, from one observation to the next.
+/// Interval between two consecutive results of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ObservedInterval {
-    /// Time between the two.
+    /// Length of the interval.
     pub(super) length: Duration,
-    /// Whether the endpoint was taken to be in a spell before, and after.
+    /// Whether the endpoint was taken to be in an episode at its beginning.
     pub(super) was_failing: bool,
+    /// Whether it was at its end.
     pub(super) is_failing: bool,
 }
 
-/// What is known of a service's spells.
+/// Frequencies of results and rates of episodes of a service.
 #[derive(Clone, Debug)]
 pub(super) struct EpisodeModel {
     during_episode: ResultCounts,
     outside_episode: ResultCounts,
     start_rate: EventRate,
     end_rate: EventRate,
-    /// Usual time of a good answer, in seconds.
+    /// Usual latency of a good answer.
     usual_latency_s: Option<f64>,
-    /// Whether failures at once are told from late ones.
+    /// Whether early failures are distinguished from late ones.
     separates_early_failures: bool,
 }
 
 impl EpisodeModel {
-    /// Begins with the prior.
+    /// Creates the model with its prior.
     pub(super) fn new(separates_early_failures: bool) -> EpisodeModel {
         let rate =
             |mean_s: f64| EventRate { events: PRIOR_WEIGHT_S / mean_s, time_s: PRIOR_WEIGHT_S };
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Returns what an attempt shows; a good answer tells how long answers take.
+    /// Classifies the result of an attempt; a good answer also updates the usual latency.
     pub(super) fn classify(&mut self, end: AttemptEnd, took: Duration) -> ResultKind {
         let usual_latency_s = self.usual_latency_s.unwrap_or(f64::MAX);
         let is_early = !self.separates_early_failures
@@ -155,13 +159,13 @@
         }
     }
 
-    /// Returns how likely an endpoint of which nothing is known is in a spell.
+    /// Returns the stationary probability that an endpoint is in an episode.
     pub(super) fn stationary_probability(&self) -> f64 {
         let (start_rate, end_rate) = self.rates();
         start_rate / (start_rate + end_rate)
     }
 
-    /// Returns a belief after a time without any sign.
+    /// Returns the probability of an episode after a time without results.
     pub(super) fn decayed(&self, episode_probability: f64, gap: Duration) -> f64 {
         let (start_rate, end_rate) = self.rates();
         let stationary = start_rate / (start_rate + end_rate);
@@ -170,31 +174,31 @@
                 * (-(start_rate + end_rate) * gap.as_secs_f64()).exp()
     }
 
-    /// Returns the belief after a sign.
+    /// Returns the probability of an episode after a result.
     pub(super) fn posterior(&self, episode_probability: f64, kind: ResultKind) -> f64 {
         let weight = episode_probability * self.during_episode.frequency(kind);
         weight / (weight + (1.0 - episode_probability) * self.outside_episode.frequency(kind))
     }
 
-    /// Returns how likely the next request fails, by how likely its endpoint is in a
-    /// spell.
+    /// Returns the probability that the next request fails, given the probability that
+    /// its endpoint is in an episode.
     pub(super) fn failure_probability(&self, episode_probability: f64) -> f64 {
         episode_probability * self.during_episode.failure_frequency()
             + (1.0 - episode_probability) * self.outside_episode.failure_frequency()
     }
 
-    /// Returns how likely a request fails at an endpoint that is certainly well.
+    /// Returns the probability that a request fails at an endpoint outside of episodes.
     pub(super) fn healthy_failure_probability(&self) -> f64 {
         self.outside_episode.failure_frequency()
     }
 
-    /// Learns from a sign, by how likely the endpoint was in a spell as it gave it.
+    /// Counts a result, weighted by the probability that the endpoint was in an episode.
     pub(super) fn record(&mut self, kind: ResultKind, episode_probability: f64) {
         self.during_episode.add(kind, episode_probability);
         self.outside_episode.add(kind, 1.0 - episode_probability);
     }
 
-    /// Learns how often spells begin and end.
+    /// Updates the rates at which episodes start and end.
     pub(super) fn record_interval(&mut self, interval: ObservedInterval) {
         if interval.length > MAX_OBSERVATION_GAP {
             return;
@@ -212,7 +216,7 @@
     }
 }
 
-/// How often each sign was seen; old attempts fade.
+/// Number of results of each kind; older results lose weight.
 #[derive(Clone, Debug)]
 struct ResultCounts {
     counts: [f64; RESULT_KINDS],
@@ -248,7 +252,7 @@
     }
 }
 
-/// Events in a time under watch; old ones fade.
+/// Events per observed time; older events lose weight.
 #[derive(Clone, Copy, Debug)]
 struct EventRate {
     events: f64,
--- a/crates/pistachiotrack-core/src/health/evidence.rs
+++ b/crates/pistachiotrack-core/src/health/evidence.rs
@@ -1,6 +1,6 @@
-//! Sequential evidence that one endpoint is worse than its peers.
+//! Sequential test whether an endpoint is worse than its peers.
 //!
-//! Every observation has a log-likelihood ratio between "sick" and "like its
+//! Every observation has a log-likelihood ratio between "faulty" and "like its
 //! peers". The sums are CUSUMs: they never fall below zero, so a long healthy
 //! past does not delay the detection of a fault.
 
@@ -8,30 +8,31 @@
 
 use crate::time::Time;
 
-/// Failure rate of a healthy endpoint that the test never goes below, so that
-/// single failures of a quiet service weigh little.
+/// Lower bound of the failure rate that the test assumes of a healthy endpoint,
+/// so that single failures of a service that rarely fails weigh little.
 const MIN_FAILURE_RATE: f64 = 0.02;
-/// Factor over its peers' failure rate that an endpoint may have.
+/// Factor by which an endpoint's failure rate may exceed its peers' rate.
 const FAILURE_TOLERANCE: f64 = 1.5;
-/// Failure rate that counts as sick where the peers hardly fail.
+/// Failure rate of a faulty endpoint where the peers hardly fail.
 const FAULTY_FAILURE_RATE: f64 = 0.3;
-/// Largest contribution of one observation.
+/// Largest score of one observation.
 pub(super) const OBSERVATION_CAP: f64 = 3.0;
-/// Time over which bad observations of one endpoint have a common cause: a
-/// stall or a restarted worker spoils all that ends at that moment, and is one
-/// observation. Evidence grows by one full observation in this time at most.
+/// Time within which bad observations of one endpoint have a common cause. A
+/// stall or a restarted worker affects all attempts that end at that moment and
+/// counts as one observation, so evidence grows by at most one full observation
+/// in this time.
 const CORRELATION_TIME: Duration = Duration::from_millis(40);
-/// Part of the threshold that evidence from pooled connections alone fills.
+/// Fraction of the threshold that evidence from pooled connections alone can reach.
 const MAX_AMBIGUOUS_FRACTION: f64 = 0.6;
-/// Sums are capped at this multiple of the threshold, so that an endpoint that
-/// is held by the floor and recovers gets rid of its evidence.
+/// Multiple of the threshold at which sums are capped, so that the evidence against
+/// an endpoint that is held by the floor falls soon after it recovers.
 const SUM_CAP: f64 = 1.5;
-/// Time in which evidence about an idle endpoint halves.
+/// Half-life of the evidence about an idle endpoint.
 const HALF_LIFE: Duration = Duration::from_secs(30);
-/// Step of the running sickness estimate per observation.
+/// Weight of one observation in the moving average of the severity.
 const SEVERITY_STEP: f64 = 0.2;
 
-/// Threshold of the test for a sensitivity from 0 to 1.
+/// Returns the threshold of the test for a sensitivity from 0 to 1.
 ///
 /// Under the null hypothesis each observation multiplies the likelihood ratio
 /// by one on average, so the mean number of independent observations between
@@ -40,13 +41,13 @@
     14.0 - 10.0 * sensitivity.clamp(0.0, 1.0)
 }
 
-/// Log-likelihood ratio of a failure where the peers fail at `peer_rate`.
+/// Returns the log-likelihood ratio of a failure where the peers fail at `peer_rate`.
 pub(super) fn failure_score(peer_rate: f64) -> f64 {
     let (null, faulty) = failure_rates(peer_rate);
     (faulty / null).ln().min(OBSERVATION_CAP)
 }
 
-/// Log-likelihood ratio of a success where the peers fail at `peer_rate`.
+/// Returns the log-likelihood ratio of a success where the peers fail at `peer_rate`.
 pub(super) fn success_score(peer_rate: f64) -> f64 {
     let (null, faulty) = failure_rates(peer_rate);
     ((1.0 - faulty) / (1.0 - null)).ln()
@@ -57,11 +58,12 @@
     (null, FAULTY_FAILURE_RATE.max((2.0 * null + 0.1).min(0.97)))
 }
 
-/// Log-likelihood ratio of a latency that a part `tail` of the peers exceeds.
+/// Returns the log-likelihood ratio of a latency that a fraction `tail` of the peers'
+/// latencies exceeds.
 ///
-/// `tail` is uniform for a healthy endpoint whatever the distribution of the
-/// service times is. The alternative mixes "slower in general" with "now and
-/// then far slower"; both densities integrate to one.
+/// `tail` is uniformly distributed for a healthy endpoint, whatever the distribution
+/// of the service times. The alternative is a mixture of "slower in general" and
+/// "occasionally far slower"; both densities integrate to one.
 pub(super) fn latency_score(tail: f64) -> f64 {
     let tail = tail.clamp(1e-9, 1.0);
     let slower = 4.0 * (1.0 - tail).powi(3);
@@ -69,7 +71,7 @@
     (0.5 * slower + 0.5 * stuck).ln()
 }
 
-/// How one observation bears on an endpoint.
+/// Kind of evidence that an observation gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvidenceKind {
     /// An answer was a failure.
@@ -78,29 +80,32 @@
     Slow,
     /// No connection could be opened.
     Connect,
-    /// Nothing came back on a pooled connection: endpoint or connection.
+    /// No answer came on a pooled connection: either the endpoint or the connection
+    /// is at fault.
     Ambiguous,
 }
 
-/// The running sums of one endpoint.
+/// The evidence against one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Evidence {
-    /// From failed answers and fresh connections that broke.
+    /// Sum from failed answers and new connections that broke.
     pub(super) failures: f64,
-    /// From the latency of answers and hung fresh connections.
+    /// Sum from the latency of answers and new connections without an answer.
     pub(super) slow: f64,
-    /// From connections that could not be opened.
+    /// Sum from connections that could not be opened.
     pub(super) connect: f64,
-    /// From pooled connections on which nothing came back.
+    /// Sum from pooled connections without an answer.
     pub(super) ambiguous: f64,
-    /// Like `slow`, from work still in flight; not a sum.
+    /// Like `slow`, from attempts in flight; computed anew with each tick.
     pub(super) slow_in_flight: f64,
-    /// Like `doubt`, from work still in flight; not a sum.
+    /// Like `ambiguous`, from attempts in flight; computed anew with each tick.
     pub(super) ambiguous_in_flight: f64,
-    /// Whether a health check on a new connection has hung or failed since the
-    /// endpoint last answered: then doubt is about the endpoint.
+    /// Whether a health check on a new connection has timed out or failed since
+    /// the endpoint last answered: ambiguous evidence is then attributed to the
+    /// endpoint.
     pub(super) confirmed_by_probe: bool,
-    /// How bad the endpoint is, from 0 to 1: orders endpoints at the floor.
+    /// Moving average of how severe the observations are, from 0 to 1: orders
+    /// endpoints at the floor.
     pub(super) severity: f64,
     last_bad: [Option<Time>; 4],
     decayed_at: Time,
@@ -120,22 +125,22 @@
         *sum = (*sum + weight * score).clamp(0.0, SUM_CAP * threshold);
     }
 
-    /// Notes how bad one observation was, from 0 to 1.
+    /// Updates the severity with that of one observation, from 0 to 1.
     pub(super) fn update_severity(&mut self, observed: f64) {
         self.severity += SEVERITY_STEP * (observed.clamp(0.0, 1.0) - self.severity);
     }
 
-    /// Returns the evidence that fresh connections or answers gave.
+    /// Returns the evidence from answers and new connections.
     pub(super) fn conclusive_total(&self) -> f64 {
         self.failures.max(self.slow + self.slow_in_flight).max(self.connect)
     }
 
-    /// Returns the evidence from pooled connections only.
+    /// Returns the evidence from pooled connections without an answer.
     pub(super) fn ambiguous_total(&self) -> f64 {
         self.ambiguous + self.ambiguous_in_flight
     }
 
-    /// Returns the evidence as a whole.
+    /// Returns the whole evidence.
     pub(super) fn strength(&self, threshold: f64) -> f64 {
         let cap = if self.confirmed_by_probe {
             f64::INFINITY
@@ -145,7 +150,7 @@
         self.conclusive_total() + self.ambiguous_total().min(cap)
     }
 
-    /// Forgets everything but the sickness and begins at `start`.
+    /// Discards everything but the severity; the sums from answers begin at `start`.
     pub(super) fn reset(&mut self, now: Time, start: f64) {
         let severity = self.severity;
         *self = Evidence { failures: start, slow: start, severity, ..Evidence::default() };
@@ -153,7 +158,7 @@
         self.sums_at_last_tick = self.sums();
     }
 
-    /// Lets old evidence fade and remembers the sums for [`Evidence::undo`].
+    /// Decays old evidence and saves the sums for [`Evidence::revert_to_last_tick`].
     pub(super) fn on_tick(&mut self, now: Time) {
         let age = now.since(self.decayed_at);
         self.decayed_at = now;
@@ -165,7 +170,7 @@
         self.sums_at_last_tick = self.sums();
     }
 
-    /// Limits the sums to what the peers have against them as well.
+    /// Caps all sums at `limit`.
     pub(super) fn cap(&mut self, limit: f64) {
         for kind in [
             EvidenceKind::Failure,
@@ -178,8 +183,8 @@
         }
     }
 
-    /// Takes back what was added since the last tick, and all that work in
-    /// flight showed.
+    /// Removes the evidence added since the last tick and all evidence from
+    /// attempts in flight.
     pub(super) fn revert_to_last_tick(&mut self, now: Time) {
         let [failures, slow, connect, ambiguous] = self.sums_at_last_tick;
         self.failures = self.failures.min(failures);
--- a/crates/pistachiotrack-core/src/health/hand_over.rs
+++ b/crates/pistachiotrack-core/src/health/hand_over.rs
@@ -1,4 +1,4 @@
-//! What an owner tells its successor, and how far the successor trusts it.
+//! Health state that a shard's owner hands over to its successor.
 
 use std::time::Duration;
 
@@ -11,20 +11,21 @@
     time::Time,
 };
 
-/// Time that a predecessor's ejection is trusted before the endpoint is tried.
+/// Backoff of an endpoint that the predecessor had ejected, before its trial.
 const INHERITED_BACKOFF: Duration = Duration::from_secs(5);
-/// Own answers from which on own evidence goes before the predecessor's.
+/// Number of own answers from which own evidence takes precedence over the
+/// predecessor's.
 const MIN_OWN_ANSWERS: u32 = 10;
-/// Ejections taken over at most.
+/// Upper limit of the number of ejections taken over.
 const MAX_INHERITED_EJECTIONS: u32 = 6;
-/// Times that a predecessor's usual latency is entered as a reference.
+/// Number of samples by which a predecessor's usual latency enters the baseline.
 const LATENCY_SEED_SAMPLES: usize = 4;
 
 impl Health {
-    /// Returns what a successor needs to know.
+    /// Returns the state to hand over to a successor.
     ///
-    /// That only this VM can't reach an endpoint is nothing to the successor,
-    /// so such an endpoint is handed over as healthy.
+    /// An endpoint that only this VM can't reach is handed over as healthy, as the
+    /// successor may reach it.
     pub fn hand_over(&self, _now: Time) -> Vec<HealthHandOver> {
         self.endpoints
             .iter()
@@ -40,11 +41,11 @@
             .collect()
     }
 
-    /// Takes what a predecessor knew.
+    /// Applies the state that a predecessor handed over.
     ///
-    /// An ejection is evidence to start from, with a bounded lifetime: the
-    /// endpoint is tried soon, and the floor holds as for own ejections. Where
-    /// this VM has seen enough answers itself, they go first.
+    /// An inherited ejection has a bounded lifetime: the endpoint's trial starts
+    /// soon, and the floor applies as for own ejections. Where this VM has received
+    /// enough answers itself, they take precedence.
     pub fn on_hand_over(&mut self, now: Time, from: &[HealthHandOver]) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         let seed_latency = self.baseline.is_empty(Class::Standard);
--- a/crates/pistachiotrack-core/src/health/observation.rs
+++ b/crates/pistachiotrack-core/src/health/observation.rs
@@ -1,4 +1,4 @@
-//! What attempts show: their outcome, their latency, their age.
+//! Evidence from attempts: their outcome, their latency and their age.
 
 use std::time::Duration;
 
@@ -13,21 +13,23 @@
     time::Time,
 };
 
-/// Weight of a pooled connection that broke: endpoints close idle connections.
+/// Weight of a broken pooled connection, which is weaker evidence as endpoints close
+/// idle connections.
 const POOLED_BREAK_WEIGHT: f64 = 0.5;
-/// Age at which an attempt without answer is a failure where no latency of
-/// peers is known.
+/// Age at which an unanswered attempt counts as slow where there are no latencies of
+/// peers.
 const MAX_AGE_WITHOUT_PEERS: Duration = Duration::from_secs(1);
-/// Age at which a health check without answer has failed.
+/// Age at which an unanswered health check has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Ticks further apart than this may hide a pause of this process.
+/// Time between ticks from which this process may have been paused.
 const MAX_TICK_GAP: Duration = Duration::from_millis(500);
-/// Latency score above which a trial has failed, and the same for its age.
+/// Score of an answer's latency above which a trial has failed, and the same for the
+/// age of an unanswered attempt.
 const TRIAL_LATENCY_SCORE_LIMIT: f64 = 1.0;
 const TRIAL_AGE_SCORE_LIMIT: f64 = 2.0;
 
 impl Health {
-    /// Notes the start of an attempt.
+    /// Records the start of an attempt.
     pub fn on_dispatch(
         &mut self,
         now: Time,
@@ -55,17 +57,17 @@
         self.attempts.insert(attempt_id, attempt);
     }
 
-    /// Notes that an attempt was sent on a new connection.
+    /// Records that an attempt was sent on a new connection.
     ///
-    /// Without this an attempt counts as sent on a pooled connection while it
-    /// is in flight; health checks always count as sent on a new one.
+    /// Without this call an attempt counts as sent on a pooled connection while
+    /// it is in flight; a health check always counts as sent on a new one.
     pub fn on_fresh_connection(&mut self, attempt_id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&attempt_id) {
             attempt.fresh_connection = true;
         }
     }
 
-    /// Notes how an attempt ended or how its answer began.
+    /// Handles the outcome of an attempt: how it ended, or how its answer began.
     pub fn on_outcome(
         &mut self,
         now: Time,
@@ -127,7 +129,7 @@
         actions
     }
 
-    /// Notes the end of an answer's body.
+    /// Handles the end of an answer's body.
     pub fn on_body_end(
         &mut self,
         now: Time,
@@ -153,11 +155,11 @@
         actions
     }
 
-    /// Decides about one endpoint after an observation.
+    /// Evaluates one endpoint after an observation, unless ticks are missing.
     ///
-    /// A process that was paused sees timeouts and broken connections of its
-    /// own making when it wakes. Ticks that stay away show that, so nothing is
-    /// ejected until a tick, which comes after [`Health::on_pause`].
+    /// After a pause of this process attempts time out and connections break
+    /// because of the pause. Missing ticks are a sign of one, so no endpoint is
+    /// ejected until the next tick, which comes after [`Health::on_pause`].
     pub(super) fn evaluate_unless_stalled(
         &mut self,
         now: Time,
@@ -195,7 +197,7 @@
             Outcome::TimedOut { .. } | Outcome::Cancelled => {
                 self.observe_unanswered(now, position, attempt);
             }
-            // Taken before, as a fact about the address.
+            // Handled before, as a fact about the address.
             Outcome::Misdirected => {}
             Outcome::NotSent | Outcome::WitnessFailed { .. } => {}
         }
@@ -254,8 +256,8 @@
         state.path_check = PathCheck::NotRequested;
     }
 
-    /// Takes an attempt that ended without any sign from the endpoint: it was
-    /// in flight for its age, and would have taken longer.
+    /// Handles an attempt that ended without an answer: its age is a lower
+    /// bound of its latency.
     fn observe_unanswered(&mut self, now: Time, position: usize, attempt: &InFlightAttempt) {
         if attempt.spans_pause {
             return;
@@ -267,10 +269,11 @@
         self.endpoints[position].evidence.update_severity(1.0);
     }
 
-    /// Notes that the endpoint sent something on the attempt's connection.
+    /// Records that the endpoint sent data on the attempt's connection.
     ///
-    /// An answer shows that its connection and the path work, so it clears the
-    /// doubt that one silent connection, or a path broken for a while, left.
+    /// An answer shows that its connection and the path work, so it reduces the
+    /// ambiguous evidence of a silent connection, and clears the evidence of a
+    /// path that was broken for a while.
     fn record_response(&mut self, now: Time, position: usize, attempt: &InFlightAttempt) {
         let state = &mut self.endpoints[position];
         state.last_answer_at = now;
@@ -327,7 +330,7 @@
         }
     }
 
-    /// Works out what the age of the work in flight shows.
+    /// Updates the evidence from the age of attempts in flight.
     pub(super) fn observe_ages(&mut self, now: Time, actions: &mut Vec<HealthAction>) {
         let mut hung: Vec<(usize, bool, f64)> = Vec::new();
         let mut hung_probes = Vec::new();
@@ -359,11 +362,11 @@
         self.fail_hung_trials(now, actions);
     }
 
-    /// Sums up the hung work of each endpoint.
+    /// Adds up the scores of each endpoint's overdue attempts.
     ///
-    /// One stall holds up all work in flight, so the second oldest counts half,
-    /// the third a third. A single request may just be a long one: its part is
-    /// capped however old it gets.
+    /// One stall delays all attempts in flight, so the second highest score
+    /// counts half, the third a third. A single request may just take long: its
+    /// score is capped however old it gets.
     fn add_hung_attempts(&mut self, mut hung: Vec<(usize, bool, f64)>, in_flight: &[usize]) {
         for endpoint in &mut self.endpoints {
             endpoint.evidence.slow_in_flight = 0.0;
@@ -426,7 +429,7 @@
         }
     }
 
-    /// Returns the evidence of an attempt that has not been answered, if any.
+    /// Returns the score of an unanswered attempt, if it is evidence.
     fn age_score(&self, now: Time, position: usize, attempt: &InFlightAttempt) -> Option<f64> {
         let age = now.since(attempt.started);
         let latency_tolerance = self.endpoints[position].latency_tolerance();
@@ -457,7 +460,7 @@
         self.baseline.peer_failure_rate(&self.endpoints[position].answer_counts)
     }
 
-    /// Returns whether the endpoint may stand for what is normal.
+    /// Returns whether the endpoint's answers count for the baseline.
     fn is_baseline_member(&self, position: usize) -> bool {
         let state = &self.endpoints[position];
         let excess = state.evidence.strength(self.threshold) - self.common_evidence;
@@ -476,7 +479,8 @@
     }
 }
 
-/// How bad a latency is that a part `tail` of the peers exceeds, 0 to 0.8.
+/// Returns the severity of a latency that a fraction `tail` of the peers'
+/// latencies exceeds, 0 to 0.8.
 fn latency_badness(tail: f64) -> f64 {
     (-0.27 * (tail.log10() + 1.0)).clamp(0.0, 0.8)
 }
--- a/crates/pistachiotrack-core/src/health/relay.rs
+++ b/crates/pistachiotrack-core/src/health/relay.rs
@@ -1,8 +1,8 @@
-//! Endpoints that only this VM can't reach: they work on through a witness,
+//! Endpoints that only this VM can't reach: their requests go through a relay,
 //! another VM that reaches them.
 //!
-//! The endpoint keeps its phase and its share. It is judged by what the witness
-//! says about it, never by the ways to the witness or to the endpoint.
+//! The endpoint keeps its phase and its share. It is judged by the outcomes that the
+//! relay reports, never by the path to the relay or to the endpoint.
 
 use std::time::Duration;
 
@@ -19,20 +19,20 @@
     time::Time,
 };
 
-/// Latency that the way through a witness may add to an answer.
+/// Latency that a relay may add to an answer.
 const RELAY_LATENCY_ALLOWANCE: Duration = Duration::from_millis(5);
-/// Time after which a broken path is first tried again; it doubles with every
-/// try that fails.
+/// Time after which a broken path is first tried again; it doubles with every failed
+/// retry.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Time after which a try is repeated of which no end was heard.
+/// Time after which a retry without an outcome is repeated.
 const LOST_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// Tries after which that time no longer grows.
+/// Number of failed retries after which the delay no longer grows.
 const RETRY_DOUBLINGS: u32 = 4;
-/// Part of that time that is random, so that the owners that a cut has blinded
-/// together don't try together.
+/// Fraction of the delay that is random, so that owners that lost their paths in the
+/// same partition don't retry at the same time.
 const RETRY_JITTER: f64 = 0.2;
 
-/// A path of this VM that is broken while a witness reaches the endpoint.
+/// Schedule of retries of a broken path, while a relay reaches the endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RelayRoute {
     retry_at: Time,
@@ -40,19 +40,19 @@
 }
 
 impl Health {
-    /// Notes that another VM reaches an endpoint that this VM can't reach, and
-    /// that its work goes through that VM from now on.
+    /// Handles that another VM reaches an endpoint that this VM can't reach:
+    /// the endpoint's requests go through that relay from now on.
     ///
-    /// To be called in place of [`Health::on_path_answer`] by a caller that
-    /// can work through a witness. What was seen over the broken path says
-    /// nothing about the endpoint and is forgotten; one that was ejected for
-    /// it is tried again at once.
+    /// To be called in place of [`Health::on_path_answer`] by a caller that can
+    /// send requests through a relay. Observations over the broken path are no
+    /// evidence about the endpoint and are discarded; the trial of an endpoint that
+    /// was ejected for them starts at once.
     pub fn on_relay_found(&mut self, now: Time, endpoint: &Name) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         let Some(&position) = self.positions.get(endpoint) else { return actions };
         let start = READMITTED_FRACTION * self.threshold;
         let state = &mut self.endpoints[position];
-        // An answer may come after an ejection, which ends the question.
+        // The answer may arrive after an ejection, which has ended the path check.
         if !matches!(state.path_check, PathCheck::Requested(_))
             && !matches!(state.phase, Phase::Ejected { .. })
         {
@@ -61,8 +61,8 @@
         state.path_check = PathCheck::NotRequested;
         state.evidence.connect = 0.0;
         if state.relay_route.is_some() {
-            // Another witness: neither the backoff of the endpoint nor that of
-            // the path begins anew.
+            // A change of relay restarts neither the backoff of the endpoint nor
+            // that of the path.
             return actions;
         }
         actions.push(HealthAction::PathBroken { endpoint: state.name.clone() });
@@ -86,11 +86,11 @@
         actions
     }
 
-    /// Notes that no witness is left through which an endpoint could work, and
-    /// asks for new ones.
+    /// Handles that no relay is left for an endpoint, and requests a new path
+    /// check.
     ///
-    /// Until the answer is there the endpoint gets its work directly: should
-    /// nobody reach it any more, it is ejected like any other.
+    /// Until it is answered the endpoint gets its requests directly. If no VM
+    /// reaches it any more, it is ejected like any other.
     pub fn on_relay_lost(&mut self, now: Time, endpoint: &Name) -> Vec<HealthAction> {
         let Some(&position) = self.positions.get(endpoint) else { return Vec::new() };
         let suspicion = self.threshold / 2.0;
@@ -103,10 +103,10 @@
         vec![HealthAction::CheckPath { endpoint: state.name.clone() }]
     }
 
-    /// Notes that an attempt goes through a witness.
+    /// Records that an attempt goes through a relay.
     ///
-    /// Its age shows nothing, since the witness may hang as well, and its
-    /// latency is judged without what the way there may add.
+    /// Its age is no evidence, since the relay may hang as well, and the latency
+    /// that the relay may add is subtracted from its latency.
     pub fn on_sent_via_relay(&mut self, attempt_id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&attempt_id) {
             attempt.via_relay = true;
@@ -114,12 +114,12 @@
         }
     }
 
-    /// Returns whether the work of an endpoint goes through a witness.
+    /// Returns whether the requests of an endpoint go through a relay.
     pub fn is_relayed(&self, endpoint: &str) -> bool {
         self.endpoint_state(endpoint).is_some_and(|state| state.relay_route.is_some())
     }
 
-    /// Tries a broken path again, with a health check, when that is due.
+    /// Retries a broken path with a health check when that is due.
     pub(super) fn retry_path_if_due(
         &mut self,
         now: Time,
@@ -131,13 +131,14 @@
         if now < route.retry_at || state.leaving {
             return;
         }
-        // For the case that no slot is free for a health check now.
+        // No slot may be free for a health check now.
         route.retry_at = now + LOST_RETRY_DELAY;
         state.last_probe_at = now;
         actions.push(HealthAction::Probe { endpoint: state.name.clone() });
     }
 
-    /// Takes how the try of a broken path ended. Any answer shows that it works.
+    /// Handles the outcome of the retry of a broken path. Any answer shows that the
+    /// path works.
     pub(super) fn on_path_retry(
         &mut self,
         now: Time,
@@ -167,14 +168,13 @@
         }
     }
 
-    /// Asks about the path to an endpoint without work that could not be
-    /// connected to.
+    /// Requests a path check for an ejected endpoint, or one under trial, to which
+    /// no connection could be opened.
     ///
-    /// Failure guarded against: a path that swallows all packets makes its
-    /// endpoint look hung, and the endpoint is ejected as slow without a
-    /// question. It shows as trials that can't connect from one VM only. The
-    /// guard holds because an attempt that could not connect is noticed also
-    /// after the ejection.
+    /// A path that drops all packets makes its endpoint look hung, and the endpoint
+    /// is ejected as slow without a path check. Its trials then fail to connect from
+    /// this VM only. Failed connections are therefore checked also after the
+    /// ejection.
     pub(super) fn request_path_check_when_out(
         &mut self,
         now: Time,
--- a/crates/pistachiotrack-core/src/health/replaced.rs
+++ b/crates/pistachiotrack-core/src/health/replaced.rs
@@ -1,4 +1,4 @@
-//! Endpoints at whose address another endpoint answers.
+//! Endpoints whose address belongs to another endpoint now.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
     time::Time,
 };
 
-/// Time after which the address is tried again: a registry has dropped the endpoint's entry
+/// Time after which the address is tried again. A registry has removed the endpoint's entry
 /// by then.
 const RETRY_DELAY: Duration = Duration::from_secs(5);
 
 impl Health {
-    /// Takes an endpoint out at whose address another one answered at `at`.
+    /// Ejects an endpoint at whose address another one answered at time `at`.
     ///
-    /// Failure guarded against: an endpoint has ended, its address is another one's, and
-    /// the registry hasn't noticed. Without work and with nothing against it it goes on
-    /// to be chosen. It shows as requests that are turned away and sent on for seconds,
-    /// each of them taken from the limit of retries. The guard holds because the answer
-    /// is a fact, not evidence: the endpoint is not there, whatever the floor asks, what
-    /// other endpoints do and whether other VMs reach the address. Other VMs are told.
+    /// Until the registry notices that the endpoint has ended, it would be selected
+    /// again and again, as it has no load and no evidence against it. Its requests would
+    /// be rejected and retried for seconds, at the expense of the retry budget. The
+    /// answer is therefore a fact, not evidence: the endpoint is ejected regardless of
+    /// the floor, of other endpoints and of whether other VMs reach the address. The
+    /// caller sends the fact to other VMs.
     pub(super) fn on_replaced(
         &mut self,
         at: Time,
@@ -42,10 +42,11 @@
         self.enforce_floor(at, actions);
     }
 
-    /// Has the address tried again, by one request that may run again or a health check.
+    /// Starts a trial, by one idempotent request at a time or by health checks, when
+    /// it is due.
     ///
-    /// Failure guarded against: something on the way turned a request away, and the
-    /// endpoint is there after all; it would be lost for good.
+    /// The endpoint may still exist if an intermediary rejected the request. Without a
+    /// trial it would never get requests again.
     pub(super) fn retry_replaced_if_due(
         &mut self,
         now: Time,
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -1,5 +1,5 @@
-//! How likely requests to an endpoint fail, by the answers that this VM and others
-//! have seen.
+//! Probability that a request to an endpoint fails, from the results that this VM and
+//! others have observed.
 
 use std::time::Duration;
 
@@ -17,23 +17,24 @@
     time::Time,
 };
 
-/// What a VM believes of one endpoint.
+/// A VM's estimate about one endpoint, sent to other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEstimate {
     /// The endpoint.
     pub endpoint: Name,
-    /// What was last seen of it.
+    /// The last observation of the endpoint.
     pub last_observation: LastObservation,
-    /// Age of that.
+    /// Age of the observation.
     pub age_ms: u32,
 }
 
-/// What was last seen of an endpoint.
+/// Last observation of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LastObservation {
-    /// It ended a request.
+    /// An attempt ended.
     AttemptEnded {
-        /// How likely it was failing grayly then, in parts of 255.
+        /// Probability that the endpoint was in an episode of gray failure
+        /// then, from 0 to 255.
         episode_probability: u8,
     },
     /// Another endpoint answered at its address.
@@ -41,7 +42,7 @@
 }
 
 impl Health {
-    /// Returns how likely the next request to an endpoint fails.
+    /// Returns the probability that the next request to an endpoint fails.
     pub fn risk(&self, now: Time, endpoint: &str) -> f64 {
         let Some(state) = self.endpoint_state(endpoint) else { return 1.0 };
         self.episode_model.failure_probability(
@@ -49,8 +50,8 @@
         )
     }
 
-    /// Returns the part of the risk that another endpoint would spare the request:
-    /// what an endpoint that is certainly well fails too is left out.
+    /// Returns the part of the risk that is specific to the endpoint: the probability
+    /// of failure at an endpoint outside of episodes is subtracted.
     pub fn avoidable_risk(&self, now: Time, endpoint: &str) -> f64 {
         if !self.mechanisms.risk {
             return 0.0;
@@ -58,7 +59,7 @@
         (self.risk(now, endpoint) - self.episode_model.healthy_failure_probability()).max(0.0)
     }
 
-    /// Returns what this VM believes of the endpoints that it has seen at work.
+    /// Returns this VM's estimates of the endpoints that it has observations of.
     pub fn estimates(&self, now: Time) -> Vec<EndpointEstimate> {
         let estimate_of = |state: &EndpointState| {
             let (last_observation, at) = match state.replaced_at {
@@ -79,7 +80,7 @@
         self.endpoints.iter().filter_map(estimate_of).collect()
     }
 
-    /// Takes what another VM believes where it has seen more lately.
+    /// Adopts another VM's estimates where they are newer than this VM's.
     pub fn on_estimates(&mut self, now: Time, estimates: &[EndpointEstimate]) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         for other in estimates {
@@ -95,24 +96,24 @@
                 LastObservation::Replaced if state.last_observed_at < Some(at) => {
                     self.on_replaced(at, position, &mut actions);
                 }
-                // It has answered since.
+                // The endpoint has answered since.
                 LastObservation::Replaced => {}
             }
         }
         actions
     }
 
-    /// Returns the moment of the last answer, if there was one.
+    /// Returns the time of the last result that counts for the risk, if any.
     pub fn last_observed_at(&self, endpoint: &str) -> Option<Time> {
         self.endpoint_state(endpoint).and_then(|state| state.last_observed_at)
     }
 
-    /// Notes how an endpoint ended a request of another VM.
+    /// Handles the result of another VM's attempt.
     ///
-    /// Failure guarded against: a good answer is told some time after it came, and is taken
-    /// for one to a request sent later than it was, after the endpoint had begun to fail. It
-    /// shows as an endpoint that is known to fail and gets requests again. The guard holds
-    /// because the age is told, so that both moments are the true ones.
+    /// The report arrives some time after the answer. Its age and latency are used to
+    /// calculate when the attempt was sent and ended. Without them a good answer could
+    /// be attributed to a request sent after the endpoint began to fail, and the failing
+    /// endpoint would get requests again.
     pub fn on_peer_attempt_ended(
         &mut self,
         now: Time,
@@ -134,8 +135,9 @@
             class: ended.class,
             kind: AttemptKind::Request,
             started,
-            // Whose break on a pooled connection it was is not told: a break ranks the
-            // endpoint and never casts doubt on this VM's own connections.
+            // The report doesn't include whether the connection was a pooled one. A break
+            // counts against the endpoint and is no evidence about this VM's own
+            // connections.
             fresh_connection: true,
             spans_pause: false,
             via_relay: false,
@@ -164,7 +166,7 @@
         actions
     }
 
-    /// Takes what an attempt says about gray failure.
+    /// Updates the estimate with an attempt of this VM.
     pub(super) fn update_episode_estimate(
         &mut self,
         now: Time,
--- a/crates/pistachiotrack-core/src/health/rotation.rs
+++ b/crates/pistachiotrack-core/src/health/rotation.rs
@@ -1,4 +1,5 @@
-//! Ejection, readmission and the floor.
+//! Ejection, readmission and the floor, which is the minimum number of endpoints in
+//! rotation.
 
 use std::time::Duration;
 
@@ -13,40 +14,40 @@
     time::Time,
 };
 
-/// First backoff; it doubles with every ejection that is not forgiven.
+/// First backoff; it doubles with every further ejection that still counts.
 const BACKOFF: Duration = Duration::from_secs(5);
 /// Ejections after which the backoff no longer grows.
 const BACKOFF_DOUBLINGS: u32 = 5;
-/// Part of the backoff that is random, so that endpoints ejected together do
-/// not come back together.
+/// Fraction of the backoff that is random, so that endpoints ejected together are
+/// not readmitted together.
 const BACKOFF_JITTER: f64 = 0.2;
-/// Good trials that readmit an endpoint.
+/// Number of successful trials that readmit an endpoint.
 const TRIAL_SUCCESSES: u32 = 3;
-/// Part of the threshold that a readmitted endpoint starts with.
+/// Fraction of the threshold that the evidence against a readmitted endpoint starts at.
 pub(super) const READMITTED_FRACTION: f64 = 0.3;
-/// The same for one that came back because of the floor.
+/// The same for an endpoint that was readmitted because of the floor.
 const FLOOR_READMITTED_FRACTION: f64 = 0.75;
-/// Sickness by which an endpoint must be worse to take the place of one that
-/// is ejected already, so that two alike do not change places all the time.
+/// Difference of severity from which an endpoint is ejected in exchange for one that is
+/// ejected already, so that two similar endpoints don't alternate.
 const SWAP_MARGIN: f64 = 0.2;
-/// Time that other VMs have to say whether they reach an endpoint.
+/// Time that other VMs have to answer whether they reach an endpoint.
 const PATH_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which a path that only this VM can't use is tried again.
+/// Time after which a path that is broken for this VM only is tried again.
 const PATH_RETRY_DELAY: Duration = Duration::from_secs(5);
-/// Time that doubt alone has to last before it ejects; the longer one where a
-/// health check passed on a new connection meanwhile.
+/// Time that ambiguous evidence alone has to last before it ejects an endpoint; the
+/// longer one applies if a health check passed on a new connection meanwhile.
 const AMBIGUOUS_GRACE: Duration = Duration::from_millis(250);
 const AMBIGUOUS_GRACE_PROBED: Duration = Duration::from_secs(2);
-/// Spread of the evidence among endpoints of a service that fails as a whole.
+/// Factor by which the evidence against endpoints differs when the whole service fails.
 pub(super) const COMMON_SPREAD: f64 = 2.0;
-/// Endpoints without work for this long say nothing about the whole service.
+/// Time without requests after which an endpoint is no evidence about the whole service.
 const ACTIVE_WINDOW: Duration = Duration::from_secs(5);
 
 impl Health {
-    /// Takes the answer to [`HealthAction::CheckPath`].
+    /// Handles the answer to [`HealthAction::CheckPath`].
     ///
-    /// Where nobody answers, the endpoint is ejected once the evidence
-    /// suffices: no request of this VM runs there anyway.
+    /// If no VM answers, the endpoint is ejected once the evidence suffices: no
+    /// request of this VM reaches it anyway.
     pub fn on_path_answer(
         &mut self,
         now: Time,
@@ -70,7 +71,7 @@
         actions
     }
 
-    /// Marks an endpoint as reachable by others only.
+    /// Handles that only other VMs reach an endpoint.
     fn on_path_broken(&mut self, now: Time, position: usize, actions: &mut Vec<HealthAction>) {
         let state = &mut self.endpoints[position];
         state.path_check = PathCheck::NotRequested;
@@ -102,8 +103,8 @@
         if strength < self.threshold && !by_ambiguous {
             return;
         }
-        // A fault of the whole service, or of this VM, shows on all endpoints:
-        // only what is beyond it speaks against this one.
+        // A fault of the whole service, or of this VM, affects all endpoints: only
+        // evidence beyond that counts against this one.
         let common = self.common_evidence_against_peers(now, Some(position));
         let state = &self.endpoints[position];
         let ambiguous_excess = state.evidence.ambiguous_total() - common;
@@ -125,11 +126,12 @@
         self.eject_or_hold(now, position, reason, actions);
     }
 
-    /// Returns whether doubt alone has lasted long enough.
+    /// Returns whether ambiguous evidence alone has lasted long enough for an
+    /// ejection.
     ///
-    /// Open connections can go silent while new ones work; then all the pooled
-    /// ones hang as if the endpoint did. A new connection tells the two apart,
-    /// so doubt alone has to wait for one, but not forever.
+    /// Open connections can go silent while new ones work; all pooled connections
+    /// then hang as if the endpoint did. A new connection distinguishes the two
+    /// cases, so an ejection waits for one, but only for a limited time.
     fn ambiguous_evidence_persists(&mut self, now: Time, position: usize) -> bool {
         let threshold = self.threshold;
         let state = &mut self.endpoints[position];
@@ -237,10 +239,10 @@
         actions.push(HealthAction::Readmitted { endpoint: state.name.clone() });
     }
 
-    /// Brings endpoints back until the floor is kept, the least sick first.
+    /// Readmits endpoints until the floor is reached, the least severe first.
     ///
-    /// Endpoints that are leaving can't be kept, so the ejected ones make up
-    /// for them at once.
+    /// Endpoints that are leaving can't be kept, so ejected ones replace them at
+    /// once.
     pub(super) fn enforce_floor(&mut self, now: Time, actions: &mut Vec<HealthAction>) {
         while self.rotation_len() < self.floor {
             let Some(position) = self.least_severe_out_of_rotation() else { break };
@@ -249,12 +251,13 @@
         self.override_drain_reports(now, actions);
     }
 
-    /// Keeps the rotation from running empty by reports alone.
+    /// Prevents that drain reports alone empty the rotation.
     ///
-    /// Reports lag or mislead. When all endpoints say at once that they leave,
-    /// callers would get nothing for up to a minute, so the ones that said so
-    /// longest ago get the work until any other endpoint can. Which ones is
-    /// settled once: each of their answers may repeat the report.
+    /// Reports can be late or wrong. When all endpoints report at once that they
+    /// are draining, callers would get no answer for up to a minute, so the
+    /// endpoints with the oldest reports get the requests until another endpoint
+    /// can. The selection is made only once, as each of their answers may repeat
+    /// the report.
     fn override_drain_reports(&mut self, now: Time, actions: &mut Vec<HealthAction>) {
         let is_empty = self.rotation_len() == 0;
         for endpoint in &mut self.endpoints {
@@ -280,8 +283,9 @@
         }
     }
 
-    /// Returns the endpoints, fit for work or not, whose last report of leaving
-    /// is the oldest; only the configuration's marks are facts.
+    /// Returns the endpoints, either able to serve or not, whose last drain report
+    /// is the oldest. Endpoints that the configuration marks as leaving are
+    /// excluded, as that mark always applies.
     fn oldest_drain_reports(&self, fit: bool) -> Vec<usize> {
         let reported_at = |state: &EndpointState| {
             state
@@ -308,8 +312,8 @@
             })
     }
 
-    /// Returns how bad an endpoint out of rotation is; one that can't be
-    /// reached from here is of no use at all.
+    /// Returns the severity of an endpoint out of rotation; one that this VM
+    /// can't reach has the highest.
     fn severity_out_of_rotation(&self, position: usize) -> f64 {
         let state = &self.endpoints[position];
         match state.phase {
@@ -326,7 +330,7 @@
         actions.push(HealthAction::Readmitted { endpoint: state.name.clone() });
     }
 
-    /// Counts a good trial.
+    /// Counts a successful trial.
     pub(super) fn record_trial_success(
         &mut self,
         now: Time,
@@ -338,13 +342,13 @@
         match &mut state.phase {
             Phase::Trial { successes, .. } if *successes + 1 < TRIAL_SUCCESSES => *successes += 1,
             Phase::Trial { .. } => self.begin_slow_start(now, position, actions),
-            // The path works again, which a late answer has shown.
+            // A late answer shows that the path works again.
             Phase::PathBroken { .. } => state.phase = Phase::Trial { since: now, successes: 0 },
             _ => {}
         }
     }
 
-    /// Readmits an endpoint with a growing share.
+    /// Readmits an endpoint with a slow start.
     pub(super) fn begin_slow_start(
         &mut self,
         now: Time,
@@ -358,7 +362,7 @@
         actions.push(HealthAction::Readmitted { endpoint: state.name.clone() });
     }
 
-    /// Ends a trial that failed.
+    /// Ends a failed trial.
     pub(super) fn fail_trial(
         &mut self,
         now: Time,
--- a/crates/pistachiotrack-core/src/health/schedule.rs
+++ b/crates/pistachiotrack-core/src/health/schedule.rs
@@ -1,4 +1,4 @@
-//! What is due with time: ages, backoffs, slow starts, drains and probes.
+//! Periodic work: ages of attempts, backoffs, slow starts, drain reports and probes.
 
 use std::time::Duration;
 
@@ -11,25 +11,27 @@
     time::Time,
 };
 
-/// Healthy time after which one ejection is forgiven.
+/// Healthy time after which one ejection no longer counts for the backoff.
 const EJECTION_FORGET_TIME: Duration = Duration::from_secs(60);
-/// Shortest time between two health checks of an endpoint that gets work.
+/// Shortest time between two health checks of an endpoint that gets requests.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time without work after which a suspect is probed.
+/// Time without requests after which a suspect endpoint is probed.
 const IDLE_BEFORE_PROBE: Duration = Duration::from_secs(1);
-/// Time between health checks of an endpoint that gets no work.
+/// Time between health checks of an endpoint that gets no requests.
 const SLOW_PROBE_INTERVAL: Duration = Duration::from_secs(5);
-/// Time under trial without work after which passed health checks count.
+/// Time under trial without requests after which a passed health check is sufficient.
 const TRIAL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Age up to which a passed health check counts then.
+/// Age up to which a passed health check counts for that.
 const MAX_PROBE_AGE: Duration = Duration::from_secs(10);
-/// Time that an endpoint that said it is leaving stays out at least.
+/// Shortest time that an endpoint is out of rotation after a drain report.
 const MIN_DRAIN: Duration = Duration::from_secs(10);
-/// Time without any report after which it is tried again.
+/// Time after a drain report without a further report after which the endpoint is tried
+/// again.
 const DRAIN_REPORT_EXPIRY: Duration = Duration::from_secs(60);
 
 impl Health {
-    /// Does what is due: ages work in flight, ends backoffs, asks for probes.
+    /// Updates the evidence from attempts in flight, ends backoffs and requests
+    /// probes.
     pub fn on_tick(&mut self, now: Time) -> Vec<HealthAction> {
         let mut actions = Vec::new();
         self.last_tick = now;
@@ -53,11 +55,11 @@
         actions
     }
 
-    /// Takes away the differences that a fault of the whole service leaves.
+    /// Caps evidence while the whole service is faulty.
     ///
-    /// While it lasts all sums grow, by chance some more than others. Once it
-    /// has become normal the sums fall at different paces, and the last ones
-    /// would look like outliers without any new evidence against them.
+    /// During such a fault all sums grow, some more than others by chance. Once
+    /// the baseline has adapted to it, the sums fall at different rates, and the
+    /// last ones would look like outliers without any new evidence against them.
     fn discount_common_fault(&mut self) {
         if self.common_evidence < self.threshold / 2.0 {
             return;
@@ -68,7 +70,8 @@
         }
     }
 
-    /// The sickest are judged first: at the floor the least sick stay in.
+    /// Returns the positions of the endpoints, the most severe first: they are
+    /// evaluated first, so that the least severe stay in rotation at the floor.
     fn most_severe_first(&self) -> Vec<usize> {
         let severity = |position: usize| self.endpoints[position].evidence.severity;
         let mut positions: Vec<usize> = (0..self.endpoints.len()).collect();
@@ -107,9 +110,9 @@
         }
     }
 
-    /// Ends a drain that the endpoint has taken back, or that it has not
-    /// confirmed for long: its reports may mislead. One that got work all the
-    /// same has nothing to prove and goes on.
+    /// Discards a drain report that the endpoint has withdrawn, or that it has not
+    /// repeated for long, as the report may have been wrong. An endpoint that got
+    /// requests all the same needs no slow start or trial.
     fn end_drain_if_due(&mut self, now: Time, position: usize) {
         let state = &mut self.endpoints[position];
         let Some(drain_report) = state.drain_report else { return };
@@ -153,11 +156,11 @@
     }
 }
 
-/// Returns whether an endpoint under trial that got no work may come back.
+/// Returns whether an endpoint under trial that got no requests may be readmitted.
 ///
-/// A passed health check never readmits alone, but a service without any
-/// idempotent work has nothing else: time, a passed check and a slow start,
-/// in which little evidence ejects again, have to do.
+/// A passed health check alone never readmits an endpoint, but a service without
+/// idempotent requests has no other evidence. It needs to have waited, a passed health
+/// check and a slow start, in which little evidence ejects the endpoint again.
 fn may_leave_idle_trial(state: &EndpointState, now: Time, since: Time) -> bool {
     let no_work = state.last_dispatch_at <= since && now.since(since) >= TRIAL_IDLE_TIMEOUT;
     no_work && state.probe_passed_at.is_some_and(|passed| now.since(passed) < MAX_PROBE_AGE)
--- a/crates/pistachiotrack-core/src/health/state.rs
+++ b/crates/pistachiotrack-core/src/health/state.rs
@@ -1,4 +1,4 @@
-//! What is known about one endpoint.
+//! State of one endpoint.
 
 use std::time::Duration;
 
@@ -13,51 +13,51 @@
 
 use super::{AttemptKind, HealthState, relay::RelayRoute};
 
-/// Requests of a new endpoint that are judged leniently.
+/// Number of answers after which a new endpoint is no longer cold.
 const COLD_REQUESTS: u32 = 20;
-/// Factor over its peers' latency that an endpoint may have.
+/// Factor by which an endpoint's latency may exceed its peers' latency.
 const LATENCY_TOLERANCE: f64 = 1.5;
-/// The same while the endpoint is cold.
+/// The same while the endpoint is cold, for instance with empty caches.
 const COLD_LATENCY_TOLERANCE: f64 = 10.0;
-/// Step of the running estimate of the usual latency.
+/// Step of the running median of the logarithm of the latency.
 const USUAL_STEP: f32 = 0.05;
 
-/// Where an endpoint is between work and no work.
+/// Phase of an endpoint in the cycle of ejection and readmission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// Gets work.
+    /// Gets requests.
     InRotation,
-    /// Would be ejected but for the floor.
+    /// Would be ejected but for the floor; gets requests.
     HeldByFloor,
-    /// Gets no work until then.
+    /// Gets no requests before `until`.
     Ejected { until: Time },
-    /// Not sick, but unreachable from this VM; not tried again until then.
+    /// Is not faulty, but unreachable from this VM; not tried again before `until`.
     PathBroken { until: Time },
     /// Gets one request at a time.
     Trial { since: Time, successes: u32 },
-    /// Gets a growing share of work.
+    /// Gets a growing share of requests.
     SlowStart { since: Time },
 }
 
-/// What other VMs said about the path to an endpoint.
+/// State of asking other VMs whether they reach an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PathCheck {
-    /// Nobody was asked.
+    /// No VM was asked.
     NotRequested,
-    /// Others were asked then.
+    /// Other VMs were asked at this time.
     Requested(Time),
-    /// Others don't reach it either, or nobody answered.
+    /// Other VMs don't reach it either, or none answered.
     Confirmed(Time),
 }
 
-/// When an endpoint said that it is leaving.
+/// An endpoint's report that it is draining.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DrainReport {
-    /// It last said so then.
+    /// Time of the last such report.
     pub(super) reported_at: Time,
-    /// It last said that it isn't then, after having said that it is.
+    /// Time of the first report after it that the endpoint is not draining.
     pub(super) withdrawn_at: Option<Time>,
-    /// Whether it gets work all the same, for want of any other endpoint.
+    /// Whether the endpoint gets requests all the same, as there is no other.
     pub(super) overridden: bool,
 }
 
@@ -70,17 +70,17 @@
     pub(super) started: Time,
     /// Whether it was sent on a new connection, if known.
     pub(super) fresh_connection: bool,
-    /// Whether it spans a pause of this process: its age shows nothing.
+    /// Whether it spans a pause of this process: its age is no evidence.
     pub(super) spans_pause: bool,
-    /// Whether it goes through a witness.
+    /// Whether it goes through a relay.
     pub(super) via_relay: bool,
     /// Whether its answer has begun.
     pub(super) answered: bool,
-    /// Whether its hanging was counted already.
+    /// Whether it was counted as a health check without an answer.
     pub(super) hang_counted: bool,
 }
 
-/// One endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct EndpointState {
     pub(super) id: u32,
@@ -91,16 +91,17 @@
     pub(super) evidence: Evidence,
     pub(super) answer_counts: AnswerCounts,
     pub(super) path_check: PathCheck,
-    /// Another endpoint answered at its address then.
+    /// When another endpoint answered at its address.
     pub(super) replaced_at: Option<Time>,
-    /// Only this VM can't reach it, and its work goes through another one.
+    /// Set while only this VM can't reach it and its requests go through a relay.
     pub(super) relay_route: Option<RelayRoute>,
     pub(super) last_ejection_reason: Option<EjectReason>,
     pub(super) episode_estimate: EpisodeEstimate,
-    /// Moment of the last answer or failure that counts.
+    /// Time of the last result that counts for the risk, or of a newer one that
+    /// another VM reported.
     pub(super) last_observed_at: Option<Time>,
     pub(super) ejections: u32,
-    /// Last ejection or forgiven ejection.
+    /// When `ejections` last changed.
     pub(super) ejections_changed_at: Time,
     pub(super) answers: u32,
     pub(super) cold: bool,
@@ -108,9 +109,9 @@
     pub(super) last_answer_at: Time,
     pub(super) last_dispatch_at: Time,
     pub(super) last_probe_at: Time,
-    /// A health check passed then, since the doubt began.
+    /// When a health check last passed.
     pub(super) probe_passed_at: Option<Time>,
-    /// Doubt alone has been above the threshold since then.
+    /// Since when ambiguous evidence alone has been above the threshold.
     pub(super) ambiguous_since: Option<Time>,
 }
 
@@ -149,25 +150,26 @@
         self.leaving || self.drain_report.is_some_and(|drain_report| !drain_report.overridden)
     }
 
-    /// Returns whether another endpoint has its address, as far as is known.
+    /// Returns whether another endpoint has answered at its address.
     pub(super) fn is_replaced(&self) -> bool {
         self.replaced_at.is_some()
     }
 
-    /// Takes a report that the endpoint is leaving.
+    /// Records a report that the endpoint is draining.
     pub(super) fn record_drain_report(&mut self, now: Time) {
         let overridden = self.drain_report.is_some_and(|drain_report| drain_report.overridden);
         self.drain_report = Some(DrainReport { reported_at: now, withdrawn_at: None, overridden });
     }
 
-    /// Sets whether the endpoint gets work although it said that it is leaving.
+    /// Sets whether the endpoint gets requests although it reported that it is
+    /// draining.
     pub(super) fn set_drain_overridden(&mut self, overridden: bool) {
         if let Some(drain_report) = &mut self.drain_report {
             drain_report.overridden = overridden;
         }
     }
 
-    /// Takes whether the configuration marks the endpoint as leaving.
+    /// Sets whether the configuration marks the endpoint as leaving.
     pub(super) fn set_leaving(&mut self, now: Time, leaving: bool) {
         let returns = self.leaving && !leaving;
         self.leaving = leaving;
@@ -176,12 +178,12 @@
         }
     }
 
-    /// Returns whether the endpoint gets a share of the work.
+    /// Returns whether the endpoint gets a share of the requests.
     pub(super) fn in_rotation(&self) -> bool {
         self.can_serve() && !self.is_draining()
     }
 
-    /// Returns whether the endpoint may get work, leaving or not.
+    /// Returns whether the endpoint could get requests if it were not draining.
     pub(super) fn can_serve(&self) -> bool {
         !self.is_replaced()
             && matches!(
@@ -190,8 +192,8 @@
             )
     }
 
-    /// Returns whether the endpoint counts for the floor: it is in rotation, and
-    /// not just for want of others.
+    /// Returns whether the endpoint counts toward the floor: it is in rotation, and
+    /// not only because no other endpoint is.
     pub(super) fn counts_toward_floor(&self) -> bool {
         self.can_serve() && !self.leaving && self.drain_report.is_none()
     }
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Returns the factor over its peers' latency that the endpoint may have.
+    /// Returns the factor by which the endpoint's latency may exceed its peers' latency.
     pub(super) fn latency_tolerance(&self) -> f64 {
         if self.is_cold() { COLD_LATENCY_TOLERANCE } else { LATENCY_TOLERANCE }
     }
@@ -226,7 +228,7 @@
         self.cold && self.answers < COLD_REQUESTS
     }
 
-    /// Notes a good answer.
+    /// Records the latency of a good answer.
     pub(super) fn record_latency(&mut self, ln_micros: f32) {
         self.answers = self.answers.saturating_add(1);
         let usual = self.usual_ln_micros.get_or_insert(ln_micros);
