--- a/crates/pistachiotrack-core/examples/health_tick.rs
+++ b/crates/pistachiotrack-core/examples/health_tick.rs
@@ -1,4 +1,4 @@
-//! Measures what a tick of the health decisions costs with work in flight.
+//! Measures the time of a tick of the outlier detection with attempts in flight.
 //!
 //! `cargo run --release -p pistachiotrack-core --example health_tick`
 
@@ -18,7 +18,7 @@
 const WARM_UP: usize = 500;
 const ROUNDS: usize = 5;
 
-/// Returns the median over rounds of the mean time of a tick in microseconds.
+/// Returns the mean time of a tick in microseconds, as the median over the rounds.
 fn tick_us(endpoints: usize, in_flight: usize) -> f64 {
     let mut rounds: Vec<f64> =
         (0..ROUNDS).map(|round| one_round(endpoints, in_flight, round as u64)).collect();
--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -315,7 +315,7 @@
             self.endpoints.push(endpoint);
         }
         self.attempts
-            .retain(|_, attempt| previous.values().all(|gone| gone.id != attempt.endpoint));
+            .retain(|_, attempt| previous.values().all(|removed| removed.id != attempt.endpoint));
     }
 
     /// Handles an endpoint's report about itself.
--- a/crates/pistachiotrack-core/src/health/replaced.rs
+++ b/crates/pistachiotrack-core/src/health/replaced.rs
@@ -30,12 +30,12 @@
         actions: &mut Vec<HealthAction>,
     ) {
         let state = &mut self.endpoints[position];
-        let is_news = !state.is_replaced();
+        let is_new = !state.is_replaced();
         state.replaced_at = state.replaced_at.max(Some(at));
         state.evidence.connect = 0.0;
         state.path_check = PathCheck::NotRequested;
         state.last_ejection_reason = Some(EjectReason::Replaced);
-        if is_news {
+        if is_new {
             let endpoint = state.name.clone();
             actions.push(HealthAction::Ejected { endpoint, reason: EjectReason::Replaced });
         }
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -83,11 +83,11 @@
     /// Adopts another VM's estimates where they are newer than this VM's.
     pub fn on_estimates(&mut self, now: Time, estimates: &[EndpointEstimate]) -> Vec<HealthAction> {
         let mut actions = Vec::new();
-        for other in estimates {
-            let Some(&position) = self.positions.get(&other.endpoint) else { continue };
-            let at = now.before(Duration::from_millis(u64::from(other.age_ms)));
+        for estimate in estimates {
+            let Some(&position) = self.positions.get(&estimate.endpoint) else { continue };
+            let at = now.before(Duration::from_millis(u64::from(estimate.age_ms)));
             let state = &mut self.endpoints[position];
-            match other.last_observation {
+            match estimate.last_observation {
                 LastObservation::AttemptEnded { episode_probability } => {
                     if state.episode_estimate.adopt(f64::from(episode_probability) / 255.0, at) {
                         state.last_observed_at = state.last_observed_at.max(Some(at));
--- a/crates/pistachiotrack-core/src/health/rotation.rs
+++ b/crates/pistachiotrack-core/src/health/rotation.rs
@@ -268,9 +268,9 @@
         if !is_empty || self.endpoints.iter().any(EndpointState::in_rotation) {
             return;
         }
-        let fit = self.oldest_drain_reports(true);
-        if !fit.is_empty() {
-            return fit
+        let able = self.oldest_drain_reports(true);
+        if !able.is_empty() {
+            return able
                 .into_iter()
                 .for_each(|position| self.endpoints[position].set_drain_overridden(true));
         }
@@ -286,11 +286,13 @@
     /// Returns the endpoints, either able to serve or not, whose last drain report
     /// is the oldest. Endpoints that the configuration marks as leaving are
     /// excluded, as that mark always applies.
-    fn oldest_drain_reports(&self, fit: bool) -> Vec<usize> {
+    fn oldest_drain_reports(&self, can_serve: bool) -> Vec<usize> {
         let reported_at = |state: &EndpointState| {
             state
                 .drain_report
-                .filter(|_| !state.leaving && !state.is_replaced() && state.can_serve() == fit)
+                .filter(|_| {
+                    !state.leaving && !state.is_replaced() && state.can_serve() == can_serve
+                })
                 .map(|drain_report| drain_report.reported_at)
         };
         let Some(oldest) = self.endpoints.iter().filter_map(reported_at).min() else {
--- a/crates/pistachiotrack-core/src/health/state.rs
+++ b/crates/pistachiotrack-core/src/health/state.rs
@@ -171,9 +171,9 @@
 
     /// Sets whether the configuration marks the endpoint as leaving.
     pub(super) fn set_leaving(&mut self, now: Time, leaving: bool) {
-        let returns = self.leaving && !leaving;
+        let stopped_leaving = self.leaving && !leaving;
         self.leaving = leaving;
-        if returns && self.phase == Phase::InRotation {
+        if stopped_leaving && self.phase == Phase::InRotation {
             self.phase = Phase::SlowStart { since: now };
         }
     }
--- a/crates/pistachiotrack-core/tests/floor.rs
+++ b/crates/pistachiotrack-core/tests/floor.rs
@@ -1,4 +1,4 @@
-//! The floor against a naive oracle over random histories.
+//! Checks the floor and drain reports against a simple oracle over random histories.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,11 +18,11 @@
 
 const NAMES: u8 = 8;
 
-/// One step of a history.
+/// One step of a random history.
 #[derive(Clone, Debug)]
 enum Step {
     Wait { ms: u16 },
-    Work { endpoint: u8, count: u8, end: End },
+    Requests { endpoint: u8, count: u8, end: End },
     Report { endpoint: u8, draining: bool },
     Config { present: u8, leaving: u8, floor: u8 },
     Path { endpoint: u8, answer: u8 },
@@ -30,7 +30,7 @@
     Pause { ms: u16 },
 }
 
-/// How work ends.
+/// How requests end.
 #[derive(Clone, Copy, Debug)]
 enum End {
     Good,
@@ -63,7 +63,7 @@
         let endpoint = u8::arbitrary(g) % NAMES;
         match u8::arbitrary(g) % 16 {
             0..=3 => Step::Wait { ms: u16::arbitrary(g) % 8_000 },
-            4..=10 => Step::Work {
+            4..=10 => Step::Requests {
                 endpoint,
                 count: u8::arbitrary(g) % 40,
                 end: *g.choose(&ENDS).unwrap(),
@@ -83,8 +83,8 @@
     fn shrink(&self) -> Box<dyn Iterator<Item = Step>> {
         match *self {
             Step::Wait { ms } => Box::new(ms.shrink().map(|ms| Step::Wait { ms })),
-            Step::Work { endpoint, count, end } => {
-                Box::new(count.shrink().map(move |count| Step::Work { endpoint, count, end }))
+            Step::Requests { endpoint, count, end } => {
+                Box::new(count.shrink().map(move |count| Step::Requests { endpoint, count, end }))
             }
             Step::Config { present, leaving, floor } => {
                 Box::new(
@@ -98,24 +98,25 @@
     }
 }
 
-/// An endpoint's word that it leaves, and since when it has taken that back.
+/// An endpoint's last report that it is draining, and whether it has withdrawn it.
 #[derive(Clone, Copy, Debug)]
-struct Said {
-    at: Time,
-    denied: bool,
+struct DrainReport {
+    reported_at: Time,
+    withdrawn: bool,
 }
 
-/// What the oracle knows: the configuration and who says that it is leaving.
-struct Run {
+/// The checked `Health` and the state of the oracle: the configuration, the drain
+/// reports and the ejections.
+struct CheckedHealth {
     health: Health,
     now: Time,
     next_attempt: u64,
     present: u8,
     leaving: u8,
     floor: u8,
-    said: BTreeMap<u8, Said>,
-    disregarded: BTreeSet<u8>,
-    was_out: BTreeSet<u8>,
+    drain_reports: BTreeMap<u8, DrainReport>,
+    overridden: BTreeSet<u8>,
+    once_out: BTreeSet<u8>,
     ejected: BTreeSet<Name>,
     ejections: u32,
 }
@@ -124,34 +125,34 @@
     Name::from(format!("e{endpoint}"))
 }
 
-fn has(mask: u8, endpoint: u8) -> bool {
+fn contains(mask: u8, endpoint: u8) -> bool {
     mask >> endpoint & 1 == 1
 }
 
 fn candidates(present: u8, leaving: u8) -> Vec<ConfiguredEndpoint> {
     (0..NAMES)
-        .filter(|&endpoint| has(present, endpoint))
+        .filter(|&endpoint| contains(present, endpoint))
         .map(|endpoint| ConfiguredEndpoint {
             name: name(endpoint),
-            leaving: has(leaving, endpoint),
+            leaving: contains(leaving, endpoint),
         })
         .collect()
 }
 
-impl Run {
-    fn new(floor: u8) -> Run {
+impl CheckedHealth {
+    fn new(floor: u8) -> CheckedHealth {
         let settings = HealthSettings { sensitivity: 0.9, ..HealthSettings::default() };
         let all = candidates(u8::MAX, 0);
-        Run {
+        CheckedHealth {
             health: Health::new(Time::ZERO, settings, &all, floor.into(), 1),
             now: Time::ZERO,
             next_attempt: 0,
             present: u8::MAX,
             leaving: 0,
             floor,
-            said: BTreeMap::new(),
-            disregarded: BTreeSet::new(),
-            was_out: BTreeSet::new(),
+            drain_reports: BTreeMap::new(),
+            overridden: BTreeSet::new(),
+            once_out: BTreeSet::new(),
             ejected: BTreeSet::new(),
             ejections: 0,
         }
@@ -160,24 +161,25 @@
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Wait { ms } => self.wait(ms),
-            Step::Work { endpoint, count, end } => self.work(endpoint, count, end),
+            Step::Requests { endpoint, count, end } => self.requests(endpoint, count, end),
             Step::Report { endpoint, draining } => {
-                let known = has(self.present, endpoint);
+                let known = contains(self.present, endpoint);
                 if draining && known {
-                    self.said.insert(endpoint, Said { at: self.now, denied: false });
-                } else if let Some(said) = self.said.get_mut(&endpoint) {
-                    said.denied |= !draining;
+                    self.drain_reports
+                        .insert(endpoint, DrainReport { reported_at: self.now, withdrawn: false });
+                } else if let Some(drain_report) = self.drain_reports.get_mut(&endpoint) {
+                    drain_report.withdrawn |= !draining;
                 }
                 let report = Report { in_flight: None, draining, ..Report::default() };
                 let actions = self.health.on_report(self.now, &name(endpoint), report);
-                self.take(actions);
+                self.apply(actions);
             }
             Step::Config { present, leaving, floor } => {
                 (self.present, self.leaving, self.floor) = (present, leaving, floor);
-                self.said.retain(|&endpoint, _| has(present, endpoint));
+                self.drain_reports.retain(|&endpoint, _| contains(present, endpoint));
                 let candidates = candidates(present, leaving);
                 let actions = self.health.on_config(self.now, &candidates, floor.into());
-                self.take(actions);
+                self.apply(actions);
             }
             Step::Path { endpoint, answer } => {
                 let answers = [
@@ -187,7 +189,7 @@
                 ];
                 let answer = answers[usize::from(answer)];
                 let actions = self.health.on_path_answer(self.now, &name(endpoint), answer);
-                self.take(actions);
+                self.apply(actions);
             }
             Step::HandOver { ejected } => self.hand_over(ejected),
             Step::Pause { ms } => {
@@ -208,16 +210,16 @@
 
     fn tick(&mut self) {
         let now = self.now;
-        self.said.retain(|_, said| {
-            let patience_s = if said.denied { 10 } else { 60 };
-            now.since(said.at) < Duration::from_secs(patience_s)
+        self.drain_reports.retain(|_, drain_report| {
+            let expiry_s = if drain_report.withdrawn { 10 } else { 60 };
+            now.since(drain_report.reported_at) < Duration::from_secs(expiry_s)
         });
         let actions = self.health.on_tick(now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// Gives one endpoint work that ends as told while its peers do well.
-    fn work(&mut self, endpoint: u8, count: u8, end: End) {
+    /// Sends requests to one endpoint that end as `end` says, and good ones to its peers.
+    fn requests(&mut self, endpoint: u8, count: u8, end: End) {
         for _ in 0..count {
             for peer in (0..NAMES).filter(|&peer| peer != endpoint) {
                 let attempt = self.dispatch(peer);
@@ -259,16 +261,16 @@
 
     fn end(&mut self, attempt: AttemptId, outcome: Outcome, body: BodyEnd) {
         let actions = self.health.on_outcome(self.now, attempt, outcome);
-        self.take(actions);
+        self.apply(actions);
         if matches!(outcome, Outcome::Answered { .. }) {
             let actions = self.health.on_body_end(self.now, attempt, body);
-            self.take(actions);
+            self.apply(actions);
         }
     }
 
     fn hand_over(&mut self, ejected: u8) {
         let from: Vec<HealthHandOver> = (0..NAMES)
-            .filter(|&endpoint| has(ejected, endpoint))
+            .filter(|&endpoint| contains(ejected, endpoint))
             .map(|endpoint| HealthHandOver {
                 endpoint: name(endpoint),
                 state: HealthState::Ejected,
@@ -278,10 +280,10 @@
             .collect();
         self.ejected.extend(from.iter().map(|old| old.endpoint.clone()));
         let actions = self.health.on_hand_over(self.now, &from);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    fn take(&mut self, actions: Vec<HealthAction>) {
+    fn apply(&mut self, actions: Vec<HealthAction>) {
         let readmitted: Vec<Name> = actions
             .iter()
             .filter_map(|action| match action {
@@ -291,7 +293,10 @@
             .collect();
         for action in actions {
             if let HealthAction::Ejected { endpoint, .. } = action {
-                assert!(!readmitted.contains(&endpoint), "{endpoint} out and in at once");
+                assert!(
+                    !readmitted.contains(&endpoint),
+                    "{endpoint} ejected and readmitted at once"
+                );
                 self.ejections += 1;
                 self.ejected.insert(endpoint);
             }
@@ -299,35 +304,35 @@
         self.check();
     }
 
-    /// Checks everything that a caller can see against the oracle.
+    /// Checks the visible state against the oracle.
     fn check(&mut self) {
         let mut in_rotation = 0;
         let mut available = 0;
-        let mut stays = 0;
-        let mut disregarded = BTreeSet::new();
+        let mut counting = 0;
+        let mut overridden = BTreeSet::new();
         for endpoint in 0..NAMES {
             let name = name(endpoint);
             let state = self.health.state(&name);
             let share = self.health.share(self.now, &name);
-            if !has(self.present, endpoint) || has(self.leaving, endpoint) {
+            if !contains(self.present, endpoint) || contains(self.leaving, endpoint) {
                 assert_eq!((state, share), (HealthState::Draining, 0.0), "{name}");
                 continue;
             }
             let is_out = matches!(state, HealthState::Ejected | HealthState::Trial);
             let is_ejected = self.ejected.contains(&name);
             if is_out || is_ejected || self.health.unreachable_from_this_vm(&name) {
-                self.was_out.insert(endpoint);
+                self.once_out.insert(endpoint);
             }
-            let says_so = self.said.contains_key(&endpoint);
+            let reports_draining = self.drain_reports.contains_key(&endpoint);
             if state == HealthState::Draining {
-                assert!(says_so, "{name} does not say so");
+                assert!(reports_draining, "{name} draining without a report");
                 assert_eq!(share, 0.0, "{name}");
                 continue;
             }
             if state == HealthState::Ejected {
-                assert!(self.ejected.contains(&name), "{name} ejected without notice");
+                assert!(self.ejected.contains(&name), "{name} ejected without an action");
             }
-            available += u8::from(!says_so);
+            available += u8::from(!reports_draining);
             let gets_work = matches!(
                 state,
                 HealthState::Healthy
@@ -338,50 +343,54 @@
             if gets_work && !self.health.unreachable_from_this_vm(&name) {
                 assert!(share > 0.0, "{name} {state:?}");
                 in_rotation += 1;
-                stays += u8::from(!says_so);
+                counting += u8::from(!reports_draining);
             } else if state != HealthState::Trial {
                 assert_eq!(share, 0.0, "{name} {state:?}");
             }
-            if says_so {
-                disregarded.insert(endpoint);
+            if reports_draining {
+                overridden.insert(endpoint);
             }
         }
         let needed = available.min(self.floor);
-        assert!(stays >= needed, "{stays} in rotation, {needed} needed");
-        assert_eq!(self.health.at_floor(), stays <= self.floor);
-        self.check_disregarded(stays, in_rotation, disregarded);
+        assert!(counting >= needed, "{counting} in rotation, {needed} needed");
+        assert_eq!(self.health.at_floor(), counting <= self.floor);
+        self.check_overridden(counting, in_rotation, overridden);
     }
 
-    /// Checks that an endpoint's word is disregarded where nobody else is in
-    /// rotation and only there, and that it is the oldest word.
-    fn check_disregarded(&mut self, stays: u8, in_rotation: u8, disregarded: BTreeSet<u8>) {
-        assert!(stays == 0 || disregarded.is_empty(), "{disregarded:?} without need");
+    /// Checks that a drain report is disregarded if and only if no other endpoint is in
+    /// rotation, and that it is the oldest report.
+    fn check_overridden(&mut self, counting: u8, in_rotation: u8, overridden: BTreeSet<u8>) {
+        assert!(counting == 0 || overridden.is_empty(), "{overridden:?} disregarded without need");
         let configured = self.present & !self.leaving;
-        let never_out = |endpoint: u8| !self.was_out.contains(&endpoint);
-        let needs_one = (0..NAMES)
-            .any(|endpoint| has(configured, endpoint) && (self.floor > 0 || never_out(endpoint)));
+        let never_out = |endpoint: u8| !self.once_out.contains(&endpoint);
+        let needs_one = (0..NAMES).any(|endpoint| {
+            contains(configured, endpoint) && (self.floor > 0 || never_out(endpoint))
+        });
         assert!(in_rotation > 0 || !needs_one, "nobody left in rotation");
-        for endpoint in disregarded.difference(&self.disregarded) {
-            let at = self.said[endpoint].at;
-            for (other, said) in &self.said {
-                let is_choice = has(configured, *other) && never_out(*other);
-                assert!(!is_choice || at <= said.at, "{endpoint} before {other}");
+        for endpoint in overridden.difference(&self.overridden) {
+            let reported_at = self.drain_reports[endpoint].reported_at;
+            for (other, drain_report) in &self.drain_reports {
+                let could_serve = contains(configured, *other) && never_out(*other);
+                assert!(
+                    !could_serve || reported_at <= drain_report.reported_at,
+                    "{endpoint} overridden before {other}"
+                );
             }
         }
-        self.disregarded = disregarded;
+        self.overridden = overridden;
     }
 }
 
-/// Endpoints fail in every way, say that they are leaving, are replaced, and
-/// the floor changes, in any order. Callers must always have as many endpoints
-/// to go to as the floor says, or all there are; leaving ones get no work.
+/// Endpoints fail in every way, report that they are draining, are replaced, and the
+/// floor changes, in any order. At least as many endpoints as the floor, or all that
+/// are available, must stay in rotation; leaving ones must get no requests.
 #[test]
 fn ejections_never_break_the_floor() {
     fn holds(floor: u8, steps: Vec<Step>) -> bool {
-        let mut run = Run::new(floor % (NAMES + 1));
-        run.check();
+        let mut checked = CheckedHealth::new(floor % (NAMES + 1));
+        checked.check();
         for step in &steps {
-            run.step(step);
+            checked.step(step);
         }
         true
     }
@@ -391,61 +400,61 @@
         .quickcheck(holds as fn(u8, Vec<Step>) -> bool);
 }
 
-/// The histories above mean something only if many of them eject.
+/// The histories above test the floor only if many of them lead to ejections.
 #[test]
-fn random_histories_do_eject() {
+fn random_histories_include_ejections() {
     let mut random = Gen::from_size_and_seed(60, 12);
     let mut ejections = 0;
     for _ in 0..50 {
-        let mut run = Run::new(3);
+        let mut checked = CheckedHealth::new(3);
         for step in Vec::<Step>::arbitrary(&mut random) {
-            run.step(&step);
+            checked.step(&step);
         }
-        ejections += run.ejections;
+        ejections += checked.ejections;
     }
     assert!(ejections >= 50, "{ejections}");
 }
 
-/// After each step of such a history most endpoints say that they are leaving,
-/// as a mistaken rollout tool makes them do. Callers must have one to go to
-/// whenever the configuration has one, and the words count again with the first
-/// endpoint that comes back.
+/// After each step of a history most endpoints report that they are draining, as with
+/// a faulty rollout tool. One endpoint must stay in rotation whenever the configuration
+/// has one that isn't leaving, and the reports must apply again as soon as another
+/// endpoint is available.
 #[test]
-fn reports_alone_never_empty_the_rotation() {
+fn drain_reports_alone_never_empty_the_rotation() {
     let mut random = Gen::from_size_and_seed(60, 13);
-    let mut disregarded = 0;
+    let mut overridden = 0;
     for round in 0..60 {
-        let mut run = Run::new(round % 4);
+        let mut checked = CheckedHealth::new(round % 4);
         for step in Vec::<Step>::arbitrary(&mut random) {
-            run.step(&step);
+            checked.step(&step);
             let silent = u8::arbitrary(&mut random) & u8::arbitrary(&mut random);
             for endpoint in 0..NAMES {
-                let draining = !has(silent, endpoint);
+                let draining = !contains(silent, endpoint);
                 if draining || bool::arbitrary(&mut random) {
-                    run.step(&Step::Report { endpoint, draining });
-                    disregarded += usize::from(!run.disregarded.is_empty());
+                    checked.step(&Step::Report { endpoint, draining });
+                    overridden += usize::from(!checked.overridden.is_empty());
                 }
             }
         }
     }
-    assert!(disregarded >= 1_000, "{disregarded}");
+    assert!(overridden >= 1_000, "{overridden}");
 }
 
-/// Half of the endpoints fail at the same moment, and the floor is high. As
-/// many go as the floor allows, and as soon as it falls the others go as well.
+/// Two of eight endpoints fail at the same time with a floor of seven. One is ejected;
+/// the other must be ejected as soon as the floor is lowered.
 #[test]
-fn a_lower_floor_lets_the_sick_go() {
-    let mut run = Run::new(7);
+fn lowering_the_floor_ejects_held_endpoints() {
+    let mut checked = CheckedHealth::new(7);
     for _ in 0..4 {
-        run.work(0, 20, End::Error);
-        run.work(1, 20, End::Error);
+        checked.requests(0, 20, End::Error);
+        checked.requests(1, 20, End::Error);
     }
-    let out = |run: &Run| {
-        (0..NAMES).filter(|&e| run.health.state(&name(e)) == HealthState::Ejected).count()
+    let out = |checked: &CheckedHealth| {
+        (0..NAMES).filter(|&e| checked.health.state(&name(e)) == HealthState::Ejected).count()
     };
-    assert_eq!(out(&run), 1);
-    run.step(&Step::Config { present: u8::MAX, leaving: 0, floor: 6 });
-    run.work(1, 4, End::Error);
-    run.work(0, 4, End::Error);
-    assert_eq!(out(&run), 2);
+    assert_eq!(out(&checked), 1);
+    checked.step(&Step::Config { present: u8::MAX, leaving: 0, floor: 6 });
+    checked.requests(1, 4, End::Error);
+    checked.requests(0, 4, End::Error);
+    assert_eq!(out(&checked), 2);
 }
--- a/crates/pistachiotrack-core/tests/health_world/mod.rs
+++ b/crates/pistachiotrack-core/tests/health_simulation/mod.rs
@@ -1,6 +1,6 @@
-// Each test file uses a part of it.
+// Each test file uses a part of the module.
 #![allow(dead_code, unreachable_pub)]
-//! A few fake endpoints under load, for the tests of the health decisions.
+//! Simulation of a few endpoints under load, for the tests of the outlier detection.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,16 +20,16 @@
 pub const TIMEOUT: Duration = Duration::from_secs(1);
 const TICK_MS: u64 = 10;
 
-/// What an endpoint does with one attempt.
+/// How a simulated endpoint replies to one attempt.
 #[derive(Clone, Copy, Debug)]
 pub enum Reply {
-    /// Answers after a usual service time, multiplied.
+    /// Answers after a random service time multiplied by `factor`.
     Answer { status: u16, factor: f64 },
-    /// Sends nothing, ever.
+    /// Never sends anything.
     Hang,
-    /// Breaks the connection after a usual service time.
+    /// Breaks the connection after a random service time.
     Break,
-    /// Refuses at once.
+    /// Sheds the request at once.
     Shed,
     /// Accepts no connection.
     NoConnection,
@@ -39,14 +39,14 @@
     pub const GOOD: Reply = Reply::Answer { status: 200, factor: 1.0 };
 }
 
-/// An attempt as the fault switch sees it.
+/// An attempt, as passed to the function that chooses the reply.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub endpoint: usize,
     pub now_ms: u64,
     pub fresh: bool,
     pub kind: AttemptKind,
-    pub dice: f64,
+    pub random: f64,
 }
 
 struct InFlight {
@@ -56,7 +56,7 @@
     kind: AttemptKind,
 }
 
-pub struct World {
+pub struct Simulation {
     pub health: Health,
     pub now: Time,
     pub log: Vec<(u64, HealthAction)>,
@@ -64,9 +64,9 @@
     pub probes: Vec<u64>,
     pub names: Vec<Name>,
     pub load: f64,
-    pub trials_offered: bool,
+    pub trials_enabled: bool,
     pub path_answer: Option<PathAnswer>,
-    events: BTreeMap<(u64, u64), InFlight>,
+    scheduled_ends: BTreeMap<(u64, u64), InFlight>,
     in_use: Vec<usize>,
     next_attempt: u64,
     rng: Pcg64Mcg,
@@ -78,15 +78,15 @@
         .collect()
 }
 
-impl World {
-    pub fn new(count: usize, floor: u32, sensitivity: f64) -> World {
-        World::with_seed(count, floor, sensitivity, 7)
+impl Simulation {
+    pub fn new(count: usize, floor: u32, sensitivity: f64) -> Simulation {
+        Simulation::with_seed(count, floor, sensitivity, 7)
     }
 
-    pub fn with_seed(count: usize, floor: u32, sensitivity: f64, seed: u64) -> World {
+    pub fn with_seed(count: usize, floor: u32, sensitivity: f64, seed: u64) -> Simulation {
         let candidates = candidates(count);
         let settings = HealthSettings { sensitivity, ..HealthSettings::default() };
-        World {
+        Simulation {
             health: Health::new(Time::ZERO, settings, &candidates, floor, seed),
             now: Time::ZERO,
             log: Vec::new(),
@@ -94,38 +94,38 @@
             probes: vec![0; count],
             names: candidates.into_iter().map(|candidate| candidate.name).collect(),
             load: 0.6,
-            trials_offered: true,
+            trials_enabled: true,
             path_answer: None,
-            events: BTreeMap::new(),
+            scheduled_ends: BTreeMap::new(),
             in_use: vec![0; count],
             next_attempt: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Runs for some milliseconds; `switch` says what endpoints do.
-    pub fn run(&mut self, ms: u64, mut switch: impl FnMut(Sent) -> Reply) {
+    /// Runs for `ms` milliseconds; `reply` chooses how endpoints reply.
+    pub fn run(&mut self, ms: u64, mut reply: impl FnMut(SentAttempt) -> Reply) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
             self.now += Duration::from_millis(1);
-            self.end_attempts(&mut switch);
+            self.end_attempts(&mut reply);
             if self.now.as_millis().is_multiple_of(TICK_MS) {
                 let actions = self.health.on_tick(self.now);
-                self.take(actions, &mut switch);
+                self.apply(actions, &mut reply);
             }
             for endpoint in 0..self.names.len() {
-                self.offer(endpoint, &mut switch);
+                self.maybe_send(endpoint, &mut reply);
             }
         }
     }
 
-    /// Lets the process stand still while the world goes on.
+    /// Simulates a pause of this process, during which the endpoints go on.
     pub fn pause(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 
-    fn end_attempts(&mut self, switch: &mut impl FnMut(Sent) -> Reply) {
-        while let Some(entry) = self.events.first_entry() {
+    fn end_attempts(&mut self, reply: &mut impl FnMut(SentAttempt) -> Reply) {
+        while let Some(entry) = self.scheduled_ends.first_entry() {
             if entry.key().0 > self.now.as_micros() {
                 return;
             }
@@ -138,15 +138,15 @@
                 let end = BodyEnd::Complete;
                 actions.extend(self.health.on_body_end(self.now, ended.attempt, end));
             }
-            self.take(actions, switch);
+            self.apply(actions, reply);
         }
     }
 
-    fn offer(&mut self, endpoint: usize, switch: &mut impl FnMut(Sent) -> Reply) {
+    fn maybe_send(&mut self, endpoint: usize, reply: &mut impl FnMut(SentAttempt) -> Reply) {
         let state = self.health.state(&self.names[endpoint]);
         let share = self.health.share(self.now, &self.names[endpoint]);
         let (slots, kind) = match state {
-            HealthState::Trial if self.trials_offered => (1, AttemptKind::Trial),
+            HealthState::Trial if self.trials_enabled => (1, AttemptKind::Trial),
             HealthState::Trial => return,
             _ => ((share * SLOTS as f64).ceil() as usize, AttemptKind::Request),
         };
@@ -154,10 +154,15 @@
         if self.in_use[endpoint] >= slots || self.rng.random::<f64>() > rate_per_ms {
             return;
         }
-        self.send(endpoint, kind, switch);
+        self.send(endpoint, kind, reply);
     }
 
-    fn send(&mut self, endpoint: usize, kind: AttemptKind, switch: &mut impl FnMut(Sent) -> Reply) {
+    fn send(
+        &mut self,
+        endpoint: usize,
+        kind: AttemptKind,
+        reply: &mut impl FnMut(SentAttempt) -> Reply,
+    ) {
         let name = &self.names[endpoint];
         let is_probe = kind == AttemptKind::Probe;
         let fresh = is_probe || self.health.wants_fresh_connection(name);
@@ -173,11 +178,11 @@
             self.in_use[endpoint] += 1;
             self.dispatched[endpoint] += 1;
         }
-        let dice = self.rng.random();
-        let sent = Sent { endpoint, now_ms: self.now.as_millis(), fresh, kind, dice };
-        let (outcome, after) = self.outcome(switch(sent), fresh);
+        let random = self.rng.random();
+        let sent = SentAttempt { endpoint, now_ms: self.now.as_millis(), fresh, kind, random };
+        let (outcome, after) = self.outcome(reply(sent), fresh);
         let key = ((self.now + after).as_micros(), attempt.0);
-        self.events.insert(key, InFlight { attempt, endpoint, outcome, kind });
+        self.scheduled_ends.insert(key, InFlight { attempt, endpoint, outcome, kind });
     }
 
     fn outcome(&mut self, reply: Reply, fresh_connection: bool) -> (Outcome, Duration) {
@@ -197,12 +202,12 @@
         }
     }
 
-    fn take(&mut self, actions: Vec<HealthAction>, switch: &mut impl FnMut(Sent) -> Reply) {
+    fn apply(&mut self, actions: Vec<HealthAction>, reply: &mut impl FnMut(SentAttempt) -> Reply) {
         for action in &actions {
             match action {
                 HealthAction::Probe { endpoint } => {
                     let index = self.names.iter().position(|name| name == endpoint).unwrap();
-                    self.send(index, AttemptKind::Probe, switch);
+                    self.send(index, AttemptKind::Probe, reply);
                 }
                 HealthAction::CheckPath { endpoint } => {
                     let Some(answer) = self.path_answer else { continue };
@@ -224,7 +229,7 @@
         self.health.state(&self.names[endpoint])
     }
 
-    /// Returns when and why each ejection happened.
+    /// Returns the time in milliseconds, the endpoint and the reason of each ejection.
     pub fn ejections(&self) -> Vec<(u64, usize, EjectReason)> {
         self.log
             .iter()
--- a/crates/pistachiotrack-core/tests/replaced_endpoint.rs
+++ b/crates/pistachiotrack-core/tests/replaced_endpoint.rs
@@ -1,11 +1,10 @@
-//! Endpoints whose address another endpoint has taken, while nobody has heard of it.
+//! Endpoints whose address belongs to another endpoint before the registry notices.
 //!
-//! What users saw: bookings that took a detour, or were refused, for seconds after
-//! endpoints had been replaced. Order of events: an endpoint ends, its address goes to
-//! another one, the registry doesn't know yet; the other turns away what is meant for the
-//! first; the first goes on to be chosen, as it has no work and nothing against it. Cause:
-//! that another endpoint has the address was taken for a path that doesn't open, and other
-//! VMs, asked about it, did reach the address.
+//! An endpoint ends, its address is assigned to another one, and the registry still lists
+//! the first. The second rejects requests for the first, which would be selected again and
+//! again, as it has no load and no evidence against it: requests would be retried elsewhere
+//! or refused for seconds. Such a rejection must not be handled as a connection that can't
+//! be opened, because other VMs that are asked about the path do reach the address.
 
 mod shared_support;
 
@@ -32,9 +31,9 @@
     Request { idempotent: true, ..booking(id, now) }
 }
 
-/// Has the endpoint that is chosen for the first booking turn it away; returns its name
-/// and all that the VM does then.
-fn turn_away(shard: &mut Shard, now: Time) -> (Name, Vec<ShardAction>) {
+/// Lets the endpoint selected for the first request reject it; returns the endpoint's name
+/// and the actions that follow.
+fn reject_first(shard: &mut Shard, now: Time) -> (Name, Vec<ShardAction>) {
     let first = dispatched(&shard.on_request(now, booking(0, now))).unwrap();
     let actions = shard.on_outcome(now, first.attempt, Outcome::Misdirected, Report::default());
     let again: Vec<Dispatch> = dispatched(&actions).into_iter().collect();
@@ -42,7 +41,8 @@
     (first.endpoint, actions)
 }
 
-/// Sends requests until `until` and returns where they went; `replaced` turns them away.
+/// Sends requests until `until` and returns the endpoints they were sent to; `replaced`
+/// rejects them.
 fn send(
     shard: &mut Shard,
     now: &mut Time,
@@ -50,14 +50,14 @@
     request: fn(u64, Time) -> Request,
     replaced: &Name,
 ) -> Vec<Name> {
-    let mut chosen = Vec::new();
+    let mut selected = Vec::new();
     while *now < until {
         *now += STEP;
         let mut actions = shard.on_tick(*now);
         actions.extend(shard.on_request(*now, request(now.as_micros(), *now)));
         let mut next = dispatched(&actions);
         while let Some(dispatch) = next {
-            chosen.push(dispatch.endpoint.clone());
+            selected.push(dispatch.endpoint.clone());
             next = match dispatch.endpoint == *replaced {
                 true => {
                     let attempt = dispatch.attempt;
@@ -69,53 +69,53 @@
             };
         }
     }
-    chosen
+    selected
 }
 
 #[test]
-fn an_endpoint_whose_address_another_has_gets_no_more_until_the_registry_notices() {
+fn a_replaced_endpoint_gets_no_requests_until_the_registry_removes_it() {
     for request in [booking, lookup] {
         let mut shard = shard(4);
         let mut now = START;
-        let (replaced, _) = turn_away(&mut shard, now);
-        let chosen = send(&mut shard, &mut now, START + REGISTRY_LAG, request, &replaced);
-        assert!(chosen.len() > 100);
-        let wrong = chosen.iter().filter(|name| **name == replaced).count();
-        assert_eq!(wrong, 0, "of {} requests", chosen.len());
+        let (replaced, _) = reject_first(&mut shard, now);
+        let selected = send(&mut shard, &mut now, START + REGISTRY_LAG, request, &replaced);
+        assert!(selected.len() > 100);
+        let misdirected_count = selected.iter().filter(|name| **name == replaced).count();
+        assert_eq!(misdirected_count, 0, "of {} requests", selected.len());
     }
 }
 
-/// One VM finds it out. The others that dispatch for the service must not find it out
-/// by requests of their own.
+/// One VM detects the replacement. The other VMs that dispatch for the service must learn
+/// of it without requests of their own to the endpoint.
 #[test]
-fn the_other_vms_are_told() {
+fn other_vms_learn_of_the_replacement() {
     let (mut first, mut second) = (shard(4), shard(4));
-    let (replaced, actions) = turn_away(&mut first, START);
+    let (replaced, actions) = reject_first(&mut first, START);
     pass_on(&mut second, START, &told(&actions));
     let mut now = START;
-    let chosen = send(&mut second, &mut now, START + REGISTRY_LAG, booking, &replaced);
-    assert!(chosen.iter().all(|name| *name != replaced));
+    let selected = send(&mut second, &mut now, START + REGISTRY_LAG, booking, &replaced);
+    assert!(selected.iter().all(|name| *name != replaced));
 }
 
-/// A VM that callers seldom use is told nothing, and asks one that knows for a picture
-/// before it sends a request. Endpoints that have just joined come first there, and one
-/// that joined and was replaced would be tried by each such VM.
+/// A VM that callers rarely use receives no updates and requests a snapshot from another
+/// VM before it sends a request. It prefers endpoints that have just joined, so each such
+/// VM would try an endpoint that joined and was replaced.
 #[test]
-fn a_vm_that_asks_for_a_picture_learns_of_it() {
-    let (mut informed, mut guest) = (shard(4), shard(4));
-    let (replaced, _) = turn_away(&mut informed, START);
+fn a_requested_snapshot_includes_the_replacement() {
+    let (mut informed, mut rarely_used) = (shard(4), shard(4));
+    let (replaced, _) = reject_first(&mut informed, START);
     let mut now = START + Duration::from_millis(500);
-    guest.on_picture(now, &informed.picture(now));
-    let chosen = send(&mut guest, &mut now, START + REGISTRY_LAG, lookup, &replaced);
-    assert!(chosen.iter().all(|name| *name != replaced));
+    rarely_used.on_picture(now, &informed.picture(now));
+    let selected = send(&mut rarely_used, &mut now, START + REGISTRY_LAG, lookup, &replaced);
+    assert!(selected.iter().all(|name| *name != replaced));
 }
 
-/// A picture is older than what a VM has seen itself: the endpoint has answered since. The
-/// VM must not take it out for what another saw before.
+/// A snapshot is older than the VM's own observations: the endpoint has answered since.
+/// The VM must not eject it because of the older observation.
 #[test]
-fn what_a_vm_saw_later_goes_before_a_picture() {
+fn a_later_answer_takes_precedence_over_a_snapshot() {
     let (mut informed, mut second) = (shard(1), shard(1));
-    turn_away(&mut informed, START);
+    reject_first(&mut informed, START);
     let later = START + Duration::from_secs(1);
     let dispatch = dispatched(&second.on_request(later, booking(1, later))).unwrap();
     end(&mut second, later, &dispatch, 200);
@@ -123,22 +123,22 @@
     assert!(dispatched(&second.on_request(later, booking(2, later))).is_some());
 }
 
-/// The endpoint was there all the time, and something on the way turned one request away.
-/// It must not be lost for good: a request that may run again tries it.
+/// The endpoint still exists, and an intermediary rejected one request. An idempotent
+/// request must try it again, so that it isn't excluded permanently.
 #[test]
-fn an_endpoint_that_is_there_after_all_is_tried_again() {
+fn an_endpoint_that_still_exists_is_tried_again() {
     let mut shard = shard(4);
     let mut now = START;
-    let (replaced, _) = turn_away(&mut shard, now);
-    let nobody = Name::from("nobody");
-    let chosen = send(&mut shard, &mut now, START + 8 * REGISTRY_LAG, lookup, &nobody);
-    assert!(chosen.contains(&replaced), "not tried again in {} requests", chosen.len());
+    let (replaced, _) = reject_first(&mut shard, now);
+    let no_endpoint = Name::from("nobody");
+    let selected = send(&mut shard, &mut now, START + 8 * REGISTRY_LAG, lookup, &no_endpoint);
+    assert!(selected.contains(&replaced), "not tried again in {} requests", selected.len());
 }
 
-/// Half of a service's endpoints are replaced. The floor keeps sick endpoints at work,
-/// and must not keep these: nobody is there.
+/// Half of a service's endpoints are replaced. The floor keeps faulty endpoints in
+/// rotation, but must not keep these, as they no longer exist.
 #[test]
-fn the_floor_does_not_hold_an_endpoint_that_is_gone() {
+fn the_floor_does_not_keep_a_replaced_endpoint() {
     let name = |index: u32| Name::from(format!("e{index}"));
     let candidates: Vec<ConfiguredEndpoint> =
         (0..2).map(|index| ConfiguredEndpoint { name: name(index), leaving: false }).collect();
