--- a/crates/pistachiotrack-core/examples/health_tick.rs
+++ b/crates/pistachiotrack-core/examples/health_tick.rs
@@ -28,12 +28,17 @@
 
 fn one_round(endpoints: usize, in_flight: usize, seed: u64) -> f64 {
     let names: Vec<Name> = (0..endpoints).map(|index| Name::from(format!("e{index}"))).collect();
-    let candidates: Vec<ConfiguredEndpoint> = names
+    let configured_endpoints: Vec<ConfiguredEndpoint> = names
         .iter()
         .map(|name| ConfiguredEndpoint { name: name.clone(), leaving: false })
         .collect();
-    let mut health =
-        Health::new(Time::ZERO, HealthSettings::default(), &candidates, endpoints as u32, 1);
+    let mut health = Health::new(
+        Time::ZERO,
+        HealthSettings::default(),
+        &configured_endpoints,
+        endpoints as u32,
+        1,
+    );
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut now = Time::ZERO;
     let mut next_attempt = 0;
--- a/crates/pistachiotrack-core/src/health/evidence.rs
+++ b/crates/pistachiotrack-core/src/health/evidence.rs
@@ -96,9 +96,9 @@
     pub(super) connect: f64,
     /// Sum from pooled connections without an answer.
     pub(super) ambiguous: f64,
-    /// Like `slow`, from attempts in flight; computed anew with each tick.
+    /// Like `slow`, from attempts in flight; not accumulated.
     pub(super) slow_in_flight: f64,
-    /// Like `ambiguous`, from attempts in flight; computed anew with each tick.
+    /// Like `ambiguous`, from attempts in flight; not accumulated.
     pub(super) ambiguous_in_flight: f64,
     /// Whether a health check on a new connection has timed out or failed since
     /// the endpoint last answered: ambiguous evidence is then attributed to the
@@ -170,7 +170,7 @@
         self.sums_at_last_tick = self.sums();
     }
 
-    /// Caps all sums at `limit`.
+    /// Caps all sums at `limit`, the evidence that the peers have against them as well.
     pub(super) fn cap(&mut self, limit: f64) {
         for kind in [
             EvidenceKind::Failure,
--- a/crates/pistachiotrack-core/src/health/observation.rs
+++ b/crates/pistachiotrack-core/src/health/observation.rs
@@ -235,7 +235,7 @@
             self.add(now, position, EvidenceKind::Slow, score);
         }
         let state = &mut self.endpoints[position];
-        state.evidence.update_severity(tail.map_or(0.0, latency_badness));
+        state.evidence.update_severity(tail.map_or(0.0, latency_severity));
         let was_cold = state.is_cold();
         state.record_latency(baseline::ln_micros(latency));
         if is_baseline_member && !was_cold && !attempt.via_relay {
@@ -481,6 +481,6 @@
 
 /// Returns the severity of a latency that a fraction `tail` of the peers'
 /// latencies exceeds, 0 to 0.8.
-fn latency_badness(tail: f64) -> f64 {
+fn latency_severity(tail: f64) -> f64 {
     (-0.27 * (tail.log10() + 1.0)).clamp(0.0, 0.8)
 }
--- a/crates/pistachiotrack-core/src/health/relay.rs
+++ b/crates/pistachiotrack-core/src/health/relay.rs
@@ -93,12 +93,12 @@
     /// reaches it any more, it is ejected like any other.
     pub fn on_relay_lost(&mut self, now: Time, endpoint: &Name) -> Vec<HealthAction> {
         let Some(&position) = self.positions.get(endpoint) else { return Vec::new() };
-        let suspicion = self.threshold / 2.0;
+        let suspect_evidence = self.threshold / 2.0;
         let state = &mut self.endpoints[position];
         if state.relay_route.take().is_none() {
             return Vec::new();
         }
-        state.evidence.connect = state.evidence.connect.max(suspicion);
+        state.evidence.connect = state.evidence.connect.max(suspect_evidence);
         state.path_check = PathCheck::Requested(now);
         vec![HealthAction::CheckPath { endpoint: state.name.clone() }]
     }
@@ -131,7 +131,7 @@
         if now < route.retry_at || state.leaving {
             return;
         }
-        // No slot may be free for a health check now.
+        // Repeats the health check if there is no free slot for it now.
         route.retry_at = now + LOST_RETRY_DELAY;
         state.last_probe_at = now;
         actions.push(HealthAction::Probe { endpoint: state.name.clone() });
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -34,7 +34,7 @@
     /// An attempt ended.
     AttemptEnded {
         /// Probability that the endpoint was in an episode of gray failure
-        /// then, from 0 to 255.
+        /// then, in 255ths.
         episode_probability: u8,
     },
     /// Another endpoint answered at its address.
--- a/crates/pistachiotrack-core/src/health/rotation.rs
+++ b/crates/pistachiotrack-core/src/health/rotation.rs
@@ -93,14 +93,14 @@
         if !self.endpoints[position].in_rotation() || !self.mechanisms.ejection {
             return;
         }
-        let by_ambiguous = self.ambiguous_evidence_persists(now, position);
+        let ambiguous_suffices = self.ambiguous_evidence_persists(now, position);
         let state = &self.endpoints[position];
         let strength = state.evidence.strength(self.threshold);
         if state.phase == Phase::HeldByFloor && strength < self.threshold / 2.0 {
             return self.release_from_hold(position, actions);
         }
         self.request_path_check(now, position, actions);
-        if strength < self.threshold && !by_ambiguous {
+        if strength < self.threshold && !ambiguous_suffices {
             return;
         }
         // A fault of the whole service, or of this VM, affects all endpoints: only
@@ -108,11 +108,11 @@
         let common = self.common_evidence_against_peers(now, Some(position));
         let state = &self.endpoints[position];
         let ambiguous_excess = state.evidence.ambiguous_total() - common;
-        let by_ambiguous = by_ambiguous && ambiguous_excess >= self.threshold;
-        if strength - common < self.threshold && !by_ambiguous {
+        let ambiguous_suffices = ambiguous_suffices && ambiguous_excess >= self.threshold;
+        if strength - common < self.threshold && !ambiguous_suffices {
             return;
         }
-        let reason = self.reason(position);
+        let reason = self.ejection_reason(position);
         if self.failures_only_lower_rank && reason == EjectReason::Failures {
             return;
         }
@@ -156,7 +156,7 @@
         }
     }
 
-    fn reason(&self, position: usize) -> EjectReason {
+    fn ejection_reason(&self, position: usize) -> EjectReason {
         let evidence = &self.endpoints[position].evidence;
         let slow = evidence.slow + evidence.slow_in_flight;
         if evidence.connect >= evidence.failures.max(slow) && evidence.connect > 0.0 {
@@ -169,7 +169,7 @@
     }
 
     /// Returns the evidence that two thirds of the endpoints reach, doubled for
-    /// the spread between them: what the endpoints have in common.
+    /// the spread between them: what a fault of all endpoints explains.
     pub(super) fn common_evidence_against_peers(&self, now: Time, excluded: Option<usize>) -> f64 {
         let mut strengths: Vec<f64> = self
             .endpoints
--- a/crates/pistachiotrack-core/src/health/schedule.rs
+++ b/crates/pistachiotrack-core/src/health/schedule.rs
@@ -24,7 +24,7 @@
 /// Age up to which a passed health check counts for that.
 const MAX_PROBE_AGE: Duration = Duration::from_secs(10);
 /// Shortest time that an endpoint is out of rotation after a drain report.
-const MIN_DRAIN: Duration = Duration::from_secs(10);
+const MIN_DRAIN_TIME: Duration = Duration::from_secs(10);
 /// Time after a drain report without a further report after which the endpoint is tried
 /// again.
 const DRAIN_REPORT_EXPIRY: Duration = Duration::from_secs(60);
@@ -46,7 +46,7 @@
         for position in self.most_severe_first() {
             self.evaluate(now, position, &mut actions);
             self.advance_phase(now, position, &mut actions);
-            self.end_drain_if_due(now, position);
+            self.expire_drain_report(now, position);
             self.probe_if_due(now, position, &mut actions);
             self.retry_path_if_due(now, position, &mut actions);
             self.retry_replaced_if_due(now, position, &mut actions);
@@ -100,8 +100,8 @@
                 state.phase = Phase::InRotation;
             }
             Phase::InRotation if state.ejections > 0 => {
-                let is_well = state.evidence.strength(threshold) < half;
-                if is_well && now.since(state.ejections_changed_at) >= EJECTION_FORGET_TIME {
+                let is_healthy = state.evidence.strength(threshold) < half;
+                if is_healthy && now.since(state.ejections_changed_at) >= EJECTION_FORGET_TIME {
                     state.ejections -= 1;
                     state.ejections_changed_at = now;
                 }
@@ -113,11 +113,11 @@
     /// Discards a drain report that the endpoint has withdrawn, or that it has not
     /// repeated for long, as the report may have been wrong. An endpoint that got
     /// requests all the same needs no slow start or trial.
-    fn end_drain_if_due(&mut self, now: Time, position: usize) {
+    fn expire_drain_report(&mut self, now: Time, position: usize) {
         let state = &mut self.endpoints[position];
         let Some(drain_report) = state.drain_report else { return };
         let age = now.since(drain_report.reported_at);
-        if drain_report.withdrawn_at.is_some() && age >= MIN_DRAIN {
+        if drain_report.withdrawn_at.is_some() && age >= MIN_DRAIN_TIME {
             state.drain_report = None;
             if state.phase == Phase::InRotation && !drain_report.overridden {
                 state.phase = Phase::SlowStart { since: now };
@@ -144,8 +144,8 @@
             since_probe >= SLOW_PROBE_INTERVAL && idle >= SLOW_PROBE_INTERVAL
         } else if state.in_rotation() && since_probe >= PROBE_INTERVAL {
             let is_suspect = state.evidence.strength(threshold) >= threshold / 2.0;
-            let is_doubtful = state.evidence.ambiguous_total() >= threshold / 2.0;
-            is_doubtful || (is_suspect && idle >= IDLE_BEFORE_PROBE)
+            let is_ambiguous = state.evidence.ambiguous_total() >= threshold / 2.0;
+            is_ambiguous || (is_suspect && idle >= IDLE_BEFORE_PROBE)
         } else {
             false
         };
@@ -162,6 +162,6 @@
 /// idempotent requests has no other evidence. It needs to have waited, a passed health
 /// check and a slow start, in which little evidence ejects the endpoint again.
 fn may_leave_idle_trial(state: &EndpointState, now: Time, since: Time) -> bool {
-    let no_work = state.last_dispatch_at <= since && now.since(since) >= TRIAL_IDLE_TIMEOUT;
-    no_work && state.probe_passed_at.is_some_and(|passed| now.since(passed) < MAX_PROBE_AGE)
+    let no_requests = state.last_dispatch_at <= since && now.since(since) >= TRIAL_IDLE_TIMEOUT;
+    no_requests && state.probe_passed_at.is_some_and(|passed| now.since(passed) < MAX_PROBE_AGE)
 }
--- a/crates/pistachiotrack-core/src/health/state.rs
+++ b/crates/pistachiotrack-core/src/health/state.rs
@@ -14,7 +14,7 @@
 use super::{AttemptKind, HealthState, relay::RelayRoute};
 
 /// Number of answers after which a new endpoint is no longer cold.
-const COLD_REQUESTS: u32 = 20;
+const COLD_ANSWERS: u32 = 20;
 /// Factor by which an endpoint's latency may exceed its peers' latency.
 const LATENCY_TOLERANCE: f64 = 1.5;
 /// The same while the endpoint is cold, for instance with empty caches.
@@ -223,9 +223,9 @@
         if self.is_cold() { COLD_LATENCY_TOLERANCE } else { LATENCY_TOLERANCE }
     }
 
-    /// Returns whether the endpoint is new and has answered little so far.
+    /// Returns whether the endpoint is new and has given few answers so far.
     pub(super) fn is_cold(&self) -> bool {
-        self.cold && self.answers < COLD_REQUESTS
+        self.cold && self.answers < COLD_ANSWERS
     }
 
     /// Records the latency of a good answer.
--- a/crates/pistachiotrack-core/tests/floor.rs
+++ b/crates/pistachiotrack-core/tests/floor.rs
@@ -129,7 +129,7 @@
     mask >> endpoint & 1 == 1
 }
 
-fn candidates(present: u8, leaving: u8) -> Vec<ConfiguredEndpoint> {
+fn configured_endpoints(present: u8, leaving: u8) -> Vec<ConfiguredEndpoint> {
     (0..NAMES)
         .filter(|&endpoint| contains(present, endpoint))
         .map(|endpoint| ConfiguredEndpoint {
@@ -142,7 +142,7 @@
 impl CheckedHealth {
     fn new(floor: u8) -> CheckedHealth {
         let settings = HealthSettings { sensitivity: 0.9, ..HealthSettings::default() };
-        let all = candidates(u8::MAX, 0);
+        let all = configured_endpoints(u8::MAX, 0);
         CheckedHealth {
             health: Health::new(Time::ZERO, settings, &all, floor.into(), 1),
             now: Time::ZERO,
@@ -177,8 +177,8 @@
             Step::Config { present, leaving, floor } => {
                 (self.present, self.leaving, self.floor) = (present, leaving, floor);
                 self.drain_reports.retain(|&endpoint, _| contains(present, endpoint));
-                let candidates = candidates(present, leaving);
-                let actions = self.health.on_config(self.now, &candidates, floor.into());
+                let configured_endpoints = configured_endpoints(present, leaving);
+                let actions = self.health.on_config(self.now, &configured_endpoints, floor.into());
                 self.apply(actions);
             }
             Step::Path { endpoint, answer } => {
@@ -308,7 +308,7 @@
     fn check(&mut self) {
         let mut in_rotation = 0;
         let mut available = 0;
-        let mut counting = 0;
+        let mut counted = 0;
         let mut overridden = BTreeSet::new();
         for endpoint in 0..NAMES {
             let name = name(endpoint);
@@ -333,17 +333,17 @@
                 assert!(self.ejected.contains(&name), "{name} ejected without an action");
             }
             available += u8::from(!reports_draining);
-            let gets_work = matches!(
+            let gets_requests = matches!(
                 state,
                 HealthState::Healthy
                     | HealthState::Suspect
                     | HealthState::HeldByFloor
                     | HealthState::SlowStart
             );
-            if gets_work && !self.health.unreachable_from_this_vm(&name) {
+            if gets_requests && !self.health.unreachable_from_this_vm(&name) {
                 assert!(share > 0.0, "{name} {state:?}");
                 in_rotation += 1;
-                counting += u8::from(!reports_draining);
+                counted += u8::from(!reports_draining);
             } else if state != HealthState::Trial {
                 assert_eq!(share, 0.0, "{name} {state:?}");
             }
@@ -352,21 +352,21 @@
             }
         }
         let needed = available.min(self.floor);
-        assert!(counting >= needed, "{counting} in rotation, {needed} needed");
-        assert_eq!(self.health.at_floor(), counting <= self.floor);
-        self.check_overridden(counting, in_rotation, overridden);
+        assert!(counted >= needed, "{counted} in rotation, {needed} needed");
+        assert_eq!(self.health.at_floor(), counted <= self.floor);
+        self.check_overridden(counted, in_rotation, overridden);
     }
 
     /// Checks that a drain report is disregarded if and only if no other endpoint is in
     /// rotation, and that it is the oldest report.
-    fn check_overridden(&mut self, counting: u8, in_rotation: u8, overridden: BTreeSet<u8>) {
-        assert!(counting == 0 || overridden.is_empty(), "{overridden:?} disregarded without need");
+    fn check_overridden(&mut self, counted: u8, in_rotation: u8, overridden: BTreeSet<u8>) {
+        assert!(counted == 0 || overridden.is_empty(), "{overridden:?} disregarded without need");
         let configured = self.present & !self.leaving;
         let never_out = |endpoint: u8| !self.once_out.contains(&endpoint);
         let needs_one = (0..NAMES).any(|endpoint| {
             contains(configured, endpoint) && (self.floor > 0 || never_out(endpoint))
         });
-        assert!(in_rotation > 0 || !needs_one, "nobody left in rotation");
+        assert!(in_rotation > 0 || !needs_one, "no endpoint left in rotation");
         for endpoint in overridden.difference(&self.overridden) {
             let reported_at = self.drain_reports[endpoint].reported_at;
             for (other, drain_report) in &self.drain_reports {
--- a/crates/pistachiotrack-core/tests/gray_failure.rs
+++ b/crates/pistachiotrack-core/tests/gray_failure.rs
@@ -27,11 +27,14 @@
 
 impl Service {
     fn new(endpoints: usize) -> Service {
-        let candidate = |index| ConfiguredEndpoint { name: name(index), leaving: false };
-        let candidates: Vec<ConfiguredEndpoint> = (0..endpoints).map(candidate).collect();
+        let endpoint = |index| ConfiguredEndpoint { name: name(index), leaving: false };
+        let configured_endpoints: Vec<ConfiguredEndpoint> = (0..endpoints).map(endpoint).collect();
         let settings =
             HealthSettings { failures_only_lower_rank: true, ..HealthSettings::default() };
-        Service { health: Health::new(START, settings, &candidates, 0, 1), next_attempt: 1 }
+        Service {
+            health: Health::new(START, settings, &configured_endpoints, 0, 1),
+            next_attempt: 1,
+        }
     }
 
     fn begin(&mut self, now: Time, index: usize) -> AttemptId {
--- a/crates/pistachiotrack-core/tests/health_faults.rs
+++ b/crates/pistachiotrack-core/tests/health_faults.rs
@@ -60,7 +60,7 @@
 /// connections and health checks pass. Requests on new connections hang as well,
 /// so the connections are not the cause.
 #[test]
-fn ejects_an_endpoint_that_hangs_soon_after_its_work_times_out() {
+fn ejects_an_endpoint_that_hangs_soon_after_its_requests_time_out() {
     let mut simulation = warm_simulation(6, 3, 0.9);
     simulation.run(3_000, |sent| match sent.kind {
         AttemptKind::Probe => Reply::GOOD,
--- a/crates/pistachiotrack-core/tests/health_recovery.rs
+++ b/crates/pistachiotrack-core/tests/health_recovery.rs
@@ -2,7 +2,7 @@
 
 mod health_simulation;
 
-use health_simulation::{Reply, Simulation, candidates};
+use health_simulation::{Reply, Simulation, configured_endpoints};
 use pistachiotrack_core::{
     health::{
         AttemptKind, ConfiguredEndpoint, EjectReason, Health, HealthAction, HealthHandOver,
@@ -114,7 +114,7 @@
 #[test]
 fn a_cold_start_is_not_a_fault() {
     let mut simulation = warm_simulation(6, 3, 0.9);
-    let mut all = candidates(6);
+    let mut all = configured_endpoints(6);
     all[5].leaving = true;
     simulation.health.on_config(simulation.now, &all, 3);
     simulation.health.on_config(simulation.now, &all[..5], 3);
@@ -136,7 +136,7 @@
 
 /// An endpoint that reports that it is draining gets no new requests from then on.
 #[test]
-fn a_draining_endpoint_gets_no_new_work() {
+fn a_draining_endpoint_gets_no_new_requests() {
     let mut simulation = warm_simulation(6, 3, 0.9);
     let name = Name::from("e1");
     let report = Report { in_flight: None, draining: true, ..Report::default() };
@@ -185,7 +185,7 @@
     assert_eq!(simulation.state(0), HealthState::SlowStart);
     assert_eq!(simulation.state(3), HealthState::Draining);
 
-    let mut configured = candidates(6);
+    let mut configured = configured_endpoints(6);
     configured[0].leaving = true;
     configured[1].leaving = true;
     simulation.health.on_config(simulation.now, &configured, 3);
@@ -254,7 +254,7 @@
 /// floor must apply to inherited ejections as well.
 #[test]
 fn a_hand_over_keeps_the_floor() {
-    let from: Vec<HealthHandOver> = candidates(6)
+    let from: Vec<HealthHandOver> = configured_endpoints(6)
         .into_iter()
         .map(|ConfiguredEndpoint { name, .. }| HealthHandOver {
             endpoint: name,
@@ -264,7 +264,7 @@
         })
         .collect();
     let settings = HealthSettings::default();
-    let mut health = Health::new(Time::ZERO, settings, &candidates(6), 4, 1);
+    let mut health = Health::new(Time::ZERO, settings, &configured_endpoints(6), 4, 1);
     health.on_hand_over(Time::ZERO, &from);
     let ejected =
         from.iter().filter(|old| health.state(&old.endpoint) == HealthState::Ejected).count();
@@ -294,7 +294,7 @@
     assert_eq!(standings, [HealthState::Ejected, HealthState::Ejected, HealthState::HeldByFloor]);
     assert!(simulation.health.at_floor());
 
-    let mut all = candidates(6);
+    let mut all = configured_endpoints(6);
     all[5].leaving = true;
     let actions = simulation.health.on_config(simulation.now, &all, 4);
     let name = Name::from("e1");
--- a/crates/pistachiotrack-core/tests/health_simulation/mod.rs
+++ b/crates/pistachiotrack-core/tests/health_simulation/mod.rs
@@ -72,7 +72,7 @@
     rng: Pcg64Mcg,
 }
 
-pub fn candidates(count: usize) -> Vec<ConfiguredEndpoint> {
+pub fn configured_endpoints(count: usize) -> Vec<ConfiguredEndpoint> {
     (0..count)
         .map(|index| ConfiguredEndpoint { name: Name::from(format!("e{index}")), leaving: false })
         .collect()
@@ -84,15 +84,15 @@
     }
 
     pub fn with_seed(count: usize, floor: u32, sensitivity: f64, seed: u64) -> Simulation {
-        let candidates = candidates(count);
+        let configured_endpoints = configured_endpoints(count);
         let settings = HealthSettings { sensitivity, ..HealthSettings::default() };
         Simulation {
-            health: Health::new(Time::ZERO, settings, &candidates, floor, seed),
+            health: Health::new(Time::ZERO, settings, &configured_endpoints, floor, seed),
             now: Time::ZERO,
             log: Vec::new(),
             dispatched: vec![0; count],
             probes: vec![0; count],
-            names: candidates.into_iter().map(|candidate| candidate.name).collect(),
+            names: configured_endpoints.into_iter().map(|endpoint| endpoint.name).collect(),
             load: 0.6,
             trials_enabled: true,
             path_answer: None,
--- a/crates/pistachiotrack-core/tests/replaced_endpoint.rs
+++ b/crates/pistachiotrack-core/tests/replaced_endpoint.rs
@@ -140,9 +140,9 @@
 #[test]
 fn the_floor_does_not_keep_a_replaced_endpoint() {
     let name = |index: u32| Name::from(format!("e{index}"));
-    let candidates: Vec<ConfiguredEndpoint> =
+    let configured_endpoints: Vec<ConfiguredEndpoint> =
         (0..2).map(|index| ConfiguredEndpoint { name: name(index), leaving: false }).collect();
-    let mut health = Health::new(START, HealthSettings::default(), &candidates, 2, 7);
+    let mut health = Health::new(START, HealthSettings::default(), &configured_endpoints, 2, 7);
     health.on_tick(START);
     let attempt = AttemptId(1);
     health.on_dispatch(START, attempt, &name(0), Class::Standard, AttemptKind::Request);
