--- a/crates/pistachiotrack-core/examples/health_tick.rs
+++ b/crates/pistachiotrack-core/examples/health_tick.rs
@@ -1,11 +1,11 @@
-//! Measures what a tick of the health decisions costs with work in flight.
+//! Measures the time of a tick of the outlier detection with attempts in flight.
 //!
 //! `cargo run --release -p pistachiotrack-core --example health_tick`
 
 use std::time::{Duration, Instant};
 
 use pistachiotrack_core::{
-    health::{AttemptKind, Candidate, Health, HealthSettings},
+    health::{AttemptKind, ConfiguredEndpoint, Health, HealthSettings},
     name::Name,
     request::{AttemptId, BodyEnd, Class, Outcome},
     time::Time,
@@ -18,7 +18,7 @@
 const WARM_UP: usize = 500;
 const ROUNDS: usize = 5;
 
-/// Returns the median over rounds of the mean time of a tick in microseconds.
+/// Returns the mean time of a tick in microseconds, as the median over the rounds.
 fn tick_us(endpoints: usize, in_flight: usize) -> f64 {
     let mut rounds: Vec<f64> =
         (0..ROUNDS).map(|round| one_round(endpoints, in_flight, round as u64)).collect();
@@ -28,10 +28,17 @@
 
 fn one_round(endpoints: usize, in_flight: usize, seed: u64) -> f64 {
     let names: Vec<Name> = (0..endpoints).map(|index| Name::from(format!("e{index}"))).collect();
-    let candidates: Vec<Candidate> =
-        names.iter().map(|name| Candidate { name: name.clone(), leaving: false }).collect();
-    let mut health =
-        Health::new(Time::ZERO, HealthSettings::default(), &candidates, endpoints as u32, 1);
+    let configured_endpoints: Vec<ConfiguredEndpoint> = names
+        .iter()
+        .map(|name| ConfiguredEndpoint { name: name.clone(), leaving: false })
+        .collect();
+    let mut health = Health::new(
+        Time::ZERO,
+        HealthSettings::default(),
+        &configured_endpoints,
+        endpoints as u32,
+        1,
+    );
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut now = Time::ZERO;
     let mut next_attempt = 0;
@@ -39,7 +46,7 @@
     let mut send = |health: &mut Health, rng: &mut Pcg64Mcg, endpoint: usize, now: Time| {
         let attempt = AttemptId(next_attempt);
         next_attempt += 1;
-        health.on_dispatch(now, attempt, &names[endpoint], Class::Standard, AttemptKind::Work);
+        health.on_dispatch(now, attempt, &names[endpoint], Class::Standard, AttemptKind::Request);
         let normal = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         (endpoint, attempt, now + Duration::from_millis(20).mul_f64((0.5 * normal).exp()))
     };
--- a/crates/pistachiotrack-core/src/health/hand_over.rs
+++ b/crates/pistachiotrack-core/src/health/hand_over.rs
@@ -1,38 +1,39 @@
-//! What an owner tells its successor, and how far the successor trusts it.
+//! Health state that a shard's owner hands over to its successor.
 
 use std::time::Duration;
 
 use crate::{
     health::{
-        EjectReason, Health, HealthAction, HealthHandOver, Standing, reference::log_micros,
+        EjectReason, Health, HealthAction, HealthHandOver, HealthState, baseline::ln_micros,
         state::Phase,
     },
     request::Class,
     time::Time,
 };
 
-/// Time that a predecessor's ejection is trusted before the endpoint is tried.
-const TRUST: Duration = Duration::from_secs(5);
-/// Own answers from which on own evidence goes before the predecessor's.
-const OWN_ANSWERS: u32 = 10;
-/// Ejections taken over at most.
-const MAX_EJECTIONS: u32 = 6;
-/// Times that a predecessor's usual latency is entered as a reference.
-const LATENCY_ENTRIES: usize = 4;
+/// Backoff of an endpoint that the predecessor had ejected, before its trial.
+const INHERITED_BACKOFF: Duration = Duration::from_secs(5);
+/// Number of own answers from which own evidence takes precedence over the
+/// predecessor's.
+const MIN_OWN_ANSWERS: u32 = 10;
+/// Upper limit of the number of ejections taken over.
+const MAX_INHERITED_EJECTIONS: u32 = 6;
+/// Number of samples by which a predecessor's usual latency enters the baseline.
+const LATENCY_SEED_SAMPLES: usize = 4;
 
 impl Health {
-    /// Returns what a successor needs to know.
+    /// Returns the state to hand over to a successor.
     ///
-    /// That only this VM can't reach an endpoint is nothing to the successor,
-    /// so such an endpoint is handed over as healthy.
+    /// An endpoint that only this VM can't reach is handed over as healthy, as the
+    /// successor may reach it.
     pub fn hand_over(&self, _now: Time) -> Vec<HealthHandOver> {
         self.endpoints
             .iter()
             .map(|state| HealthHandOver {
                 endpoint: state.name.clone(),
-                standing: match state.phase {
-                    Phase::PathBroken { .. } => Standing::Healthy,
-                    _ => state.standing(self.threshold),
+                state: match state.phase {
+                    Phase::PathBroken { .. } => HealthState::Healthy,
+                    _ => state.health_state(self.threshold),
                 },
                 ejections: state.ejections,
                 usual_latency_us: state.usual_latency().map(|usual| usual.as_micros() as u64),
@@ -40,65 +41,66 @@
             .collect()
     }
 
-    /// Takes what a predecessor knew.
+    /// Applies the state that a predecessor handed over.
     ///
-    /// An ejection is evidence to start from, with a bounded lifetime: the
-    /// endpoint is tried soon, and the floor holds as for own ejections. Where
-    /// this VM has seen enough answers itself, they go first.
+    /// An inherited ejection has a bounded lifetime: the endpoint's trial starts
+    /// soon, and the floor applies as for own ejections. Where this VM has received
+    /// enough answers itself, they take precedence.
     pub fn on_hand_over(&mut self, now: Time, from: &[HealthHandOver]) -> Vec<HealthAction> {
         let mut actions = Vec::new();
-        let seed_latency = self.reference.is_empty(Class::Standard);
-        for old in from {
-            let Some(&position) = self.positions.get(&old.endpoint) else { continue };
-            if let Some(usual_us) = old.usual_latency_us.filter(|_| seed_latency) {
+        let seed_latency = self.baseline.is_empty(Class::Standard);
+        for inherited in from {
+            let Some(&position) = self.positions.get(&inherited.endpoint) else { continue };
+            if let Some(usual_us) = inherited.usual_latency_us.filter(|_| seed_latency) {
                 self.seed_latency(position, Duration::from_micros(usual_us));
             }
-            self.take_standing(now, position, old, &mut actions);
+            self.apply_inherited_state(now, position, inherited, &mut actions);
         }
-        self.keep_floor(now, &mut actions);
+        self.enforce_floor(now, &mut actions);
         actions
     }
 
     fn seed_latency(&mut self, position: usize, usual: Duration) {
         let state = &mut self.endpoints[position];
-        state.usual_log_micros.get_or_insert(log_micros(usual));
+        state.usual_ln_micros.get_or_insert(ln_micros(usual));
         let id = state.id;
         for class in Class::ALL {
-            for _ in 0..LATENCY_ENTRIES {
-                self.reference.add_latency(class, id, usual);
+            for _ in 0..LATENCY_SEED_SAMPLES {
+                self.baseline.add_latency(class, id, usual);
             }
         }
     }
 
-    fn take_standing(
+    fn apply_inherited_state(
         &mut self,
         now: Time,
         position: usize,
-        old: &HealthHandOver,
+        inherited: &HealthHandOver,
         actions: &mut Vec<HealthAction>,
     ) {
         let threshold = self.threshold;
         let state = &mut self.endpoints[position];
-        state.ejections = state.ejections.max(old.ejections.min(MAX_EJECTIONS));
-        let is_known = state.answers >= OWN_ANSWERS;
-        if is_known || state.phase != Phase::InRotation {
+        state.ejections = state.ejections.max(inherited.ejections.min(MAX_INHERITED_EJECTIONS));
+        let has_own_evidence = state.answers >= MIN_OWN_ANSWERS;
+        if has_own_evidence || state.phase != Phase::InRotation {
             return;
         }
-        match old.standing {
-            Standing::Ejected | Standing::Trial => {
-                state.evidence.note_sickness(1.0);
-                state.reason.get_or_insert(EjectReason::Failures);
+        match inherited.state {
+            HealthState::Ejected | HealthState::Trial => {
+                state.evidence.update_severity(1.0);
+                state.last_ejection_reason.get_or_insert(EjectReason::Failures);
                 if self.rotation_len() > self.floor {
-                    self.endpoints[position].phase = Phase::Ejected { until: now + TRUST };
+                    self.endpoints[position].phase =
+                        Phase::Ejected { until: now + INHERITED_BACKOFF };
                 } else {
-                    self.hold(position, actions);
+                    self.hold_by_floor(position, actions);
                 }
             }
-            Standing::Suspect | Standing::HeldByFloor => {
-                state.evidence.restart(now, threshold / 2.0);
+            HealthState::Suspect | HealthState::HeldByFloor => {
+                state.evidence.reset(now, threshold / 2.0);
             }
-            Standing::SlowStart => state.phase = Phase::SlowStart { since: now },
-            Standing::Healthy | Standing::Draining => {}
+            HealthState::SlowStart => state.phase = Phase::SlowStart { since: now },
+            HealthState::Healthy | HealthState::Draining => {}
         }
     }
 }
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -1,5 +1,5 @@
-//! How likely requests to an endpoint fail, by the answers that this VM and others
-//! have seen.
+//! Probability that a request to an endpoint fails, from the results that this VM and
+//! others have observed.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use crate::{
     health::{
         AttemptKind, Health, HealthAction,
-        spells::End,
-        state::{EndpointState, Flight, Phase},
+        episode_model::AttemptEnd,
+        state::{EndpointState, InFlightAttempt, Phase},
     },
     name::Name,
     request::Outcome,
@@ -17,96 +17,104 @@
     time::Time,
 };
 
-/// What a VM believes of one endpoint.
+/// A VM's estimate about one endpoint, sent to other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeliefOf {
+pub struct EndpointEstimate {
     /// The endpoint.
     pub endpoint: Name,
-    /// What was last seen of it.
-    pub seen: Seen,
-    /// Age of that.
+    /// The last observation of the endpoint.
+    pub last_observation: LastObservation,
+    /// Age of the observation.
     pub age_ms: u32,
 }
 
-/// What was last seen of an endpoint.
+/// Last observation of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
-    /// It ended a request.
-    Ending {
-        /// How likely it was failing grayly then, in parts of 255.
-        in_spell: u8,
+pub enum LastObservation {
+    /// An attempt ended.
+    AttemptEnded {
+        /// Probability that the endpoint was in an episode of gray failure
+        /// then, in 255ths.
+        episode_probability: u8,
     },
     /// Another endpoint answered at its address.
     Replaced,
 }
 
 impl Health {
-    /// Returns how likely the next request to an endpoint fails.
+    /// Returns the probability that the next request to an endpoint fails.
     pub fn risk(&self, now: Time, endpoint: &str) -> f64 {
-        let Some(state) = self.state(endpoint) else { return 1.0 };
-        self.spells.risk(state.belief.in_spell(&self.spells, now))
+        let Some(state) = self.endpoint_state(endpoint) else { return 1.0 };
+        self.episode_model.failure_probability(
+            state.episode_estimate.episode_probability(&self.episode_model, now),
+        )
     }
 
-    /// Returns the part of the risk that another endpoint would spare the request:
-    /// what an endpoint that is certainly well fails too is left out.
+    /// Returns the part of the risk that is specific to the endpoint: the probability
+    /// of failure at an endpoint outside of episodes is subtracted.
     pub fn avoidable_risk(&self, now: Time, endpoint: &str) -> f64 {
         if !self.mechanisms.risk_ranking {
             return 0.0;
         }
-        (self.risk(now, endpoint) - self.spells.least_risk()).max(0.0)
+        (self.risk(now, endpoint) - self.episode_model.healthy_failure_probability()).max(0.0)
     }
 
-    /// Returns what this VM believes of the endpoints that it has seen at work.
-    pub fn beliefs(&self, now: Time) -> Vec<BeliefOf> {
-        let belief_of = |state: &EndpointState| {
-            let (seen, at) = match state.replaced_at {
-                Some(at) => (Seen::Replaced, at),
+    /// Returns this VM's estimates of the endpoints that it has observations of.
+    pub fn estimates(&self, now: Time) -> Vec<EndpointEstimate> {
+        let estimate_of = |state: &EndpointState| {
+            let (last_observation, at) = match state.replaced_at {
+                Some(at) => (LastObservation::Replaced, at),
                 None => {
-                    let (in_spell, at) = state.belief.last()?;
-                    (Seen::Ending { in_spell: (in_spell * 255.0) as u8 }, at)
+                    let (episode_probability, at) = state.episode_estimate.last()?;
+                    (
+                        LastObservation::AttemptEnded {
+                            episode_probability: (episode_probability * 255.0) as u8,
+                        },
+                        at,
+                    )
                 }
             };
             let age_ms = now.since(at).as_millis() as u32;
-            Some(BeliefOf { endpoint: state.name.clone(), seen, age_ms })
+            Some(EndpointEstimate { endpoint: state.name.clone(), last_observation, age_ms })
         };
-        self.endpoints.iter().filter_map(belief_of).collect()
+        self.endpoints.iter().filter_map(estimate_of).collect()
     }
 
-    /// Takes what another VM believes where it has seen more lately.
-    pub fn on_beliefs(&mut self, now: Time, beliefs: &[BeliefOf]) -> Vec<HealthAction> {
+    /// Adopts another VM's estimates where they are newer than this VM's.
+    pub fn on_estimates(&mut self, now: Time, estimates: &[EndpointEstimate]) -> Vec<HealthAction> {
         let mut actions = Vec::new();
-        for other in beliefs {
-            let Some(&position) = self.positions.get(&other.endpoint) else { continue };
-            let at = now.before(Duration::from_millis(u64::from(other.age_ms)));
+        for estimate in estimates {
+            let Some(&position) = self.positions.get(&estimate.endpoint) else { continue };
+            let at = now.before(Duration::from_millis(u64::from(estimate.age_ms)));
             let state = &mut self.endpoints[position];
-            match other.seen {
-                Seen::Ending { in_spell } => {
-                    if state.belief.adopt(f64::from(in_spell) / 255.0, at) {
-                        state.last_seen = state.last_seen.max(Some(at));
+            match estimate.last_observation {
+                LastObservation::AttemptEnded { episode_probability } => {
+                    if state.episode_estimate.adopt(f64::from(episode_probability) / 255.0, at) {
+                        state.last_observed_at = state.last_observed_at.max(Some(at));
                     }
                 }
-                Seen::Replaced if state.last_seen < Some(at) => {
+                LastObservation::Replaced if state.last_observed_at < Some(at) => {
                     self.on_replaced(at, position, &mut actions);
                 }
-                // It has answered since.
-                Seen::Replaced => {}
+                // The endpoint has answered since.
+                LastObservation::Replaced => {}
             }
         }
         actions
     }
 
-    /// Returns the moment of the last answer, if there was one.
-    pub fn last_seen(&self, endpoint: &str) -> Option<Time> {
-        self.state(endpoint).and_then(|state| state.last_seen)
+    /// Returns the time of the last result that counts for the risk, if any.
+    pub fn last_observed_at(&self, endpoint: &str) -> Option<Time> {
+        self.endpoint_state(endpoint).and_then(|state| state.last_observed_at)
     }
 
-    /// Notes how an endpoint ended a request of another VM.
+    /// Handles the result of another VM's attempt.
     ///
-    /// Failure guarded against: a good answer is told some time after it came, and is taken
-    /// for one to a request sent later than it was, after the endpoint had begun to fail. It
-    /// shows as an endpoint that is known to fail and gets requests again. The guard holds
-    /// because the age is told, so that both moments are the true ones.
-    pub fn on_peer_end(
+    /// The report arrives some time after the answer. Its age and latency are used to
+    /// calculate when the attempt was sent and ended. Without them a good answer could
+    /// be attributed to a request sent after the endpoint began to fail, and the failing
+    /// endpoint would get requests again.
+    pub fn on_peer_attempt_ended(
         &mut self,
         now: Time,
         endpoint: &Name,
@@ -120,63 +128,64 @@
             return actions;
         }
         let state = &mut self.endpoints[position];
-        state.last_dispatch = state.last_dispatch.max(now);
+        state.last_dispatch_at = state.last_dispatch_at.max(now);
         let started = ended_at.before(Duration::from_micros(ended.latency_us));
-        let flight = Flight {
+        let attempt = InFlightAttempt {
             endpoint: state.id,
             class: ended.class,
-            kind: AttemptKind::Work,
+            kind: AttemptKind::Request,
             started,
-            // Whose break on a pooled connection it was is not told: a break ranks the
-            // endpoint and never casts doubt on this VM's own connections.
-            fresh: true,
-            tainted: false,
-            via: false,
+            // The report doesn't include whether the connection was a pooled one. A break
+            // counts against the endpoint and is no evidence about this VM's own
+            // connections.
+            fresh_connection: true,
+            spans_pause: false,
+            via_relay: false,
             answered: true,
-            counted: false,
+            hang_counted: false,
         };
         let outcome = match ended.ending {
             Ending::Answered { status } => Outcome::Answered { status, fresh_connection: false },
             Ending::Broken => Outcome::Broken { fresh_connection: true },
             Ending::Misdirected => Outcome::Misdirected,
         };
-        if let Some(end) = End::of(outcome) {
-            self.note_end(ended_at, position, started, end);
+        if let Some(end) = AttemptEnd::of(outcome) {
+            self.record_attempt_end(ended_at, position, started, end);
         }
         match self.endpoints[position].phase {
             Phase::Trial { since, .. } if started < since => return actions,
             Phase::Ejected { .. } | Phase::PathBroken { .. } => return actions,
             Phase::Trial { .. } => {
-                self.observe_trial(now, position, &flight, outcome, &mut actions);
+                self.observe_trial(now, position, &attempt, outcome, &mut actions);
             }
-            Phase::InRotation | Phase::Held | Phase::SlowStart { .. } => {
-                self.observe(ended_at, position, &flight, outcome);
+            Phase::InRotation | Phase::HeldByFloor | Phase::SlowStart { .. } => {
+                self.observe(ended_at, position, &attempt, outcome);
             }
         }
-        self.decide(now, position, &mut actions);
+        self.evaluate_unless_stalled(now, position, &mut actions);
         actions
     }
 
-    /// Takes what an attempt says about gray failure.
-    pub(super) fn observe_risk(
+    /// Updates the estimate with an attempt of this VM.
+    pub(super) fn update_episode_estimate(
         &mut self,
         now: Time,
         position: usize,
-        flight: &Flight,
+        attempt: &InFlightAttempt,
         outcome: Outcome,
     ) {
-        if flight.kind == AttemptKind::Probe || flight.tainted {
+        if attempt.kind == AttemptKind::Probe || attempt.spans_pause {
             return;
         }
-        if let Some(end) = End::of(outcome) {
-            self.note_end(now, position, flight.started, end);
+        if let Some(end) = AttemptEnd::of(outcome) {
+            self.record_attempt_end(now, position, attempt.started, end);
         }
     }
 
-    fn note_end(&mut self, now: Time, position: usize, started: Time, end: End) {
+    fn record_attempt_end(&mut self, now: Time, position: usize, started: Time, end: AttemptEnd) {
         let state = &mut self.endpoints[position];
-        let sign = self.spells.sign(end, now.since(started));
-        state.belief.observe(&mut self.spells, now, started, sign);
-        state.last_seen = state.last_seen.max(Some(now));
+        let kind = self.episode_model.classify(end, now.since(started));
+        state.episode_estimate.observe(&mut self.episode_model, now, started, kind);
+        state.last_observed_at = state.last_observed_at.max(Some(now));
     }
 }
--- a/crates/pistachiotrack-core/src/health/state.rs
+++ b/crates/pistachiotrack-core/src/health/state.rs
@@ -1,235 +1,242 @@
-//! What is known about one endpoint.
+//! State of one endpoint.
 
 use std::time::Duration;
 
 use crate::{
-    health::{EjectReason, belief::Belief, evidence::Evidence, reference::Tally},
+    health::{
+        EjectReason, baseline::AnswerCounts, episode_estimate::EpisodeEstimate, evidence::Evidence,
+    },
     name::Name,
     request::Class,
     time::Time,
 };
 
-use super::{AttemptKind, Standing, via::Via};
+use super::{AttemptKind, HealthState, relay::RelayRoute};
 
-/// Requests of a new endpoint that are judged leniently.
-const COLD_REQUESTS: u32 = 20;
-/// Factor over its peers' latency that an endpoint may have.
-const TOLERANCE: f64 = 1.5;
-/// The same while the endpoint is cold.
-const COLD_TOLERANCE: f64 = 10.0;
-/// Step of the running estimate of the usual latency.
+/// Number of answers after which a new endpoint is no longer cold.
+const COLD_ANSWERS: u32 = 20;
+/// Factor by which an endpoint's latency may exceed its peers' latency.
+const LATENCY_TOLERANCE: f64 = 1.5;
+/// The same while the endpoint is cold, for instance with empty caches.
+const COLD_LATENCY_TOLERANCE: f64 = 10.0;
+/// Step of the running median of the logarithm of the latency.
 const USUAL_STEP: f32 = 0.05;
 
-/// Where an endpoint is between work and no work.
+/// Phase of an endpoint in the cycle of ejection and readmission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// Gets work.
+    /// Gets requests.
     InRotation,
-    /// Would be ejected but for the floor.
-    Held,
-    /// Gets no work until then.
+    /// Would be ejected but for the floor; gets requests.
+    HeldByFloor,
+    /// Gets no requests before `until`.
     Ejected { until: Time },
-    /// Not sick, but unreachable from this VM; not tried again until then.
+    /// Is not faulty, but unreachable from this VM; not tried again before `until`.
     PathBroken { until: Time },
     /// Gets one request at a time.
-    Trial { since: Time, good: u32 },
-    /// Gets a growing share of work.
+    Trial { since: Time, successes: u32 },
+    /// Gets a growing share of requests.
     SlowStart { since: Time },
 }
 
-/// What other VMs said about the path to an endpoint.
+/// State of asking other VMs whether they reach an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Path {
-    /// Nobody was asked.
-    Unasked,
-    /// Others were asked then.
-    Asked(Time),
-    /// Others don't reach it either, or nobody answered.
+pub(super) enum PathCheck {
+    /// No VM was asked.
+    NotRequested,
+    /// Other VMs were asked at this time.
+    Requested(Time),
+    /// Other VMs don't reach it either, or none answered.
     Confirmed(Time),
 }
 
-/// When an endpoint said that it is leaving.
+/// An endpoint's report that it is draining.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Drain {
-    /// It last said so then.
-    pub(super) said_at: Time,
-    /// It last said that it isn't then, after having said that it is.
-    pub(super) denied_at: Option<Time>,
-    /// Whether it gets work all the same, for want of any other endpoint.
-    pub(super) overruled: bool,
+pub(super) struct DrainReport {
+    /// Time of the last such report.
+    pub(super) reported_at: Time,
+    /// Time of the first report after it that the endpoint is not draining.
+    pub(super) withdrawn_at: Option<Time>,
+    /// Whether the endpoint gets requests all the same, as there is no other.
+    pub(super) overridden: bool,
 }
 
 /// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlightAttempt {
     pub(super) endpoint: u32,
     pub(super) class: Class,
     pub(super) kind: AttemptKind,
     pub(super) started: Time,
     /// Whether it was sent on a new connection, if known.
-    pub(super) fresh: bool,
-    /// Whether it spans a pause of this process: its age shows nothing.
-    pub(super) tainted: bool,
-    /// Whether it goes through a witness.
-    pub(super) via: bool,
+    pub(super) fresh_connection: bool,
+    /// Whether it spans a pause of this process: its age is no evidence.
+    pub(super) spans_pause: bool,
+    /// Whether it goes through a relay.
+    pub(super) via_relay: bool,
     /// Whether its answer has begun.
     pub(super) answered: bool,
-    /// Whether its hanging was counted already.
-    pub(super) counted: bool,
+    /// Whether it was counted as a health check without an answer.
+    pub(super) hang_counted: bool,
 }
 
-/// One endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct EndpointState {
     pub(super) id: u32,
     pub(super) name: Name,
     pub(super) leaving: bool,
-    pub(super) drain: Option<Drain>,
+    pub(super) drain_report: Option<DrainReport>,
     pub(super) phase: Phase,
     pub(super) evidence: Evidence,
-    pub(super) tally: Tally,
-    pub(super) path: Path,
-    /// Another endpoint answered at its address then.
+    pub(super) answer_counts: AnswerCounts,
+    pub(super) path_check: PathCheck,
+    /// When another endpoint answered at its address.
     pub(super) replaced_at: Option<Time>,
-    /// Only this VM can't reach it, and its work goes through another one.
-    pub(super) via: Option<Via>,
-    pub(super) reason: Option<EjectReason>,
-    pub(super) belief: Belief,
-    /// Moment of the last answer or failure that counts.
-    pub(super) last_seen: Option<Time>,
+    /// Set while only this VM can't reach it and its requests go through a relay.
+    pub(super) relay_route: Option<RelayRoute>,
+    pub(super) last_ejection_reason: Option<EjectReason>,
+    pub(super) episode_estimate: EpisodeEstimate,
+    /// Time of the last result that counts for the risk, or of a newer one that
+    /// another VM reported.
+    pub(super) last_observed_at: Option<Time>,
     pub(super) ejections: u32,
-    /// Last ejection or forgiven ejection.
-    pub(super) ejections_at: Time,
+    /// When `ejections` last changed.
+    pub(super) ejections_changed_at: Time,
     pub(super) answers: u32,
     pub(super) cold: bool,
-    pub(super) usual_log_micros: Option<f32>,
-    pub(super) last_answer: Time,
-    pub(super) last_dispatch: Time,
-    pub(super) last_probe: Time,
-    /// A health check passed then, since the doubt began.
-    pub(super) probe_passed: Option<Time>,
-    /// Doubt alone has been above the threshold since then.
-    pub(super) doubt_since: Option<Time>,
+    pub(super) usual_ln_micros: Option<f32>,
+    pub(super) last_answer_at: Time,
+    pub(super) last_dispatch_at: Time,
+    pub(super) last_probe_at: Time,
+    /// When a health check last passed.
+    pub(super) probe_passed_at: Option<Time>,
+    /// Since when ambiguous evidence alone has been above the threshold.
+    pub(super) ambiguous_since: Option<Time>,
 }
 
 impl EndpointState {
     pub(super) fn new(now: Time, id: u32, name: Name, leaving: bool, phase: Phase) -> Self {
         let mut evidence = Evidence::default();
-        evidence.restart(now, 0.0);
+        evidence.reset(now, 0.0);
         EndpointState {
             id,
             name,
             leaving,
-            drain: None,
+            drain_report: None,
             phase,
             evidence,
-            tally: Tally::default(),
-            path: Path::Unasked,
+            answer_counts: AnswerCounts::default(),
+            path_check: PathCheck::NotRequested,
             replaced_at: None,
-            via: None,
-            reason: None,
-            belief: Belief::new(),
-            last_seen: None,
+            relay_route: None,
+            last_ejection_reason: None,
+            episode_estimate: EpisodeEstimate::new(),
+            last_observed_at: None,
             ejections: 0,
-            ejections_at: now,
+            ejections_changed_at: now,
             answers: 0,
             cold: matches!(phase, Phase::SlowStart { .. }),
-            usual_log_micros: None,
-            last_answer: now,
-            last_dispatch: now,
-            last_probe: now,
-            probe_passed: None,
-            doubt_since: None,
+            usual_ln_micros: None,
+            last_answer_at: now,
+            last_dispatch_at: now,
+            last_probe_at: now,
+            probe_passed_at: None,
+            ambiguous_since: None,
         }
     }
 
     pub(super) fn is_draining(&self) -> bool {
-        self.leaving || self.drain.is_some_and(|drain| !drain.overruled)
+        self.leaving || self.drain_report.is_some_and(|drain_report| !drain_report.overridden)
     }
 
-    /// Returns whether another endpoint has its address, as far as is known.
+    /// Returns whether another endpoint has answered at its address.
     pub(super) fn is_replaced(&self) -> bool {
         self.replaced_at.is_some()
     }
 
-    /// Takes a report that the endpoint is leaving.
-    pub(super) fn note_drain(&mut self, now: Time) {
-        let overruled = self.drain.is_some_and(|drain| drain.overruled);
-        self.drain = Some(Drain { said_at: now, denied_at: None, overruled });
+    /// Records a report that the endpoint is draining.
+    pub(super) fn record_drain_report(&mut self, now: Time) {
+        let overridden = self.drain_report.is_some_and(|drain_report| drain_report.overridden);
+        self.drain_report = Some(DrainReport { reported_at: now, withdrawn_at: None, overridden });
     }
 
-    /// Sets whether the endpoint gets work although it said that it is leaving.
-    pub(super) fn overrule_drain(&mut self, overruled: bool) {
-        if let Some(drain) = &mut self.drain {
-            drain.overruled = overruled;
+    /// Sets whether the endpoint gets requests although it reported that it is
+    /// draining.
+    pub(super) fn set_drain_overridden(&mut self, overridden: bool) {
+        if let Some(drain_report) = &mut self.drain_report {
+            drain_report.overridden = overridden;
         }
     }
 
-    /// Takes whether the configuration marks the endpoint as leaving.
+    /// Sets whether the configuration marks the endpoint as leaving.
     pub(super) fn set_leaving(&mut self, now: Time, leaving: bool) {
-        let returns = self.leaving && !leaving;
+        let stopped_leaving = self.leaving && !leaving;
         self.leaving = leaving;
-        if returns && self.phase == Phase::InRotation {
+        if stopped_leaving && self.phase == Phase::InRotation {
             self.phase = Phase::SlowStart { since: now };
         }
     }
 
-    /// Returns whether the endpoint gets a share of the work.
+    /// Returns whether the endpoint gets a share of the requests.
     pub(super) fn in_rotation(&self) -> bool {
-        self.is_fit() && !self.is_draining()
+        self.can_serve() && !self.is_draining()
     }
 
-    /// Returns whether the endpoint may get work, leaving or not.
-    pub(super) fn is_fit(&self) -> bool {
+    /// Returns whether the endpoint could get requests if it were not draining.
+    pub(super) fn can_serve(&self) -> bool {
         !self.is_replaced()
-            && matches!(self.phase, Phase::InRotation | Phase::Held | Phase::SlowStart { .. })
+            && matches!(
+                self.phase,
+                Phase::InRotation | Phase::HeldByFloor | Phase::SlowStart { .. }
+            )
     }
 
-    /// Returns whether the endpoint counts for the floor: it is in rotation, and
-    /// not just for want of others.
-    pub(super) fn stays(&self) -> bool {
-        self.is_fit() && !self.leaving && self.drain.is_none()
+    /// Returns whether the endpoint counts toward the floor: it is in rotation, and
+    /// not only because no other endpoint is.
+    pub(super) fn counts_toward_floor(&self) -> bool {
+        self.can_serve() && !self.leaving && self.drain_report.is_none()
     }
 
-    pub(super) fn standing(&self, threshold: f64) -> Standing {
+    pub(super) fn health_state(&self, threshold: f64) -> HealthState {
         if self.is_draining() {
-            return Standing::Draining;
+            return HealthState::Draining;
         }
         if self.is_replaced() {
-            return Standing::Ejected;
+            return HealthState::Ejected;
         }
         match self.phase {
-            Phase::Held => Standing::HeldByFloor,
-            Phase::Ejected { .. } => Standing::Ejected,
-            Phase::PathBroken { .. } => Standing::Suspect,
-            Phase::Trial { .. } => Standing::Trial,
-            Phase::SlowStart { .. } => Standing::SlowStart,
+            Phase::HeldByFloor => HealthState::HeldByFloor,
+            Phase::Ejected { .. } => HealthState::Ejected,
+            Phase::PathBroken { .. } => HealthState::Suspect,
+            Phase::Trial { .. } => HealthState::Trial,
+            Phase::SlowStart { .. } => HealthState::SlowStart,
             Phase::InRotation if self.evidence.strength(threshold) >= threshold / 2.0 => {
-                Standing::Suspect
+                HealthState::Suspect
             }
-            Phase::InRotation => Standing::Healthy,
+            Phase::InRotation => HealthState::Healthy,
         }
     }
 
-    /// Returns the factor over its peers' latency that the endpoint may have.
-    pub(super) fn tolerance(&self) -> f64 {
-        if self.is_cold() { COLD_TOLERANCE } else { TOLERANCE }
+    /// Returns the factor by which the endpoint's latency may exceed its peers' latency.
+    pub(super) fn latency_tolerance(&self) -> f64 {
+        if self.is_cold() { COLD_LATENCY_TOLERANCE } else { LATENCY_TOLERANCE }
     }
 
-    /// Returns whether the endpoint is new and has answered little so far.
+    /// Returns whether the endpoint is new and has given few answers so far.
     pub(super) fn is_cold(&self) -> bool {
-        self.cold && self.answers < COLD_REQUESTS
+        self.cold && self.answers < COLD_ANSWERS
     }
 
-    /// Notes a good answer.
-    pub(super) fn note_latency(&mut self, log_micros: f32) {
+    /// Records the latency of a good answer.
+    pub(super) fn record_latency(&mut self, ln_micros: f32) {
         self.answers = self.answers.saturating_add(1);
-        let usual = self.usual_log_micros.get_or_insert(log_micros);
-        *usual += USUAL_STEP * (log_micros - *usual).signum();
+        let usual = self.usual_ln_micros.get_or_insert(ln_micros);
+        *usual += USUAL_STEP * (ln_micros - *usual).signum();
     }
 
     pub(super) fn usual_latency(&self) -> Option<Duration> {
-        let log_micros = self.usual_log_micros?;
-        Some(Duration::from_micros(f64::from(log_micros).exp() as u64))
+        let ln_micros = self.usual_ln_micros?;
+        Some(Duration::from_micros(f64::from(ln_micros).exp() as u64))
     }
 }
--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -36,7 +36,7 @@
     config::Config,
     endpoint::Endpoint,
     feature_flags::FeatureFlags,
-    health::{AttemptKind, EjectReason, Health, HealthSettings, PathAnswer, Standing},
+    health::{AttemptKind, EjectReason, Health, HealthSettings, HealthState, PathAnswer},
     idempotency::{KeySettings, KeyTable, StoredAnswer},
     name::Name,
     ownership::{ShardId, shard_count, shard_endpoints},
@@ -164,7 +164,7 @@
             HealthSettings { mechanisms: settings.mechanisms, ..HealthSettings::default() };
         if let Some(service) = service {
             health_settings.sensitivity = service.sensitivity;
-            health_settings.ranks_failures = service.is_shared();
+            health_settings.failures_only_lower_rank = service.is_shared();
         }
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
         let candidates = pool.candidates();
@@ -409,13 +409,17 @@
                 EndpointStatus {
                     service: self.id.service.clone(),
                     endpoint: name.clone(),
-                    state: Name::from(state_name(self.health.standing(name))),
+                    state: Name::from(state_name(self.health.state(name))),
                     in_flight: slots.in_flight,
                     limit: slots.limit,
                     rate_limit: slots.rate_limit().map(RateLimit::per_second),
                     evidence: self.health.evidence(name),
                     mode: Name::from(mode.as_str()),
-                    reason: self.health.last_reason(name).map(EjectReason::as_str).map(Name::from),
+                    reason: self
+                        .health
+                        .last_ejection_reason(name)
+                        .map(EjectReason::as_str)
+                        .map(Name::from),
                 }
             })
             .collect()
@@ -481,14 +485,14 @@
     (u64::from(service.floor) * shard_endpoints as u64).div_ceil(all) as u32
 }
 
-fn state_name(standing: Standing) -> &'static str {
+fn state_name(standing: HealthState) -> &'static str {
     match standing {
-        Standing::Healthy => "healthy",
-        Standing::Suspect => "suspect",
-        Standing::HeldByFloor => "held_by_floor",
-        Standing::Ejected => "ejected",
-        Standing::Trial => "trial",
-        Standing::SlowStart => "slow_start",
-        Standing::Draining => "draining",
+        HealthState::Healthy => "healthy",
+        HealthState::Suspect => "suspect",
+        HealthState::HeldByFloor => "held_by_floor",
+        HealthState::Ejected => "ejected",
+        HealthState::Trial => "trial",
+        HealthState::SlowStart => "slow_start",
+        HealthState::Draining => "draining",
     }
 }
