--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -13,7 +13,7 @@
     },
     name::Name,
     request::Outcome,
-    shard::{EndedAttempt, Ending},
+    shard::{AttemptResult, EndedAttempt},
     time::Time,
 };
 
@@ -115,7 +115,7 @@
         let mut actions = Vec::new();
         let Some(&position) = self.positions.get(endpoint) else { return actions };
         let ended_at = now.before(Duration::from_micros(ended.age_us));
-        if ended.ending == Ending::Misdirected {
+        if ended.result == AttemptResult::Misdirected {
             self.on_replaced(ended_at, position, &mut actions);
             return actions;
         }
@@ -135,10 +135,12 @@
             answered: true,
             counted: false,
         };
-        let outcome = match ended.ending {
-            Ending::Answered { status } => Outcome::Answered { status, fresh_connection: false },
-            Ending::Broken => Outcome::Broken { fresh_connection: true },
-            Ending::Misdirected => Outcome::Misdirected,
+        let outcome = match ended.result {
+            AttemptResult::Answered { status } => {
+                Outcome::Answered { status, fresh_connection: false }
+            }
+            AttemptResult::Broken => Outcome::Broken { fresh_connection: true },
+            AttemptResult::Misdirected => Outcome::Misdirected,
         };
         if let Some(end) = End::of(outcome) {
             self.note_end(ended_at, position, started, end);
--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -1,34 +1,36 @@
 //! The owner of a shard: decides which request goes to which endpoint when.
 
 mod action;
-mod ending;
-mod flow;
-mod guests;
+mod completion;
+mod dispatch;
+mod failure_rate;
 mod hand_over;
-mod news;
 mod pool;
-mod rates;
-mod retries;
+mod rate_limits;
+mod retry_budget;
 mod state;
-mod strain;
-mod via;
+mod subscribers;
+mod updates;
+mod witness;
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use rustc_hash::FxHashMap;
 
 pub use self::{
-    action::{Choice, Dispatch, Grounds, ShardAction},
-    guests::Guests,
+    action::{Dispatch, SelectionDetails, SelectionReason, ShardAction},
+    failure_rate::RequestCounts,
     hand_over::ShardHandOver,
-    news::{EndedAttempt, Ending, EndpointKey, EndpointNews, ShardNews, ShardPicture},
-    strain::Served,
+    subscribers::Subscribers,
+    updates::{
+        AttemptResult, EndedAttempt, EndpointKey, EndpointUpdate, ShardSnapshot, ShardUpdate,
+    },
 };
 use self::{
+    failure_rate::ServiceFailureRate,
     pool::Pool,
-    retries::Retries,
-    state::{Attempt, Live, Phase},
-    strain::Strain,
+    retry_budget::ShardRetryBudget,
+    state::{AttemptState, PendingRequest, Phase},
 };
 use crate::{
     admin::EndpointStatus,
@@ -48,11 +50,11 @@
 };
 
 /// Longest time for which a new owner allows for its predecessor's work.
-const MAX_SETTLE: Duration = Duration::from_millis(500);
+const MAX_TAKEOVER_GRACE: Duration = Duration::from_millis(500);
 /// Pause after which another VM may have taken the shard over and back.
-const TAKEOVER_PAUSE: Duration = Duration::from_secs(1);
+const MIN_TAKEOVER_PAUSE: Duration = Duration::from_secs(1);
 /// Time after which a health check without any report is forgotten.
-const LOST_PROBE_AGE: Duration = Duration::from_secs(5);
+const LOST_PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How far this VM may go with the shard's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -120,11 +122,11 @@
     queue: AdmissionQueue,
     queue_limit: usize,
     probe_path: Name,
-    settle: Duration,
-    live: FxHashMap<RequestId, Live>,
-    attempts: FxHashMap<AttemptId, Attempt>,
+    takeover_grace: Duration,
+    pending: FxHashMap<RequestId, PendingRequest>,
+    attempts: FxHashMap<AttemptId, AttemptState>,
     /// Waiting requests by the moment at which they have no time left.
-    expiry: BTreeSet<(Time, RequestId)>,
+    deadlines: BTreeSet<(Time, RequestId)>,
     /// Requests in flight by the moment at which a hedge is due.
     hedges: BTreeSet<(Time, RequestId)>,
     /// Attempts by the moment from which on they are better given up.
@@ -132,22 +134,22 @@
     /// VMs through which endpoints work that only this VM can't reach.
     witnesses: FxHashMap<Name, Vec<Name>>,
     keys: KeyTable,
-    retries: Retries,
+    retry_budget: ShardRetryBudget,
     latency: RecentLatency,
-    usual: UsualTime,
+    service_time: UsualTime,
     next_attempt: u64,
     /// Whether other VMs dispatch to the endpoints too.
     is_shared: bool,
     /// VMs that dispatch to them, this one included.
     dispatchers: u32,
     /// How much of the service's work is lost.
-    strain: Strain,
+    failure_rate: ServiceFailureRate,
     /// Attempts that ended and the other VMs don't know of.
-    ended: Vec<(Name, EndedAttempt, Time)>,
+    ended_attempts: Vec<(Name, EndedAttempt, Time)>,
     /// Until then requests wait for a picture that other VMs were asked for.
-    picture_due: Option<Time>,
+    snapshot_deadline: Option<Time>,
     mechanisms: Mechanisms,
-    out: Vec<ShardAction>,
+    pending_actions: Vec<ShardAction>,
 }
 
 impl Shard {
@@ -169,7 +171,7 @@
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
         let candidates = pool.candidates();
         let health = Health::new(now, health_settings, &candidates, floor, settings.seed);
-        let retries = Retries::new(now, &settings, config, &id.service);
+        let retry_budget = ShardRetryBudget::new(now, &settings, config, &id.service);
         let mut shard = Shard {
             id,
             pool,
@@ -177,31 +179,31 @@
             queue: AdmissionQueue::default(),
             queue_limit: 0,
             probe_path: Name::from(DEFAULT_PROBE_PATH),
-            settle: MAX_SETTLE,
-            live: FxHashMap::default(),
+            takeover_grace: MAX_TAKEOVER_GRACE,
+            pending: FxHashMap::default(),
             attempts: FxHashMap::default(),
-            expiry: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             hedges: BTreeSet::new(),
             give_ups: BTreeSet::new(),
             witnesses: FxHashMap::default(),
             keys: KeyTable::new(KeySettings::default()),
-            retries,
+            retry_budget,
             latency: RecentLatency::default(),
-            usual: UsualTime::default(),
+            service_time: UsualTime::default(),
             next_attempt: 1,
             is_shared: service.is_some_and(Service::is_shared),
             dispatchers: 1,
-            strain: Strain::default(),
-            ended: Vec::new(),
-            picture_due: None,
+            failure_rate: ServiceFailureRate::default(),
+            ended_attempts: Vec::new(),
+            snapshot_deadline: None,
             mechanisms: settings.mechanisms,
-            out: Vec::new(),
+            pending_actions: Vec::new(),
         };
         shard.set_service(now, config);
         if shard.is_shared {
             shard.pool.rank_by_risk(settings.data_centre);
         } else {
-            shard.pool.settle_until(now + shard.settle);
+            shard.pool.halve_limits_until(now + shard.takeover_grace);
         }
         shard.pool.refresh(now, &shard.health);
         shard
@@ -213,7 +215,7 @@
         let endpoints = service.map(|service| endpoints(service, &self.id)).unwrap_or_default();
         self.pool.set_endpoints(endpoints.iter().copied());
         self.set_service(now, config);
-        self.forget_witnesses();
+        self.remove_unused_witnesses();
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
         let actions = self.health.on_config(now, &self.pool.candidates(), floor);
         self.on_health_actions(now, actions);
@@ -224,7 +226,7 @@
     /// Changes how far this VM may go.
     pub fn set_mode(&mut self, now: Time, mode: ShardMode) -> Vec<ShardAction> {
         if mode == ShardMode::Owner && self.pool.mode() == ShardMode::Careful && !self.is_shared {
-            self.pool.settle_until(now + self.settle);
+            self.pool.halve_limits_until(now + self.takeover_grace);
         }
         self.pool.set_mode(mode);
         self.pool.refresh(now, &self.health);
@@ -235,9 +237,9 @@
     pub fn on_request(&mut self, now: Time, request: Request) -> Vec<ShardAction> {
         let id = request.id;
         self.pool.release_due(now);
-        self.expire(now);
-        self.live.insert(id, Live::new(now, request));
-        self.intake(now, id);
+        self.refuse_expired(now);
+        self.pending.insert(id, PendingRequest::new(now, request));
+        self.process_request(now, id);
         self.advance(now)
     }
 
@@ -253,49 +255,49 @@
         outcome: Outcome,
         report: Report,
     ) -> Vec<ShardAction> {
-        let Some(of) = self.attempts.get_mut(&attempt) else { return Vec::new() };
-        if of.answered {
+        let Some(state) = self.attempts.get_mut(&attempt) else { return Vec::new() };
+        if state.answered {
             return self.on_body_end(now, attempt, BodyEnd::CallerGone);
         }
-        of.answered = matches!(outcome, Outcome::Answered { .. });
-        of.untold = match outcome {
-            Outcome::Answered { status, .. } => Some((Ending::Answered { status }, now)),
-            Outcome::Broken { .. } => Some((Ending::Broken, now)),
-            Outcome::Misdirected => Some((Ending::Misdirected, now)),
+        state.answered = matches!(outcome, Outcome::Answered { .. });
+        state.unreported = match outcome {
+            Outcome::Answered { status, .. } => Some((AttemptResult::Answered { status }, now)),
+            Outcome::Broken { .. } => Some((AttemptResult::Broken, now)),
+            Outcome::Misdirected => Some((AttemptResult::Misdirected, now)),
             _ => None,
         };
-        let of = of.clone();
+        let state = state.clone();
         let mut actions = self.health.on_outcome(now, attempt, outcome);
-        if of.answered || outcome == Outcome::Shed {
-            actions.extend(self.health.on_report(now, &of.endpoint, report));
-            self.on_answered_limit(now, &of, outcome, report.rate_limit);
+        if state.answered || outcome == Outcome::Shed {
+            actions.extend(self.health.on_report(now, &state.endpoint, report));
+            self.record_answered_limit(now, &state, outcome, report.rate_limit);
         }
         self.on_health_actions(now, actions);
-        self.on_evidence(now, &of, outcome);
-        self.on_witness_outcome(now, &of, outcome);
+        self.record_evidence(now, &state, outcome);
+        self.on_witness_outcome(now, &state, outcome);
         self.pool.refresh(now, &self.health);
         if let Outcome::Answered { status, .. } = outcome {
-            self.tell_failure(attempt);
-            if let Some(request) = of.request {
+            self.queue_failure_report(attempt);
+            if let Some(request) = state.request {
                 self.on_answer(now, attempt, request, status);
             }
         } else {
             self.end_attempt(now, attempt, outcome.certainly_not_run());
-            self.on_failure(now, attempt, &of, outcome);
+            self.on_failure(now, attempt, &state, outcome);
         }
         self.advance(now)
     }
 
     /// Takes the end of an answer's body.
     pub fn on_body_end(&mut self, now: Time, attempt: AttemptId, end: BodyEnd) -> Vec<ShardAction> {
-        let Some(of) = self.attempts.get(&attempt).cloned() else { return Vec::new() };
+        let Some(state) = self.attempts.get(&attempt).cloned() else { return Vec::new() };
         let actions = self.health.on_body_end(now, attempt, end);
         self.on_health_actions(now, actions);
         if end == BodyEnd::Complete {
-            self.on_complete(now, &of);
+            self.on_complete(now, &state);
         }
         self.end_attempt(now, attempt, end == BodyEnd::Complete);
-        if let Some(request) = of.request {
+        if let Some(request) = state.request {
             self.on_key_body_end(now, request, end);
         }
         self.pool.refresh(now, &self.health);
@@ -311,9 +313,9 @@
     ) -> Vec<ShardAction> {
         let answer = Arc::new(answer);
         for waiter in self.keys.on_stored(request, &answer) {
-            if self.forget(waiter).is_some() {
+            if self.remove_request(waiter).is_some() {
                 let answer = answer.clone();
-                self.out.push(ShardAction::Replay { request: waiter, answer });
+                self.pending_actions.push(ShardAction::Replay { request: waiter, answer });
             }
         }
         self.advance(now)
@@ -324,14 +326,14 @@
     /// Attempts in flight are cancelled. A key stays on record until the
     /// outcome of its attempt is known.
     pub fn on_cancel(&mut self, now: Time, request: RequestId) -> Vec<ShardAction> {
-        let Some(live) = self.live.get(&request) else { return Vec::new() };
-        let was_running = live.phase == Phase::Running;
-        for attempt in &live.in_flight {
-            self.out.push(ShardAction::Cancel { request, attempt: *attempt });
+        let Some(pending) = self.pending.get(&request) else { return Vec::new() };
+        let was_running = pending.phase == Phase::Running;
+        for attempt in &pending.in_flight {
+            self.pending_actions.push(ShardAction::Cancel { request, attempt: *attempt });
         }
-        if self.forget(request) == Some(true) && !was_running {
+        if self.remove_request(request) == Some(true) && !was_running {
             let waiters = self.keys.on_not_run(request);
-            self.intake_again(now, waiters);
+            self.reprocess_requests(now, waiters);
         }
         self.advance(now)
     }
@@ -351,7 +353,7 @@
 
     /// Does what is due.
     pub fn on_tick(&mut self, now: Time) -> Vec<ShardAction> {
-        self.forget_lost_probes(now);
+        self.remove_lost_probes(now);
         let actions = self.health.on_tick(now);
         self.on_health_actions(now, actions);
         self.pool.refresh(now, &self.health);
@@ -367,12 +369,12 @@
     pub fn on_pause(&mut self, now: Time, gap: Duration) -> Vec<ShardAction> {
         self.health.on_pause(now, gap);
         self.hedges.clear();
-        self.expire(now);
-        if gap >= TAKEOVER_PAUSE {
-            self.pool.settle_until(now + self.settle);
+        self.refuse_expired(now);
+        if gap >= MIN_TAKEOVER_PAUSE {
+            self.pool.halve_limits_until(now + self.takeover_grace);
         }
         self.pool.refresh(now, &self.health);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.pending_actions)
     }
 
     /// Returns the expected wait of a new request.
@@ -396,7 +398,7 @@
     /// Returns whether nothing is lost if the shard is forgotten: no request and
     /// no attempt is under way and no idempotency key is on record.
     pub fn is_idle(&self) -> bool {
-        self.live.is_empty() && self.attempts.is_empty() && self.keys.is_empty()
+        self.pending.is_empty() && self.attempts.is_empty() && self.keys.is_empty()
     }
 
     /// Returns the endpoints for the admin port.
@@ -404,15 +406,15 @@
         let mode = self.pool.mode();
         self.pool
             .configured()
-            .map(|slots| {
-                let name = &slots.endpoint.name;
+            .map(|entry| {
+                let name = &entry.endpoint.name;
                 EndpointStatus {
                     service: self.id.service.clone(),
                     endpoint: name.clone(),
                     state: Name::from(state_name(self.health.standing(name))),
-                    in_flight: slots.in_flight,
-                    limit: slots.limit,
-                    rate_limit: slots.rate_limit().map(RateLimit::per_second),
+                    in_flight: entry.in_flight,
+                    limit: entry.limit,
+                    rate_limit: entry.rate_limit().map(RateLimit::per_second),
                     evidence: self.health.evidence(name),
                     mode: Name::from(mode.as_str()),
                     reason: self.health.last_reason(name).map(EjectReason::as_str).map(Name::from),
@@ -426,12 +428,12 @@
         self.pool.release_due(now);
         let waiters = self.keys.on_tick(now);
         self.refuse_waiters(now, waiters);
-        self.expire(now);
+        self.refuse_expired(now);
         self.dispatch_queue(now);
         self.dispatch_hedges(now);
         self.give_up_due(now);
-        self.tell_news(now);
-        std::mem::take(&mut self.out)
+        self.broadcast_updates(now);
+        std::mem::take(&mut self.pending_actions)
     }
 
     fn set_service(&mut self, now: Time, config: &Config) {
@@ -442,8 +444,8 @@
         self.queue_limit = service.queue_limit.div_ceil(shard_count(service)) as usize;
         self.probe_path = service.probe_path.clone();
         self.is_shared = service.is_shared();
-        self.retries.configure(now, config, service);
-        self.settle = Duration::from_millis(service.timeout_ms).min(MAX_SETTLE);
+        self.retry_budget.configure(now, config, service);
+        self.takeover_grace = Duration::from_millis(service.timeout_ms).min(MAX_TAKEOVER_GRACE);
         let weights = config
             .customers
             .iter()
@@ -457,12 +459,12 @@
     }
 
     /// Releases the slots of health checks whose end was never reported.
-    fn forget_lost_probes(&mut self, now: Time) {
+    fn remove_lost_probes(&mut self, now: Time) {
         let lost: Vec<AttemptId> = self
             .attempts
             .iter()
-            .filter(|(_, of)| of.kind == AttemptKind::Probe)
-            .filter(|(_, of)| now >= of.time_limit + LOST_PROBE_AGE)
+            .filter(|(_, state)| state.kind == AttemptKind::Probe)
+            .filter(|(_, state)| now >= state.time_limit + LOST_PROBE_TIMEOUT)
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in lost {
--- a/crates/pistachiotrack-core/src/shard/action.rs
+++ b/crates/pistachiotrack-core/src/shard/action.rs
@@ -9,15 +9,15 @@
     rate_limit::RateLimit,
     refusal::Verdict,
     request::{AttemptId, ConnectionChoice, RequestId},
-    shard::ShardNews,
+    shard::ShardUpdate,
     time::Time,
 };
 
 /// What spoke for an endpoint when it was chosen, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Grounds {
+pub struct SelectionDetails {
     /// Why this endpoint.
-    pub choice: Choice,
+    pub reason: SelectionReason,
     /// How likely the request was to fail, in parts of a thousand.
     pub risk_permille: u16,
     /// Time since any VM's last answer of the endpoint, if there was one.
@@ -26,7 +26,7 @@
 
 /// Why an endpoint was chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Choice {
+pub enum SelectionReason {
     /// It was the best of those with a free slot.
     #[default]
     Best,
@@ -48,7 +48,7 @@
     /// Endpoint to send it to.
     pub endpoint: Name,
     /// Why it was chosen.
-    pub grounds: Grounds,
+    pub selection: SelectionDetails,
     /// Address of the endpoint.
     pub address: SocketAddr,
     /// VM through which it goes, as the endpoint can't be reached from here.
@@ -123,7 +123,7 @@
         address: SocketAddr,
     },
     /// Tells the other VMs that dispatch for the shard.
-    Tell(ShardNews),
+    Broadcast(ShardUpdate),
     /// An endpoint names a limit from now on, or none any more; for the log.
     RateLimit {
         /// The endpoint.
--- a/crates/pistachiotrack-core/src/shard/ending.rs
+++ b/crates/pistachiotrack-core/src/shard/completion.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Shard, ShardAction, ShardMode,
-    state::{Attempt, Phase},
+    state::{AttemptState, Phase},
 };
 use crate::{
     admission::Ticket,
@@ -16,11 +16,12 @@
 
 /// Bounds of the time for which the slot of an attempt that ended without an
 /// answer is held.
-const GRACE_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(1));
+const SLOT_RELEASE_DELAY_RANGE: (Duration, Duration) =
+    (Duration::from_millis(10), Duration::from_secs(1));
 /// That time while the usual service time is unknown.
-const DEFAULT_GRACE: Duration = Duration::from_millis(100);
+const DEFAULT_SLOT_RELEASE_DELAY: Duration = Duration::from_millis(100);
 /// A failed attempt counts as this many usual service times at most.
-const MAX_TIMES_USUAL: u32 = 4;
+const MAX_TIMEOUT_FACTOR: u32 = 4;
 
 impl Shard {
     /// Takes the beginning of an answer.
@@ -29,30 +30,30 @@
     /// that fails grayly answers that way. It is passed on as it is when there is no
     /// other attempt to wait for and no retry left.
     pub(super) fn on_answer(&mut self, now: Time, attempt: AttemptId, id: RequestId, status: u16) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let is_failure = status >= FIRST_FAILURE_STATUS && live.request.idempotent;
-        if is_failure && live.in_flight.len() > 1 {
-            live.in_flight.retain(|other| *other != attempt);
-            live.may_have_run = true;
-            self.out.push(ShardAction::Cancel { request: id, attempt });
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let is_failure = status >= FIRST_FAILURE_STATUS && pending.request.idempotent;
+        if is_failure && pending.in_flight.len() > 1 {
+            pending.in_flight.retain(|other| *other != attempt);
+            pending.may_have_run = true;
+            self.pending_actions.push(ShardAction::Cancel { request: id, attempt });
             return;
         }
-        if is_failure && !live.status_retried {
-            live.may_have_run = true;
-            if self.may_retry(now, id, 2) && self.retries.take(now) {
-                self.out.push(ShardAction::Cancel { request: id, attempt });
-                if let Some(live) = self.live.get_mut(&id) {
-                    live.status_retried = true;
-                    live.in_flight.clear();
+        if is_failure && !pending.failure_status_retried {
+            pending.may_have_run = true;
+            if self.can_retry(now, id, 2) && self.retry_budget.take(now) {
+                self.pending_actions.push(ShardAction::Cancel { request: id, attempt });
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.failure_status_retried = true;
+                    pending.in_flight.clear();
                 }
                 return self.enqueue(id);
             }
         }
-        self.strain.note(status < FIRST_FAILURE_STATUS);
-        self.out.push(ShardAction::Deliver { request: id, attempt });
-        let Some(live) = self.live.remove(&id) else { return };
-        for other in live.in_flight.into_iter().filter(|other| *other != attempt) {
-            self.out.push(ShardAction::Cancel { request: id, attempt: other });
+        self.failure_rate.record(status < FIRST_FAILURE_STATUS);
+        self.pending_actions.push(ShardAction::Deliver { request: id, attempt });
+        let Some(pending) = self.pending.remove(&id) else { return };
+        for other in pending.in_flight.into_iter().filter(|other| *other != attempt) {
+            self.pending_actions.push(ShardAction::Cancel { request: id, attempt: other });
         }
     }
 
@@ -61,31 +62,31 @@
         &mut self,
         now: Time,
         attempt: AttemptId,
-        of: &Attempt,
+        state: &AttemptState,
         outcome: Outcome,
     ) {
-        let Some(id) = of.request else { return };
-        let Some(live) = self.live.get_mut(&id) else {
-            return self.on_abandoned(now, id, outcome.certainly_not_run());
+        let Some(id) = state.request else { return };
+        let Some(pending) = self.pending.get_mut(&id) else {
+            return self.settle_key(now, id, outcome.certainly_not_run());
         };
-        live.in_flight.retain(|other| *other != attempt);
-        live.may_have_run |= !outcome.certainly_not_run();
+        pending.in_flight.retain(|other| *other != attempt);
+        pending.may_have_run |= !outcome.certainly_not_run();
         if outcome.certainly_not_run() {
-            live.sent -= 1;
+            pending.possible_runs -= 1;
         }
-        if !live.in_flight.is_empty() {
+        if !pending.in_flight.is_empty() {
             return;
         }
-        live.needs_fresh |= matches!(
+        pending.needs_fresh |= matches!(
             outcome,
             Outcome::Broken { fresh_connection: false }
                 | Outcome::TimedOut { fresh_connection: false }
         );
-        let execution = live.execution();
-        let is_late = now >= live.not_after;
+        let execution = pending.execution();
+        let is_late = now >= pending.not_after;
         if outcome != Outcome::Cancelled
-            && self.may_retry(now, id, 1)
-            && self.may_spend(now, of, outcome)
+            && self.can_retry(now, id, 1)
+            && self.try_take_retry(now, state, outcome)
         {
             return self.enqueue(id);
         }
@@ -106,22 +107,22 @@
     }
 
     /// Takes the end of an attempt whose request has no caller any more.
-    fn on_abandoned(&mut self, now: Time, id: RequestId, not_run: bool) {
+    fn settle_key(&mut self, now: Time, id: RequestId, not_run: bool) {
         if not_run {
             let waiters = self.keys.on_not_run(id);
-            self.intake_again(now, waiters);
+            self.reprocess_requests(now, waiters);
         } else {
             let waiters = self.keys.on_lost(id);
             self.refuse_waiters(now, waiters);
         }
     }
 
-    fn may_retry(&self, now: Time, id: RequestId, min_usable: usize) -> bool {
-        self.live.get(&id).is_some_and(|live| {
-            live.may_run_again()
-                && live.may_be_sent()
-                && now < live.not_after
-                && self.pool.usable(live.request.idempotent) >= min_usable
+    fn can_retry(&self, now: Time, id: RequestId, min_usable: usize) -> bool {
+        self.pending.get(&id).is_some_and(|pending| {
+            pending.may_run_again()
+                && pending.can_be_dispatched()
+                && now < pending.not_after
+                && self.pool.usable_endpoints(pending.request.idempotent) >= min_usable
         })
     }
 
@@ -133,34 +134,34 @@
     /// hears of it, and a hundred requests in ten seconds are turned away at their
     /// addresses and sent on. It shows as more retries than the service's limit allows.
     /// The guard holds because each of them is taken from what is left.
-    fn may_spend(&mut self, now: Time, of: &Attempt, outcome: Outcome) -> bool {
+    fn try_take_retry(&mut self, now: Time, state: &AttemptState, outcome: Outcome) -> bool {
         let never_arrived = matches!(
             outcome,
             Outcome::ConnectFailed | Outcome::NotSent | Outcome::WitnessFailed { sent: false }
         );
-        if never_arrived || of.is_given_up {
+        if never_arrived || state.is_given_up {
             return true;
         }
-        if of.kind == AttemptKind::Trial {
-            self.retries.spend(now);
+        if state.kind == AttemptKind::Trial {
+            self.retry_budget.spend(now);
             return true;
         }
-        self.retries.take(now)
+        self.retry_budget.take(now)
     }
 
     /// Notes what an outcome says about load and latency.
-    pub(super) fn on_evidence(&mut self, now: Time, of: &Attempt, outcome: Outcome) {
-        let age = now.since(of.dispatched_at);
+    pub(super) fn record_evidence(&mut self, now: Time, state: &AttemptState, outcome: Outcome) {
+        let age = now.since(state.dispatched_at);
         match outcome {
             Outcome::Answered { status, .. }
-                if status < FIRST_FAILURE_STATUS && of.kind != AttemptKind::Probe =>
+                if status < FIRST_FAILURE_STATUS && state.kind != AttemptKind::Probe =>
             {
                 self.latency.record(age);
             }
-            Outcome::Shed => self.pool.on_shed(now, &of.endpoint, self.grace()),
+            Outcome::Shed => self.pool.on_shed(now, &state.endpoint, self.slot_release_delay()),
             Outcome::TimedOut { .. } => {
-                if let Some(usual) = self.usual.value() {
-                    self.usual.record(age.min(usual * MAX_TIMES_USUAL));
+                if let Some(service_time) = self.service_time.value() {
+                    self.service_time.record(age.min(service_time * MAX_TIMEOUT_FACTOR));
                 }
             }
             _ => {}
@@ -171,26 +172,26 @@
     /// is certainly done with it.
     pub(super) fn end_attempt(&mut self, now: Time, attempt: AttemptId, is_done: bool) {
         let Some(ended) = self.attempts.remove(&attempt) else { return };
-        self.note_ended(&ended);
+        self.queue_attempt_end(&ended);
         if is_done {
             self.pool.release(&ended.endpoint);
         } else {
-            let until = now + self.grace();
+            let until = now + self.slot_release_delay();
             self.pool.release_later(&ended.endpoint, until);
         }
     }
 
     /// Notes a whole answer: it fills the budgets and tells the service time.
-    pub(super) fn on_complete(&mut self, now: Time, of: &Attempt) {
-        if of.kind == AttemptKind::Probe {
+    pub(super) fn on_complete(&mut self, now: Time, state: &AttemptState) {
+        if state.kind == AttemptKind::Probe {
             return;
         }
-        let held = now.since(of.dispatched_at);
-        self.usual.record(held);
-        self.retries.on_success();
-        self.pool.on_success(&of.endpoint);
-        if let (Some(customer), Some(usual)) = (&of.customer, self.usual.value()) {
-            let relative = held.as_secs_f64() / usual.as_secs_f64().max(f64::MIN_POSITIVE);
+        let held = now.since(state.dispatched_at);
+        self.service_time.record(held);
+        self.retry_budget.on_success();
+        self.pool.on_success(&state.endpoint);
+        if let (Some(customer), Some(service_time)) = (&state.customer, self.service_time.value()) {
+            let relative = held.as_secs_f64() / service_time.as_secs_f64().max(f64::MIN_POSITIVE);
             self.queue.on_held(customer, relative);
         }
     }
@@ -204,18 +205,21 @@
         self.refuse_waiters(now, waiters);
     }
 
-    fn grace(&self) -> Duration {
-        self.usual.value().unwrap_or(DEFAULT_GRACE).clamp(GRACE_RANGE.0, GRACE_RANGE.1)
+    fn slot_release_delay(&self) -> Duration {
+        self.service_time
+            .value()
+            .unwrap_or(DEFAULT_SLOT_RELEASE_DELAY)
+            .clamp(SLOT_RELEASE_DELAY_RANGE.0, SLOT_RELEASE_DELAY_RANGE.1)
     }
 
     /// Refuses requests that have no time left.
-    pub(super) fn expire(&mut self, now: Time) {
-        while let Some((not_after, id)) = self.expiry.first().copied() {
+    pub(super) fn refuse_expired(&mut self, now: Time) {
+        while let Some((not_after, id)) = self.deadlines.first().copied() {
             if not_after > now {
                 return;
             }
             self.refuse(now, id, Reason::DeadlinePassed, None);
-            self.expiry.remove(&(not_after, id));
+            self.deadlines.remove(&(not_after, id));
         }
     }
 
@@ -227,61 +231,61 @@
         reason: Reason,
         retry_after_ms: Option<u64>,
     ) {
-        let Some(live) = self.live.get(&id) else { return };
-        let execution = live.execution();
+        let Some(pending) = self.pending.get(&id) else { return };
+        let execution = pending.execution();
         let retry_after_ms = retry_after_ms.filter(|_| execution == Execution::NotRun);
-        let Some(holds_key) = self.forget(id) else { return };
-        self.strain.note(false);
+        let Some(owns_key) = self.remove_request(id) else { return };
+        self.failure_rate.record(false);
         let refusal = Verdict { execution, reason, retry_after_ms };
-        self.out.push(ShardAction::Refuse { request: id, refusal });
-        if holds_key {
-            self.on_abandoned(now, id, execution == Execution::NotRun);
+        self.pending_actions.push(ShardAction::Refuse { request: id, refusal });
+        if owns_key {
+            self.settle_key(now, id, execution == Execution::NotRun);
         }
     }
 
     /// Refuses a request that a caller sent before, and whose first may have run.
-    pub(super) fn refuse_as_run(&mut self, now: Time, id: RequestId, reason: Reason) {
-        if let Some(live) = self.live.get_mut(&id) {
-            live.may_have_run = true;
+    pub(super) fn refuse_as_maybe_run(&mut self, now: Time, id: RequestId, reason: Reason) {
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.may_have_run = true;
         }
         self.refuse(now, id, reason, None);
     }
 
     /// Takes a request out of every list; returns whether it held its key.
-    pub(super) fn forget(&mut self, id: RequestId) -> Option<bool> {
-        let live = self.live.remove(&id)?;
-        let request = &live.request;
-        match live.phase {
+    pub(super) fn remove_request(&mut self, id: RequestId) -> Option<bool> {
+        let pending = self.pending.remove(&id)?;
+        let request = &pending.request;
+        match pending.phase {
             Phase::New | Phase::Running => {}
             Phase::Queued => {
                 let ticket = Ticket { deadline: request.deadline, request: id };
                 self.queue.remove(&request.customer, request.class, ticket);
-                self.expiry.remove(&(live.not_after, id));
+                self.deadlines.remove(&(pending.not_after, id));
             }
-            Phase::Joined => {
+            Phase::AwaitingOriginal => {
                 if let Some(key) = &request.key {
                     self.keys.leave(&request.customer, key, id);
                 }
-                self.expiry.remove(&(live.not_after, id));
+                self.deadlines.remove(&(pending.not_after, id));
             }
         }
-        Some(live.holds_key)
+        Some(pending.owns_key)
     }
 
     /// Refuses requests whose first may have run without an answer to give.
     pub(super) fn refuse_waiters(&mut self, now: Time, waiters: Vec<RequestId>) {
         for waiter in waiters {
-            self.refuse_as_run(now, waiter, Reason::Duplicate);
+            self.refuse_as_maybe_run(now, waiter, Reason::Duplicate);
         }
     }
 
     /// Decides anew about requests whose first was certainly not run.
-    pub(super) fn intake_again(&mut self, now: Time, waiters: Vec<RequestId>) {
+    pub(super) fn reprocess_requests(&mut self, now: Time, waiters: Vec<RequestId>) {
         for waiter in waiters {
-            let Some(live) = self.live.get_mut(&waiter) else { continue };
-            live.phase = Phase::New;
-            self.expiry.remove(&(live.not_after, waiter));
-            self.intake(now, waiter);
+            let Some(pending) = self.pending.get_mut(&waiter) else { continue };
+            pending.phase = Phase::New;
+            self.deadlines.remove(&(pending.not_after, waiter));
+            self.process_request(now, waiter);
         }
     }
 
@@ -294,10 +298,10 @@
                 HealthAction::Probe { endpoint } => self.start_probe(now, endpoint),
                 HealthAction::CheckPath { endpoint } => {
                     if let Some(address) = self.pool.address(&endpoint) {
-                        self.out.push(ShardAction::CheckPath { endpoint, address });
+                        self.pending_actions.push(ShardAction::CheckPath { endpoint, address });
                     }
                 }
-                other => self.out.push(ShardAction::Health(other)),
+                other => self.pending_actions.push(ShardAction::Health(other)),
             }
         }
     }
--- a/crates/pistachiotrack-core/src/shard/flow.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::{
-    Dispatch, Grounds, Shard, ShardAction,
-    pool::{Pick, Wanted},
-    state::{Attempt, Live, Phase},
+    Dispatch, SelectionDetails, Shard, ShardAction,
+    pool::{Pick, PickCriteria},
+    state::{AttemptState, PendingRequest, Phase},
 };
 use crate::{
     admission::Ticket,
@@ -20,27 +20,27 @@
 /// Multiple of the 95th percentile of the answer time that is left to a
 /// request when it is dispatched, up to half of its time: a request that ends
 /// at its deadline has held a slot for nothing.
-const RESERVE_TIMES_P95: f64 = 1.5;
+const ANSWER_RESERVE_P95_FACTOR: f64 = 1.5;
 /// The same when it is admitted; more, since the expected wait is a mean.
-const ADMIT_TIMES_P95: u32 = 2;
+const ADMISSION_RESERVE_P95_FACTOR: u32 = 2;
 /// Multiple of the usual service time that a request on an endpoint under
 /// trial must have left, so that a retry can still mend a failure.
-const TRIAL_TIMES_USUAL: u32 = 4;
+const TRIAL_SERVICE_TIME_FACTOR: u32 = 4;
 /// Time that it must have left while the usual service time is unknown.
-const TRIAL_MIN_LEFT: Duration = Duration::from_millis(500);
+const DEFAULT_TRIAL_TIME_LEFT: Duration = Duration::from_millis(500);
 /// Multiple of the 95th percentile after which an attempt that can be retried
 /// is given up.
-const GIVE_UP_TIMES_P95: u32 = 4;
+const GIVE_UP_P95_FACTOR: u32 = 4;
 /// Largest risk that a request takes while it can wait; an endpoint of which
 /// nothing is known is below.
-const PATIENT_RISK: f64 = 0.25;
+const MAX_RISK_WHILE_WAITING: f64 = 0.25;
 /// Part of its time for which it waits, if it may run again and if it must not: the
 /// first can be sent once more when it fails, the second is lost.
-const PATIENCE_PARTS: (f64, f64) = (0.5, 0.85);
+const LOW_RISK_WAIT_SHARES: (f64, f64) = (0.5, 0.85);
 /// Requests that may always wait while it does.
-const PATIENT_QUEUE: usize = 8;
+const MIN_LOW_RISK_QUEUE_LEN: usize = 8;
 /// Time after which it is looked at again whether a silent attempt can be given up.
-const GIVE_UP_AGAIN_AFTER: Duration = Duration::from_millis(100);
+const GIVE_UP_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest age of an attempt at which a hedge is sent.
 const MIN_HEDGE_AGE: Duration = Duration::from_millis(2);
 /// Shortest time that a refused caller is asked to wait.
@@ -52,15 +52,15 @@
 
 impl Shard {
     /// Decides what becomes of a request that has just come.
-    pub(super) fn intake(&mut self, now: Time, id: RequestId) {
-        let Some(live) = self.live.get(&id) else { return };
-        let request = &live.request;
+    pub(super) fn process_request(&mut self, now: Time, id: RequestId) {
+        let Some(pending) = self.pending.get(&id) else { return };
+        let request = &pending.request;
         if request.idempotent {
             return self.admit(now, id);
         }
         let Some(key) = request.key.clone() else {
             if request.repeat {
-                return self.refuse_as_run(now, id, Reason::NoRecord);
+                return self.refuse_as_maybe_run(now, id, Reason::NoRecord);
             }
             return self.admit(now, id);
         };
@@ -68,43 +68,44 @@
             (request.customer.clone(), request.repeat, request.deadline);
         match self.keys.claim(now, &customer, &key, id, repeat) {
             Claim::Run => {
-                if let Some(live) = self.live.get_mut(&id) {
-                    live.holds_key = true;
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.owns_key = true;
                 }
                 self.admit(now, id);
             }
             Claim::Join => {
-                if let Some(live) = self.live.get_mut(&id) {
-                    live.phase = Phase::Joined;
-                    live.not_after = deadline;
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.phase = Phase::AwaitingOriginal;
+                    pending.not_after = deadline;
                 }
-                self.expiry.insert((deadline, id));
+                self.deadlines.insert((deadline, id));
             }
             Claim::Replay(answer) => {
-                self.live.remove(&id);
-                self.out.push(ShardAction::Replay { request: id, answer });
+                self.pending.remove(&id);
+                self.pending_actions.push(ShardAction::Replay { request: id, answer });
             }
-            Claim::Lost => self.refuse_as_run(now, id, Reason::Duplicate),
-            Claim::NoRecord => self.refuse_as_run(now, id, Reason::NoRecord),
+            Claim::Lost => self.refuse_as_maybe_run(now, id, Reason::Duplicate),
+            Claim::NoRecord => self.refuse_as_maybe_run(now, id, Reason::NoRecord),
             Claim::Full => self.refuse(now, id, Reason::QueueFull, None),
         }
     }
 
     fn admit(&mut self, now: Time, id: RequestId) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let left = remaining(live.request.deadline, now);
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let left = remaining(pending.request.deadline, now);
         if left.is_zero() {
             return self.refuse(now, id, Reason::DeadlinePassed, None);
         }
-        let answer_time = self.latency.p95().or(self.usual.value()).unwrap_or_default();
-        live.not_after = now + (left - (answer_time.mul_f64(RESERVE_TIMES_P95)).min(left / 2));
-        let (customer, class) = (live.request.customer.clone(), live.request.class);
-        if self.pool.usable(live.request.idempotent) == 0 {
+        let answer_time = self.latency.p95().or(self.service_time.value()).unwrap_or_default();
+        pending.not_after =
+            now + (left - (answer_time.mul_f64(ANSWER_RESERVE_P95_FACTOR)).min(left / 2));
+        let (customer, class) = (pending.request.customer.clone(), pending.request.class);
+        if self.pool.usable_endpoints(pending.request.idempotent) == 0 {
             let hint = self.retry_hint(NO_ENDPOINT_RETRY_AFTER);
             return self.refuse(now, id, Reason::NoEndpoint, hint);
         }
         let wait = self.expected_wait(now, &customer, class);
-        let needed = wait + (answer_time * ADMIT_TIMES_P95).min(left / 2);
+        let needed = wait + (answer_time * ADMISSION_RESERVE_P95_FACTOR).min(left / 2);
         if !wait.is_zero() && needed > left {
             let hint = self.retry_hint(needed - left);
             return self.refuse(now, id, Reason::WaitTooLong, hint);
@@ -122,11 +123,11 @@
 
     /// Puts a request into the queue, whatever the queue's limit.
     pub(super) fn enqueue(&mut self, id: RequestId) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        live.phase = Phase::Queued;
-        let ticket = Ticket { deadline: live.request.deadline, request: id };
-        self.queue.push(&live.request.customer, live.request.class, ticket);
-        self.expiry.insert((live.not_after, id));
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        pending.phase = Phase::Queued;
+        let ticket = Ticket { deadline: pending.request.deadline, request: id };
+        self.queue.push(&pending.request.customer, pending.request.class, ticket);
+        self.deadlines.insert((pending.not_after, id));
     }
 
     /// Returns the expected wait of a customer's new request.
@@ -139,40 +140,39 @@
 
     /// Returns the time in which so many requests leave the queue.
     pub(super) fn drain_time(&self, requests: f64) -> Duration {
-        let usual = self.usual.value().unwrap_or_default();
+        let service_time = self.service_time.value().unwrap_or_default();
         let limited = self.pool.limited_per_second() / f64::from(self.dispatchers);
         let capacity = self.pool.capacity();
         match (capacity, limited > 0.0) {
-            (_, false) => usual.mul_f64(requests / f64::from(capacity.max(1))),
+            (_, false) => service_time.mul_f64(requests / f64::from(capacity.max(1))),
             (0, true) => Duration::from_secs_f64(requests / limited),
             // In the usual time, endpoints that name a limit take work beside the slots.
-            (_, true) => {
-                usual.mul_f64(requests / (f64::from(capacity) + usual.as_secs_f64() * limited))
-            }
+            (_, true) => service_time
+                .mul_f64(requests / (f64::from(capacity) + service_time.as_secs_f64() * limited)),
         }
     }
 
     /// Dispatches what waits as long as there are free slots.
     pub(super) fn dispatch_queue(&mut self, now: Time) {
-        if self.awaits_picture(now) {
+        if self.awaits_snapshot(now) {
             return;
         }
         while let Some(id) = self.queue.peek() {
-            let Some(live) = self.live.get(&id) else {
+            let Some(pending) = self.pending.get(&id) else {
                 self.queue.pop();
                 continue;
             };
-            if self.pool.usable(live.request.idempotent) == 0 {
+            if self.pool.usable_endpoints(pending.request.idempotent) == 0 {
                 let hint = self.retry_hint(NO_ENDPOINT_RETRY_AFTER);
                 self.refuse(now, id, Reason::NoEndpoint, hint);
                 continue;
             }
             let Some(pick) = self.pick(now, id, true) else { return };
             self.queue.pop();
-            if let Some(live) = self.live.get(&id) {
-                self.expiry.remove(&(live.not_after, id));
+            if let Some(pending) = self.pending.get(&id) {
+                self.deadlines.remove(&(pending.not_after, id));
             }
-            self.start(now, id, pick);
+            self.dispatch(now, id, pick);
         }
     }
 
@@ -186,35 +186,39 @@
                 return;
             }
             self.hedges.pop_first();
-            let is_due = self.live.get(&id).is_some_and(|live| {
-                live.phase == Phase::Running
-                    && live.in_flight.len() == 1
-                    && live.may_be_sent()
-                    && now < live.not_after
+            let is_due = self.pending.get(&id).is_some_and(|pending| {
+                pending.phase == Phase::Running
+                    && pending.in_flight.len() == 1
+                    && pending.can_be_dispatched()
+                    && now < pending.not_after
             });
             if !is_due || !self.queue.is_empty() {
                 continue;
             }
             let Some(pick) = self.pick(now, id, false) else { continue };
-            if pick.standing != Standing::Trial && self.retries.take_spare(now) {
-                self.start(now, id, pick);
+            if pick.health_status != Standing::Trial && self.retry_budget.take_spare(now) {
+                self.dispatch(now, id, pick);
             }
         }
     }
 
-    fn pick(&mut self, now: Time, id: RequestId, allow_tried: bool) -> Option<Pick> {
-        let live = self.live.get(&id)?;
-        let left = remaining(live.request.deadline, now);
-        let needed = self.usual.value().map_or(TRIAL_MIN_LEFT, |usual| usual * TRIAL_TIMES_USUAL);
-        let may_try = live.tried.is_empty() && left >= needed && self.pool.usable(true) > 1;
-        self.pool.pick(Wanted {
-            idempotent: live.request.idempotent,
-            may_try,
-            tried: &live.tried,
-            max_risk: self.max_risk(now, live),
+    fn pick(&mut self, now: Time, id: RequestId, allow_already_tried: bool) -> Option<Pick> {
+        let pending = self.pending.get(&id)?;
+        let left = remaining(pending.request.deadline, now);
+        let needed = self.service_time.value().map_or(DEFAULT_TRIAL_TIME_LEFT, |service_time| {
+            service_time * TRIAL_SERVICE_TIME_FACTOR
+        });
+        let allow_trial =
+            pending.tried.is_empty() && left >= needed && self.pool.usable_endpoints(true) > 1;
+        self.pool.pick(PickCriteria {
+            idempotent: pending.request.idempotent,
+            allow_trial,
+            tried: &pending.tried,
+            max_risk: self.max_risk(now, pending),
             now,
-            is_strained: self.mechanisms.strain && self.strain.is_strained(),
-            allow_tried,
+            is_failure_rate_high: self.mechanisms.strain
+                && self.failure_rate.is_failure_rate_high(),
+            allow_already_tried,
         })
     }
 
@@ -224,13 +228,18 @@
     /// for an endpoint that has just answered, for a part of its time and as long
     /// as those that wait get their turn within it: beyond, all slots are needed. An
     /// endpoint that fails at once is always free, and would take in all that wait.
-    fn max_risk(&self, now: Time, live: &Live) -> f64 {
-        let part = if live.request.idempotent { PATIENCE_PARTS.0 } else { PATIENCE_PARTS.1 };
-        let patience = live.not_after.since(live.arrived).mul_f64(part);
+    fn max_risk(&self, now: Time, pending: &PendingRequest) -> f64 {
+        let part = if pending.request.idempotent {
+            LOW_RISK_WAIT_SHARES.0
+        } else {
+            LOW_RISK_WAIT_SHARES.1
+        };
+        let patience = pending.not_after.since(pending.arrived).mul_f64(part);
         let is_patient = self.mechanisms.patience
-            && now.since(live.arrived) < patience
-            && (self.queue.len() <= PATIENT_QUEUE || self.proven_drain_time() <= patience);
-        if is_patient { PATIENT_RISK } else { 1.0 }
+            && now.since(pending.arrived) < patience
+            && (self.queue.len() <= MIN_LOW_RISK_QUEUE_LEN
+                || self.low_risk_drain_time() <= patience);
+        if is_patient { MAX_RISK_WHILE_WAITING } else { 1.0 }
     }
 
     /// Returns the time in which the queue empties into this VM's part of the slots of
@@ -238,49 +247,60 @@
     ///
     /// Load: all callers come back at once after a loss of all VMs, so that dozens wait
     /// at each VM, while a third of the endpoints fails at once.
-    fn proven_drain_time(&self) -> Duration {
-        let slots = f64::from(self.pool.slots_within(PATIENT_RISK)) / f64::from(self.dispatchers);
-        let usual = self.usual.value().unwrap_or_default();
-        if slots == 0.0 { Duration::MAX } else { usual.mul_f64(self.queue.len() as f64 / slots) }
+    fn low_risk_drain_time(&self) -> Duration {
+        let slots = f64::from(self.pool.slots_at_risk_up_to(MAX_RISK_WHILE_WAITING))
+            / f64::from(self.dispatchers);
+        let service_time = self.service_time.value().unwrap_or_default();
+        if slots == 0.0 {
+            Duration::MAX
+        } else {
+            service_time.mul_f64(self.queue.len() as f64 / slots)
+        }
     }
 
-    fn start(&mut self, now: Time, id: RequestId, pick: Pick) {
+    fn dispatch(&mut self, now: Time, id: RequestId, pick: Pick) {
         let attempt = self.next_attempt_id();
-        let give_up_at = self.give_up_at(now, id, pick.standing);
+        let give_up_at = self.give_up_at(now, id, pick.health_status);
         let via = self.witness(&pick.name);
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let kind =
-            if pick.standing == Standing::Trial { AttemptKind::Trial } else { AttemptKind::Work };
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let kind = if pick.health_status == Standing::Trial {
+            AttemptKind::Trial
+        } else {
+            AttemptKind::Work
+        };
         // A witness ends an attempt by itself, so that its word is the endpoint's.
-        let deadline = live.request.deadline;
+        let deadline = pending.request.deadline;
         let time_limit = give_up_at.filter(|_| via.is_some()).unwrap_or(deadline);
         if let (Some(at), None) = (give_up_at, &via) {
             self.give_ups.insert((at, attempt));
         }
         let wants_fresh = self.health.wants_fresh_connection(&pick.name);
-        let connection =
-            if wants_fresh { ConnectionChoice::Fresh } else { connection(live, pick.standing) };
-        if live.tried.is_empty() {
-            self.retries.on_request(now);
+        let connection = if wants_fresh {
+            ConnectionChoice::Fresh
+        } else {
+            connection(pending, pick.health_status)
+        };
+        if pending.tried.is_empty() {
+            self.retry_budget.on_request(now);
         }
-        live.phase = Phase::Running;
-        live.in_flight.push(attempt);
-        live.tried.push(pick.name.clone());
-        live.sent += 1;
-        let class = live.request.class;
-        if live.request.idempotent
-            && live.request.hedge
+        pending.phase = Phase::Running;
+        pending.in_flight.push(attempt);
+        pending.tried.push(pick.name.clone());
+        pending.possible_runs += 1;
+        let class = pending.request.class;
+        if pending.request.idempotent
+            && pending.request.hedge
             && self.mechanisms.hedges
-            && live.in_flight.len() == 1
+            && pending.in_flight.len() == 1
             && let Some(age) = self.latency.p95()
         {
             self.hedges.insert((now + age.max(MIN_HEDGE_AGE), id));
         }
         self.attempts.insert(
             attempt,
-            Attempt {
+            AttemptState {
                 request: Some(id),
-                customer: Some(live.request.customer.clone()),
+                customer: Some(pending.request.customer.clone()),
                 endpoint: pick.name.clone(),
                 via: via.clone(),
                 kind,
@@ -289,15 +309,15 @@
                 answered: false,
                 is_given_up: false,
                 class,
-                untold: None,
+                unreported: None,
             },
         );
-        self.out.push(ShardAction::Dispatch(Dispatch {
+        self.pending_actions.push(ShardAction::Dispatch(Dispatch {
             request: id,
             attempt,
             endpoint: pick.name.clone(),
-            grounds: Grounds {
-                choice: pick.choice,
+            selection: SelectionDetails {
+                reason: pick.reason,
                 risk_permille: (self.health.risk(now, &pick.name) * 1_000.0) as u16,
                 last_seen_ms_ago: self
                     .health
@@ -307,7 +327,7 @@
             address: pick.address,
             via: via.clone(),
             connection,
-            not_after: live.not_after,
+            not_after: pending.not_after,
             time_limit,
         }));
         self.pool.acquire(now, &pick.name);
@@ -333,25 +353,27 @@
                 return;
             }
             self.give_ups.pop_first();
-            let Some(request) = self.silent_request(now, attempt) else { continue };
-            if self.pool.usable(true) > 1 && self.retries.take(now) {
-                if let Some(of) = self.attempts.get_mut(&attempt) {
-                    of.is_given_up = true;
+            let Some(request) = self.unanswered_request(now, attempt) else { continue };
+            if self.pool.usable_endpoints(true) > 1 && self.retry_budget.take(now) {
+                if let Some(state) = self.attempts.get_mut(&attempt) {
+                    state.is_given_up = true;
                 }
-                self.out.push(ShardAction::GiveUp { request, attempt });
+                self.pending_actions.push(ShardAction::GiveUp { request, attempt });
             } else {
-                self.give_ups.insert((now + GIVE_UP_AGAIN_AFTER, attempt));
+                self.give_ups.insert((now + GIVE_UP_RECHECK_INTERVAL, attempt));
             }
         }
     }
 
     /// Returns the request of an attempt that is its only one and has brought no
     /// answer, if it may be sent to another endpoint.
-    fn silent_request(&self, now: Time, attempt: AttemptId) -> Option<RequestId> {
-        let of = self.attempts.get(&attempt).filter(|of| !of.answered)?;
-        let request = of.request?;
-        let live = self.live.get(&request)?;
-        let may_follow = live.in_flight == [attempt] && live.may_be_sent() && now < live.not_after;
+    fn unanswered_request(&self, now: Time, attempt: AttemptId) -> Option<RequestId> {
+        let state = self.attempts.get(&attempt).filter(|state| !state.answered)?;
+        let request = state.request?;
+        let pending = self.pending.get(&request)?;
+        let may_follow = pending.in_flight == [attempt]
+            && pending.can_be_dispatched()
+            && now < pending.not_after;
         may_follow.then_some(request)
     }
 
@@ -362,24 +384,24 @@
     /// left is therefore given up halfway, unless that is within the usual
     /// latencies.
     fn give_up_at(&self, now: Time, id: RequestId, standing: Standing) -> Option<Time> {
-        let live = self.live.get(&id)?;
-        let deadline = live.request.deadline;
+        let pending = self.pending.get(&id)?;
+        let deadline = pending.request.deadline;
         let can_retry = self.mechanisms.give_ups
-            && live.request.idempotent
-            && live.sent + 1 < live.request.max_attempts
-            && self.pool.usable(true) > 1;
+            && pending.request.idempotent
+            && pending.possible_runs + 1 < pending.request.max_attempts
+            && self.pool.usable_endpoints(true) > 1;
         if !can_retry {
             return None;
         }
         let half = remaining(deadline, now) / 2;
-        let patience = self.latency.p95().map(|p95| p95 * GIVE_UP_TIMES_P95);
+        let patience = self.latency.p95().map(|p95| p95 * GIVE_UP_P95_FACTOR);
         let allowed = match patience {
             Some(patience) if standing == Standing::Trial => half.min(patience),
             Some(patience) => half.max(patience),
             None => half,
         };
         let give_up_at = now + allowed;
-        (give_up_at < live.not_after).then_some(give_up_at)
+        (give_up_at < pending.not_after).then_some(give_up_at)
     }
 
     /// Sends a health check, if a slot is free for it.
@@ -392,14 +414,14 @@
         let time_limit = now + PROBE_TIMEOUT;
         self.pool.acquire(now, &endpoint);
         self.health.on_dispatch(now, attempt, &endpoint, Class::Batch, AttemptKind::Probe);
-        self.out.push(ShardAction::Probe {
+        self.pending_actions.push(ShardAction::Probe {
             attempt,
             endpoint: endpoint.clone(),
             address,
             path: self.probe_path.clone(),
             time_limit,
         });
-        let probe = Attempt {
+        let probe = AttemptState {
             request: None,
             customer: None,
             endpoint,
@@ -410,7 +432,7 @@
             answered: false,
             is_given_up: false,
             class: Class::Batch,
-            untold: None,
+            unreported: None,
         };
         self.attempts.insert(attempt, probe);
     }
@@ -435,11 +457,11 @@
 /// outcome, so it gets one that has answered lately, or a new one if there
 /// are doubts about the endpoint. A retry after a pooled connection failed
 /// gets a new one, which tells the two causes apart.
-fn connection(live: &Live, standing: Standing) -> ConnectionChoice {
+fn connection(pending: &PendingRequest, standing: Standing) -> ConnectionChoice {
     let in_doubt = matches!(standing, Standing::Suspect | Standing::HeldByFloor | Standing::Trial);
-    if live.needs_fresh || standing == Standing::Trial {
+    if pending.needs_fresh || standing == Standing::Trial {
         ConnectionChoice::Fresh
-    } else if live.request.idempotent {
+    } else if pending.request.idempotent {
         ConnectionChoice::Any
     } else if in_doubt {
         ConnectionChoice::Fresh
--- a/crates/pistachiotrack-core/src/shard/hand_over.rs
+++ b/crates/pistachiotrack-core/src/shard/hand_over.rs
@@ -11,7 +11,7 @@
 
 /// Multiple of the usual service time for which a predecessor's requests are
 /// counted against their endpoints.
-const FOREIGN_TIMES_USUAL: u32 = 2;
+const PREDECESSOR_SERVICE_TIME_FACTOR: u32 = 2;
 
 /// What an owner tells its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -37,7 +37,10 @@
             shard: self.id.clone(),
             health: self.health.hand_over(now),
             in_flight: self.pool.in_use().map(|(name, count)| (name.clone(), count)).collect(),
-            usual_service_us: self.usual.value().map(|usual| usual.as_micros() as u64),
+            usual_service_us: self
+                .service_time
+                .value()
+                .map(|service_time| service_time.as_micros() as u64),
             keys: self.keys.hand_over(now),
         }
     }
@@ -53,15 +56,17 @@
         let actions = self.health.on_hand_over(now, &from.health);
         self.on_health_actions(now, actions);
         self.keys.on_hand_over(now, &from.keys);
-        if let (None, Some(usual_us)) = (self.usual.value(), from.usual_service_us) {
-            self.usual.seed(Duration::from_micros(usual_us));
+        if let (None, Some(service_time_us)) = (self.service_time.value(), from.usual_service_us) {
+            self.service_time.seed(Duration::from_micros(service_time_us));
         }
-        let allowance = self.usual.value().map_or(self.settle, |usual| usual * FOREIGN_TIMES_USUAL);
-        let until = now + allowance.min(self.settle);
+        let allowance = self.service_time.value().map_or(self.takeover_grace, |service_time| {
+            service_time * PREDECESSOR_SERVICE_TIME_FACTOR
+        });
+        let until = now + allowance.min(self.takeover_grace);
         for (endpoint, in_flight) in &from.in_flight {
-            self.pool.set_foreign(endpoint, *in_flight, until);
+            self.pool.set_predecessor_in_flight(endpoint, *in_flight, until);
         }
-        self.pool.settle_until(now);
+        self.pool.halve_limits_until(now);
         self.pool.refresh(now, &self.health);
         self.advance(now)
     }
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -2,7 +2,7 @@
 
 mod pick;
 mod ranking;
-mod rates;
+mod rate_limits;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,8 +14,8 @@
 use rand_pcg::Pcg32;
 use rustc_hash::FxHashMap;
 
-pub(super) use self::pick::{Pick, Wanted};
-use super::{Choice, EndpointKey, ShardMode};
+pub(super) use self::pick::{Pick, PickCriteria};
+use super::{EndpointKey, SelectionReason, ShardMode};
 use crate::{
     endpoint::Endpoint,
     health::{Candidate, Health, Standing},
@@ -30,16 +30,16 @@
 const CAREFUL_DIVISOR: u32 = 4;
 /// Part of an endpoint's slots that is used while a predecessor's work may
 /// still run, as a divisor.
-const SETTLING_DIVISOR: u32 = 2;
+const TAKEOVER_DIVISOR: u32 = 2;
 /// One of so many idempotent requests treats a suspect endpoint like others,
 /// so that the evidence for or against it goes on.
 const EXPLORE_ONE_IN: u32 = 8;
 
 /// Slots of one endpoint.
 #[derive(Clone, Debug)]
-pub(super) struct Slots {
+pub(super) struct PoolEntry {
     pub(super) endpoint: Endpoint,
-    pub(super) standing: Standing,
+    pub(super) health_status: Standing,
     pub(super) in_flight: u32,
     /// Share of its slots that the endpoint may use.
     share: f64,
@@ -47,8 +47,8 @@
     pub(super) limit: u32,
     is_configured: bool,
     adaptive: AdaptiveLimit,
-    foreign: u32,
-    foreign_until: Time,
+    predecessor_in_flight: u32,
+    predecessor_until: Time,
     /// How likely the next request fails for a reason that another endpoint would spare
     /// it, and when the last answer was seen.
     risk: f64,
@@ -60,15 +60,15 @@
     /// What may be sent in a second, if the endpoint ever named a limit.
     rate: Option<SharedRate>,
     /// Whether its limit leaves no room for requests of this VM.
-    is_left_to_others: bool,
+    is_reserved_for_peers: bool,
     /// Requests that other VMs have in flight, each count with its last moment.
-    peers: Vec<(Name, u32, Time)>,
+    peer_counts: Vec<(Name, u32, Time)>,
 }
 
-impl Slots {
+impl PoolEntry {
     /// Returns how many requests the other VMs have in flight.
-    fn peer_count(&self) -> u32 {
-        self.peers.iter().map(|(_, count, _)| count).sum()
+    fn peer_in_flight(&self) -> u32 {
+        self.peer_counts.iter().map(|(_, count, _)| count).sum()
     }
 
     /// Returns whether it gets work and has a slot for one more request now.
@@ -84,10 +84,10 @@
 
     fn accepts_work(&self) -> bool {
         self.is_configured
-            && !self.is_left_to_others
+            && !self.is_reserved_for_peers
             && !self.endpoint.leaving
             && self.share > 0.0
-            && !matches!(self.standing, Standing::Ejected | Standing::Draining)
+            && !matches!(self.health_status, Standing::Ejected | Standing::Draining)
     }
 }
 
@@ -98,10 +98,10 @@
 /// The endpoints of a shard with the slots in use.
 #[derive(Clone, Debug)]
 pub(super) struct Pool {
-    slots: BTreeMap<Name, Slots>,
+    endpoints: BTreeMap<Name, PoolEntry>,
     by_key: FxHashMap<EndpointKey, Name>,
     mode: ShardMode,
-    settled_at: Time,
+    limits_halved_until: Time,
     in_flight: u32,
     in_flight_limit: u32,
     capacity: u32,
@@ -109,36 +109,36 @@
     limited_per_second: f64,
     rate_share: RateShare,
     /// Slots whose attempt ended without an answer, by the time they are free.
-    lingering: BTreeSet<(Time, u64, Name)>,
+    delayed_releases: BTreeSet<(Time, u64, Name)>,
     next_serial: u64,
     /// Endpoints whose requests in flight have changed.
     changed: Vec<Name>,
     /// Whether endpoints are ranked by how likely they fail.
-    by_risk: bool,
+    is_ranked_by_risk: bool,
     mechanisms: Mechanisms,
     /// Data centre of this VM.
-    home: Option<Name>,
+    local_data_centre: Option<Name>,
     rng: Pcg32,
 }
 
 impl Pool {
     pub(super) fn new(mode: ShardMode, seed: u64, mechanisms: Mechanisms) -> Pool {
         Pool {
-            slots: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             by_key: FxHashMap::default(),
             mode,
-            settled_at: Time::ZERO,
+            limits_halved_until: Time::ZERO,
             in_flight: 0,
             in_flight_limit: 0,
             capacity: 0,
             limited_per_second: 0.0,
             rate_share: RateShare::default(),
-            lingering: BTreeSet::new(),
+            delayed_releases: BTreeSet::new(),
             next_serial: 0,
             changed: Vec::new(),
-            by_risk: false,
+            is_ranked_by_risk: false,
             mechanisms,
-            home: None,
+            local_data_centre: None,
             rng: Pcg32::seed_from_u64(seed),
         }
     }
@@ -156,93 +156,94 @@
     /// A predecessor that didn't hand over may still have work in flight,
     /// which would show as slots used twice and as sheds. Its work ends
     /// within a request's time allowed, which bounds the wait.
-    pub(super) fn settle_until(&mut self, until: Time) {
-        self.settled_at = until;
+    pub(super) fn halve_limits_until(&mut self, until: Time) {
+        self.limits_halved_until = until;
     }
 
     /// Has endpoints ranked by how likely they fail; those known so far aren't
     /// new.
-    pub(super) fn rank_by_risk(&mut self, home: Option<Name>) {
-        self.by_risk = true;
-        self.home = home;
-        self.slots.values_mut().for_each(|slots| slots.is_untried = false);
+    pub(super) fn rank_by_risk(&mut self, local_data_centre: Option<Name>) {
+        self.is_ranked_by_risk = true;
+        self.local_data_centre = local_data_centre;
+        self.endpoints.values_mut().for_each(|entry| entry.is_untried = false);
     }
 
     /// Takes the endpoints of the configuration. One that is gone keeps its
     /// slots in use until they are released, and gets no new work.
     pub(super) fn set_endpoints<'a>(&mut self, endpoints: impl Iterator<Item = &'a Endpoint>) {
-        for slots in self.slots.values_mut() {
-            slots.is_configured = false;
+        for entry in self.endpoints.values_mut() {
+            entry.is_configured = false;
         }
         for endpoint in endpoints {
-            let slots = self.slots.entry(endpoint.name.clone()).or_insert_with(|| Slots {
+            let entry = self.endpoints.entry(endpoint.name.clone()).or_insert_with(|| PoolEntry {
                 endpoint: endpoint.clone(),
-                standing: Standing::Healthy,
+                health_status: Standing::Healthy,
                 in_flight: 0,
                 share: 1.0,
                 limit: 0,
                 is_configured: true,
                 adaptive: AdaptiveLimit::new(endpoint.slots),
-                foreign: 0,
-                foreign_until: Time::ZERO,
+                predecessor_in_flight: 0,
+                predecessor_until: Time::ZERO,
                 risk: 0.0,
                 last_seen: None,
                 last_sent: Time::ZERO,
                 is_untried: self.mechanisms.joiners_first,
                 rate: None,
-                is_left_to_others: false,
-                peers: Vec::new(),
+                is_reserved_for_peers: false,
+                peer_counts: Vec::new(),
             });
-            slots.is_configured = true;
-            slots.adaptive.set_max(endpoint.slots);
-            slots.endpoint = endpoint.clone();
+            entry.is_configured = true;
+            entry.adaptive.set_max(endpoint.slots);
+            entry.endpoint = endpoint.clone();
         }
-        self.slots.retain(|_, slots| slots.is_configured || slots.in_flight > 0);
-        self.by_key = self.slots.keys().map(|name| (EndpointKey::of(name), name.clone())).collect();
+        self.endpoints.retain(|_, entry| entry.is_configured || entry.in_flight > 0);
+        self.by_key =
+            self.endpoints.keys().map(|name| (EndpointKey::of(name), name.clone())).collect();
     }
 
     /// Returns the endpoint that other VMs mean by a key.
-    pub(super) fn name_of(&self, key: EndpointKey) -> Option<Name> {
+    pub(super) fn endpoint_by_key(&self, key: EndpointKey) -> Option<Name> {
         self.by_key.get(&key).cloned()
     }
 
     pub(super) fn candidates(&self) -> Vec<Candidate> {
         self.configured()
-            .map(|slots| Candidate {
-                name: slots.endpoint.name.clone(),
-                leaving: slots.endpoint.leaving,
+            .map(|entry| Candidate {
+                name: entry.endpoint.name.clone(),
+                leaving: entry.endpoint.leaving,
             })
             .collect()
     }
 
     /// Works out the limits anew.
     pub(super) fn refresh(&mut self, now: Time, health: &Health) {
-        let is_settling = now < self.settled_at;
+        let are_limits_halved = now < self.limits_halved_until;
         let mut all_slots = 0;
         self.capacity = 0;
         self.limited_per_second = 0.0;
         let share = self.rate_share;
-        for (name, slots) in &mut self.slots {
-            slots.standing = health.standing(name);
-            if now >= slots.foreign_until {
-                slots.foreign = 0;
+        for (name, entry) in &mut self.endpoints {
+            entry.health_status = health.standing(name);
+            if now >= entry.predecessor_until {
+                entry.predecessor_in_flight = 0;
             }
-            slots.peers.retain(|(_, _, until)| now < *until);
-            slots.risk = health.avoidable_risk(now, name);
-            slots.last_seen = health.last_seen(name);
-            slots.last_sent = slots.last_sent.max(slots.last_seen.unwrap_or(Time::ZERO));
-            slots.is_untried &= slots.last_seen.is_none();
-            slots.share = health.share(now, name);
-            slots.limit = limit(slots, self.mode, is_settling);
-            let rate_limit = slots.rate_limit();
-            slots.is_left_to_others = rate_limit.is_some() && share.part == 0.0;
+            entry.peer_counts.retain(|(_, _, until)| now < *until);
+            entry.risk = health.avoidable_risk(now, name);
+            entry.last_seen = health.last_seen(name);
+            entry.last_sent = entry.last_sent.max(entry.last_seen.unwrap_or(Time::ZERO));
+            entry.is_untried &= entry.last_seen.is_none();
+            entry.share = health.share(now, name);
+            entry.limit = limit(entry, self.mode, are_limits_halved);
+            let rate_limit = entry.rate_limit();
+            entry.is_reserved_for_peers = rate_limit.is_some() && share.part == 0.0;
             match rate_limit {
-                _ if !slots.accepts_work() => {}
+                _ if !entry.accepts_work() => {}
                 Some(limit) => self.limited_per_second += limit.used_per_second(share.part),
-                None => self.capacity += slots.limit,
+                None => self.capacity += entry.limit,
             }
-            if slots.is_configured {
-                all_slots += slots.endpoint.slots;
+            if entry.is_configured {
+                all_slots += entry.endpoint.slots;
             }
         }
         self.in_flight_limit = match self.mode {
@@ -259,25 +260,25 @@
     }
 
     /// Returns the slots of the endpoints that get work and fail at most that likely.
-    pub(super) fn slots_within(&self, max_risk: f64) -> u32 {
-        let within = |slots: &&Slots| slots.accepts_work() && slots.risk <= max_risk;
-        self.slots.values().filter(within).map(|slots| slots.endpoint.slots).sum()
+    pub(super) fn slots_at_risk_up_to(&self, max_risk: f64) -> u32 {
+        let within = |entry: &&PoolEntry| entry.accepts_work() && entry.risk <= max_risk;
+        self.endpoints.values().filter(within).map(|entry| entry.endpoint.slots).sum()
     }
 
     /// Returns the number of endpoints that get work.
-    pub(super) fn usable(&self, idempotent: bool) -> usize {
-        self.slots
+    pub(super) fn usable_endpoints(&self, idempotent: bool) -> usize {
+        self.endpoints
             .values()
-            .filter(|slots| slots.accepts_work())
-            .filter(|slots| idempotent || slots.standing != Standing::Trial)
+            .filter(|entry| entry.accepts_work())
+            .filter(|entry| idempotent || entry.health_status != Standing::Trial)
             .count()
     }
 
     pub(super) fn has_free_slot(&self, now: Time) -> bool {
-        let is_free = |slots: &Slots| {
-            slots.is_free(now, self.rate_share) && slots.standing != Standing::Trial
+        let is_free = |entry: &PoolEntry| {
+            entry.is_free(now, self.rate_share) && entry.health_status != Standing::Trial
         };
-        self.in_flight < self.in_flight_limit && self.slots.values().any(is_free)
+        self.in_flight < self.in_flight_limit && self.endpoints.values().any(is_free)
     }
 
     /// Chooses the endpoint of an attempt among those with a free slot.
@@ -285,82 +286,84 @@
     /// Least loaded first. A suspect endpoint is handicapped by a slot for
     /// idempotent requests and comes last for others, which can't be mended
     /// by a retry.
-    pub(super) fn pick(&mut self, wanted: Wanted<'_>) -> Option<Pick> {
+    pub(super) fn pick(&mut self, criteria: PickCriteria<'_>) -> Option<Pick> {
         if self.in_flight >= self.in_flight_limit {
             return None;
         }
-        if self.by_risk {
-            return self.pick_by_risk(wanted);
+        if self.is_ranked_by_risk {
+            return self.pick_by_risk(criteria);
         }
-        let explores = wanted.idempotent && self.rng.next_u32().is_multiple_of(EXPLORE_ONE_IN);
-        let mut best: Option<(PickOrder, &Slots)> = None;
-        for slots in self.slots.values() {
-            if !slots.is_free(wanted.now, self.rate_share) {
+        let is_exploring =
+            criteria.idempotent && self.rng.next_u32().is_multiple_of(EXPLORE_ONE_IN);
+        let mut best: Option<(PickOrder, &PoolEntry)> = None;
+        for entry in self.endpoints.values() {
+            if !entry.is_free(criteria.now, self.rate_share) {
                 continue;
             }
-            let is_tried = wanted.tried.contains(&slots.endpoint.name);
-            if is_tried && !wanted.allow_tried {
+            let is_tried = criteria.tried.contains(&entry.endpoint.name);
+            if is_tried && !criteria.allow_already_tried {
                 continue;
             }
-            let is_trial = slots.standing == Standing::Trial;
-            if is_trial && (is_tried || !wanted.idempotent || !wanted.may_try) {
+            let is_trial = entry.health_status == Standing::Trial;
+            if is_trial && (is_tried || !criteria.idempotent || !criteria.allow_trial) {
                 continue;
             }
-            let rank = match slots.standing {
+            let rank = match entry.health_status {
                 Standing::Suspect => 1,
                 Standing::HeldByFloor => 2,
                 _ => 0,
             };
-            let (order, handicap) = match (wanted.idempotent, explores) {
+            let (order, handicap) = match (criteria.idempotent, is_exploring) {
                 (false, _) => (rank, 0),
                 (true, false) => (0, rank),
                 (true, true) => (0, 0),
             };
             let load = match is_trial {
                 true => 0,
-                false => 1 + (slots.in_flight + handicap) * 1000 / slots.limit.max(1),
+                false => 1 + (entry.in_flight + handicap) * 1000 / entry.limit.max(1),
             };
             let key = (is_tried, order, load, self.rng.next_u32());
             if best.as_ref().is_none_or(|(best_key, _)| key < *best_key) {
-                best = Some((key, slots));
+                best = Some((key, entry));
             }
         }
-        best.map(|(_, slots)| Pick::of(slots, Choice::Best))
+        best.map(|(_, entry)| Pick::of(entry, SelectionReason::Best))
     }
 
     /// Returns the address of an endpoint that is configured.
     pub(super) fn address(&self, name: &str) -> Option<SocketAddr> {
-        let slots = self.slots.get(name).filter(|slots| slots.is_configured)?;
-        Some(slots.endpoint.address)
+        let entry = self.endpoints.get(name).filter(|entry| entry.is_configured)?;
+        Some(entry.endpoint.address)
     }
 
     /// Returns whether a health check would keep within the endpoint's slots.
     pub(super) fn may_probe(&self, name: &str) -> bool {
-        self.slots.get(name).is_some_and(|slots| {
-            slots.is_configured
-                && slots.in_flight + slots.foreign + slots.peer_count() < slots.endpoint.slots
+        self.endpoints.get(name).is_some_and(|entry| {
+            entry.is_configured
+                && entry.in_flight + entry.predecessor_in_flight + entry.peer_in_flight()
+                    < entry.endpoint.slots
         })
     }
 
     pub(super) fn acquire(&mut self, now: Time, name: &str) {
-        if let Some(slots) = self.slots.get_mut(name) {
-            slots.last_sent = now;
-            slots.in_flight += 1;
+        if let Some(entry) = self.endpoints.get_mut(name) {
+            entry.last_sent = now;
+            entry.in_flight += 1;
             self.in_flight += 1;
-            if let Some(rate) = &mut slots.rate {
+            if let Some(rate) = &mut entry.rate {
                 rate.on_sent(now, self.rate_share, self.rng.random());
             }
-            self.changed.push(slots.endpoint.name.clone());
+            self.changed.push(entry.endpoint.name.clone());
         }
     }
 
     pub(super) fn release(&mut self, name: &str) {
-        let Some(slots) = self.slots.get_mut(name) else { return };
-        slots.in_flight -= 1;
+        let Some(entry) = self.endpoints.get_mut(name) else { return };
+        entry.in_flight -= 1;
         self.in_flight -= 1;
-        self.changed.push(slots.endpoint.name.clone());
-        if !slots.is_configured && slots.in_flight == 0 {
-            self.slots.remove(name);
+        self.changed.push(entry.endpoint.name.clone());
+        if !entry.is_configured && entry.in_flight == 0 {
+            self.endpoints.remove(name);
         }
     }
 
@@ -372,41 +375,41 @@
     /// the usual service time.
     pub(super) fn release_later(&mut self, name: &Name, until: Time) {
         self.next_serial += 1;
-        self.lingering.insert((until, self.next_serial, name.clone()));
+        self.delayed_releases.insert((until, self.next_serial, name.clone()));
     }
 
     pub(super) fn release_due(&mut self, now: Time) {
-        while self.lingering.first().is_some_and(|(until, ..)| *until <= now) {
-            if let Some((_, _, name)) = self.lingering.pop_first() {
+        while self.delayed_releases.first().is_some_and(|(until, ..)| *until <= now) {
+            if let Some((_, _, name)) = self.delayed_releases.pop_first() {
                 self.release(&name);
             }
         }
     }
 
     pub(super) fn on_success(&mut self, name: &str) {
-        if let Some(slots) = self.slots.get_mut(name) {
-            slots.adaptive.on_success();
+        if let Some(entry) = self.endpoints.get_mut(name) {
+            entry.adaptive.on_success();
         }
     }
 
     pub(super) fn on_shed(&mut self, now: Time, name: &str, round: Duration) {
         let adapts = self.mechanisms.adaptive_limits;
-        if let Some(slots) = self.slots.get_mut(name).filter(|_| adapts) {
-            slots.adaptive.on_shed(now, round);
+        if let Some(entry) = self.endpoints.get_mut(name).filter(|_| adapts) {
+            entry.adaptive.on_shed(now, round);
         }
     }
 
     /// Counts a predecessor's requests against an endpoint until `until`.
-    pub(super) fn set_foreign(&mut self, name: &str, in_flight: u32, until: Time) {
-        if let Some(slots) = self.slots.get_mut(name) {
-            slots.foreign = in_flight;
-            slots.foreign_until = until;
+    pub(super) fn set_predecessor_in_flight(&mut self, name: &str, in_flight: u32, until: Time) {
+        if let Some(entry) = self.endpoints.get_mut(name) {
+            entry.predecessor_in_flight = in_flight;
+            entry.predecessor_until = until;
         }
     }
 
     /// Sets how many requests another VM has in flight, to be believed until
     /// `until`.
-    pub(super) fn set_peer_count(
+    pub(super) fn set_peer_in_flight(
         &mut self,
         now: Time,
         name: &str,
@@ -414,20 +417,20 @@
         count: u32,
         until: Time,
     ) {
-        let Some(slots) = self.slots.get_mut(name) else { return };
-        let before = slots.peers.iter().find(|(other, ..)| other == peer);
+        let Some(entry) = self.endpoints.get_mut(name) else { return };
+        let before = entry.peer_counts.iter().find(|(other, ..)| other == peer);
         if count > before.map_or(0, |(_, count, _)| *count) {
-            slots.last_sent = now;
+            entry.last_sent = now;
         }
-        slots.peers.retain(|(other, ..)| other != peer);
+        entry.peer_counts.retain(|(other, ..)| other != peer);
         if count > 0 {
-            slots.peers.push((peer.clone(), count, until));
+            entry.peer_counts.push((peer.clone(), count, until));
         }
     }
 
     /// Returns how many requests this VM has in flight at an endpoint.
     pub(super) fn in_flight_at(&self, name: &str) -> u32 {
-        self.slots.get(name).map_or(0, |slots| slots.in_flight)
+        self.endpoints.get(name).map_or(0, |entry| entry.in_flight)
     }
 
     /// Takes the endpoints whose requests in flight have changed, each once.
@@ -443,30 +446,32 @@
         self.rng.next_u64() % bound.max(1)
     }
 
-    pub(super) fn configured(&self) -> impl Iterator<Item = &Slots> {
-        self.slots.values().filter(|slots| slots.is_configured)
+    pub(super) fn configured(&self) -> impl Iterator<Item = &PoolEntry> {
+        self.endpoints.values().filter(|entry| entry.is_configured)
     }
 
     pub(super) fn in_use(&self) -> impl Iterator<Item = (&Name, u32)> {
-        self.slots
+        self.endpoints
             .iter()
-            .filter(|(_, slots)| slots.in_flight > 0)
-            .map(|(name, slots)| (name, slots.in_flight))
+            .filter(|(_, entry)| entry.in_flight > 0)
+            .map(|(name, entry)| (name, entry.in_flight))
     }
 }
 
-fn limit(slots: &Slots, mode: ShardMode, is_settling: bool) -> u32 {
-    if !slots.accepts_work() || slots.endpoint.slots == 0 {
+fn limit(entry: &PoolEntry, mode: ShardMode, are_limits_halved: bool) -> u32 {
+    if !entry.accepts_work() || entry.endpoint.slots == 0 {
         return 0;
     }
-    let all = slots.endpoint.slots;
-    let mut limit = ((f64::from(all) * slots.share) as u32).clamp(1, all);
-    limit = limit.min(slots.adaptive.value().max(1));
-    if is_settling {
-        limit = limit.min((all / SETTLING_DIVISOR).max(1));
+    let all = entry.endpoint.slots;
+    let mut limit = ((f64::from(all) * entry.share) as u32).clamp(1, all);
+    limit = limit.min(entry.adaptive.value().max(1));
+    if are_limits_halved {
+        limit = limit.min((all / TAKEOVER_DIVISOR).max(1));
     }
-    if mode == ShardMode::Careful || slots.standing == Standing::Trial {
+    if mode == ShardMode::Careful || entry.health_status == Standing::Trial {
         limit = 1;
     }
-    limit.min(all.saturating_sub(slots.foreign)).saturating_sub(slots.peer_count())
+    limit
+        .min(all.saturating_sub(entry.predecessor_in_flight))
+        .saturating_sub(entry.peer_in_flight())
 }
--- a/crates/pistachiotrack-core/src/shard/pool/rates.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
@@ -31,12 +31,12 @@
         sent_at: Time,
         limit: Option<RateLimit>,
     ) -> bool {
-        let Some(slots) = self.slots.get_mut(name) else { return false };
-        match (&mut slots.rate, limit) {
+        let Some(entry) = self.endpoints.get_mut(name) else { return false };
+        match (&mut entry.rate, limit) {
             (Some(rate), limit) => rate.on_answer(sent_at, limit),
             (None, Some(limit)) => {
-                let (share, turn) = (self.rate_share, self.rng.random());
-                slots.rate = Some(SharedRate::new(now, sent_at, limit, share, turn));
+                let (share, phase) = (self.rate_share, self.rng.random());
+                entry.rate = Some(SharedRate::new(now, sent_at, limit, share, phase));
                 true
             }
             (None, None) => false,
@@ -44,21 +44,21 @@
     }
 
     /// Takes what another VM has sent to an endpoint that names a limit.
-    pub(in crate::shard) fn on_peer_rate(&mut self, now: Time, name: &str, peer: &Name, sent: u32) {
-        if let Some(rate) = self.slots.get_mut(name).and_then(|slots| slots.rate.as_mut()) {
+    pub(in crate::shard) fn on_peer_sent(&mut self, now: Time, name: &str, peer: &Name, sent: u32) {
+        if let Some(rate) = self.endpoints.get_mut(name).and_then(|entry| entry.rate.as_mut()) {
             rate.on_peer(now, peer, sent, self.rate_share, self.rng.random());
         }
     }
 
     /// Returns what other VMs are told of an endpoint that names a limit.
-    pub(in crate::shard) fn rate_news(&self, now: Time, name: &str) -> Option<RateNews> {
-        self.slots.get(name).and_then(|slots| slots.rate.as_ref()?.news(now))
+    pub(in crate::shard) fn rate_update(&self, now: Time, name: &str) -> Option<RateNews> {
+        self.endpoints.get(name).and_then(|entry| entry.rate.as_ref()?.news(now))
     }
 
     /// Returns all endpoints that name a limit.
     pub(in crate::shard) fn rate_limits(&self, now: Time) -> Vec<(EndpointKey, RateNews)> {
-        let limited = self.slots.iter().filter_map(|(name, slots)| {
-            Some((EndpointKey::of(name), slots.rate.as_ref()?.news(now)?))
+        let limited = self.endpoints.iter().filter_map(|(name, entry)| {
+            Some((EndpointKey::of(name), entry.rate.as_ref()?.news(now)?))
         });
         limited.collect()
     }
--- a/crates/pistachiotrack-core/src/shard/rates.rs
+++ b/crates/pistachiotrack-core/src/shard/rate_limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{
-    EndedAttempt, EndpointKey, EndpointNews, Shard, ShardAction, ShardMode, state::Attempt,
+    EndedAttempt, EndpointKey, EndpointUpdate, Shard, ShardAction, ShardMode, state::AttemptState,
 };
 use crate::{
     name::Name,
@@ -14,22 +14,22 @@
 };
 
 /// Part of a limit that a VM uses in the place of an owner that it can't reach.
-const CAREFUL_PART: f64 = 0.25;
+const CAREFUL_SHARE: f64 = 0.25;
 
 impl Shard {
     /// Takes whether an answer names a limit. A failure without one says nothing: it may not be
     /// the endpoint's own.
-    pub(super) fn on_answered_limit(
+    pub(super) fn record_answered_limit(
         &mut self,
         now: Time,
-        of: &Attempt,
+        state: &AttemptState,
         outcome: Outcome,
         limit: Option<RateLimit>,
     ) {
         let is_success =
             matches!(outcome, Outcome::Answered { status, .. } if status < FIRST_FAILURE_STATUS);
         if limit.is_some() || is_success {
-            self.on_rate_limit(now, &of.endpoint, of.dispatched_at, limit);
+            self.on_rate_limit(now, &state.endpoint, state.dispatched_at, limit);
         }
     }
 
@@ -41,23 +41,23 @@
         limit: Option<RateLimit>,
     ) {
         if self.pool.on_rate_limit(now, endpoint, sent_at, limit) {
-            self.out.push(ShardAction::RateLimit { endpoint: endpoint.clone(), limit });
+            self.pending_actions.push(ShardAction::RateLimit { endpoint: endpoint.clone(), limit });
         }
     }
 
     /// Takes what another VM says of an endpoint's limit, and how much it has sent.
-    pub(super) fn on_rate_news(
+    pub(super) fn on_peer_rate_limit(
         &mut self,
         now: Time,
         from: &Name,
         endpoint: &Name,
-        told: &EndpointNews,
+        update: &EndpointUpdate,
     ) {
-        if let Some(rate) = told.rate {
-            self.on_rate_limit(now, endpoint, named_at(now, rate), Some(rate.limit));
-            return self.pool.on_peer_rate(now, endpoint, from, rate.sent);
+        if let Some(rate) = update.rate {
+            self.on_rate_limit(now, endpoint, request_sent_at(now, rate), Some(rate.limit));
+            return self.pool.on_peer_sent(now, endpoint, from, rate.sent);
         }
-        let success = told.ended.filter(|ended| !ended.ending.is_failure());
+        let success = update.ended.filter(|ended| !ended.result.is_failure());
         if let Some(EndedAttempt { latency_us, age_us, .. }) = success {
             let sent_at = now.before(Duration::from_micros(latency_us.saturating_add(age_us)));
             self.on_rate_limit(now, endpoint, sent_at, None);
@@ -65,10 +65,10 @@
     }
 
     /// Takes the limits that another VM knows of.
-    pub(super) fn on_rates(&mut self, now: Time, rates: &[(EndpointKey, RateNews)]) {
+    pub(super) fn on_snapshot_rate_limits(&mut self, now: Time, rates: &[(EndpointKey, RateNews)]) {
         for (key, rate) in rates {
-            if let Some(endpoint) = self.pool.name_of(*key) {
-                self.on_rate_limit(now, &endpoint, named_at(now, *rate), Some(rate.limit));
+            if let Some(endpoint) = self.pool.endpoint_by_key(*key) {
+                self.on_rate_limit(now, &endpoint, request_sent_at(now, *rate), Some(rate.limit));
             }
         }
     }
@@ -78,9 +78,9 @@
     /// A VM that is no dispatcher isn't told what the others send, and leaves such endpoints
     /// to them. One that sees fewer dispatchers than there should be may be cut off from them.
     pub(super) fn rate_share(&mut self, in_view: DispatchersInView) -> RateShare {
-        let Some(budget) = self.retries.fleet() else {
+        let Some(budget) = self.retry_budget.fleet() else {
             let is_careful = self.pool.mode() == ShardMode::Careful;
-            let part = if is_careful { CAREFUL_PART } else { 1.0 };
+            let part = if is_careful { CAREFUL_SHARE } else { 1.0 };
             return RateShare { part, is_alone: true };
         };
         if in_view.count == 0 {
@@ -94,6 +94,6 @@
 }
 
 /// Returns when the request was sent whose answer named a limit.
-fn named_at(now: Time, rate: RateNews) -> Time {
+fn request_sent_at(now: Time, rate: RateNews) -> Time {
     now.before(Duration::from_millis(u64::from(rate.age_ms)))
 }
--- a/crates/pistachiotrack-core/src/shard/retries.rs
+++ b/crates/pistachiotrack-core/src/shard/retry_budget.rs
@@ -11,17 +11,22 @@
 
 /// The budget of a shard.
 #[derive(Clone, Debug)]
-pub(super) enum Retries {
+pub(super) enum ShardRetryBudget {
     /// That of an owner, who sends all of the shard's requests.
     Owner(RetryBudget),
     /// One that the dispatchers of a shared service keep together.
     Fleet(FleetBudget),
 }
 
-impl Retries {
-    pub(super) fn new(now: Time, settings: &ShardSettings, config: &Config, name: &str) -> Retries {
-        let mut retries = Retries::Owner(RetryBudget::new(now, BudgetSettings::default()));
-        let Some(service) = config.service(name) else { return retries };
+impl ShardRetryBudget {
+    pub(super) fn new(
+        now: Time,
+        settings: &ShardSettings,
+        config: &Config,
+        name: &str,
+    ) -> ShardRetryBudget {
+        let mut retry_budget = ShardRetryBudget::Owner(RetryBudget::new(now, BudgetSettings::default()));
+        let Some(service) = config.service(name) else { return retry_budget };
         if let (true, Some(limit)) = (service.is_shared(), service.retry_limit) {
             // A shard that this process begins once more counts anew.
             let begun = settings.seed ^ now.as_micros();
@@ -29,10 +34,10 @@
             let expected = expected_dispatchers(config, service);
             let mut budget = FleetBudget::new(now, limit, expected, count_id);
             budget.set_shares_out(settings.mechanisms.retry_shares);
-            retries = Retries::Fleet(budget);
+            retry_budget = ShardRetryBudget::Fleet(budget);
         }
-        retries.configure(now, config, service);
-        retries
+        retry_budget.configure(now, config, service);
+        retry_budget
     }
 
     /// Takes a new configuration; whether the service is shared stays as it was
@@ -40,8 +45,8 @@
     pub(super) fn configure(&mut self, now: Time, config: &Config, service: &Service) {
         let Some(limit) = service.retry_limit else { return };
         match self {
-            Retries::Owner(budget) => budget.set_settings(BudgetSettings::within(limit)),
-            Retries::Fleet(budget) => {
+            ShardRetryBudget::Owner(budget) => budget.set_settings(BudgetSettings::within(limit)),
+            ShardRetryBudget::Fleet(budget) => {
                 budget.configure(now, limit, expected_dispatchers(config, service));
             }
         }
@@ -49,21 +54,21 @@
 
     /// Notes a request that is sent for the first time.
     pub(super) fn on_request(&mut self, now: Time) {
-        if let Retries::Fleet(budget) = self {
+        if let ShardRetryBudget::Fleet(budget) = self {
             budget.on_request(now);
         }
     }
 
     /// Notes a whole answer.
     pub(super) fn on_success(&mut self) {
-        if let Retries::Owner(budget) = self {
+        if let ShardRetryBudget::Owner(budget) = self {
             budget.on_success();
         }
     }
 
     /// Notes a retry that is sent whatever the limit.
     pub(super) fn spend(&mut self, now: Time) {
-        if let Retries::Fleet(budget) = self {
+        if let ShardRetryBudget::Fleet(budget) = self {
             budget.spend(now);
         }
     }
@@ -71,8 +76,8 @@
     /// Takes one retry and returns whether there was one.
     pub(super) fn take(&mut self, now: Time) -> bool {
         match self {
-            Retries::Owner(budget) => budget.take(now),
-            Retries::Fleet(budget) => budget.take(now),
+            ShardRetryBudget::Owner(budget) => budget.take(now),
+            ShardRetryBudget::Fleet(budget) => budget.take(now),
         }
     }
 
@@ -80,16 +85,16 @@
     /// spare.
     pub(super) fn take_spare(&mut self, now: Time) -> bool {
         match self {
-            Retries::Owner(budget) => budget.take_spare(now),
-            Retries::Fleet(budget) => budget.take_spare(now),
+            ShardRetryBudget::Owner(budget) => budget.take_spare(now),
+            ShardRetryBudget::Fleet(budget) => budget.take_spare(now),
         }
     }
 
     /// Returns the budget that is kept together with other VMs, if it is one.
     pub(super) fn fleet(&mut self) -> Option<&mut FleetBudget> {
         match self {
-            Retries::Owner(_) => None,
-            Retries::Fleet(budget) => Some(budget),
+            ShardRetryBudget::Owner(_) => None,
+            ShardRetryBudget::Fleet(budget) => Some(budget),
         }
     }
 }
@@ -101,7 +106,7 @@
         self.dispatchers = in_view.count.max(1);
         let share = self.rate_share(in_view);
         self.pool.set_rate_share(share);
-        self.retries.fleet().is_some_and(|budget| budget.set_in_view(now, in_view))
+        self.retry_budget.fleet().is_some_and(|budget| budget.set_in_view(now, in_view))
     }
 }
 
--- a/crates/pistachiotrack-core/src/shard/state.rs
+++ b/crates/pistachiotrack-core/src/shard/state.rs
@@ -5,12 +5,12 @@
     name::Name,
     refusal::Execution,
     request::{AttemptId, Class, Request, RequestId},
-    shard::Ending,
+    shard::AttemptResult,
     time::Time,
 };
 
 /// Attempts of one request at most, those without a connection included.
-const MAX_TRIES: usize = 6;
+const MAX_DISPATCHES: usize = 6;
 
 /// Where a request without a final answer stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,14 +20,14 @@
     /// It waits for a slot.
     Queued,
     /// It waits for the answer of the first request with its key.
-    Joined,
+    AwaitingOriginal,
     /// At least one attempt is in flight.
     Running,
 }
 
 /// A request without a final answer.
 #[derive(Clone, Debug)]
-pub(super) struct Live {
+pub(super) struct PendingRequest {
     pub(super) arrived: Time,
     pub(super) request: Request,
     pub(super) phase: Phase,
@@ -36,31 +36,31 @@
     pub(super) in_flight: Vec<AttemptId>,
     pub(super) tried: Vec<Name>,
     /// Attempts that may have been run.
-    pub(super) sent: u32,
+    pub(super) possible_runs: u32,
     /// Whether an attempt that has ended may have been run.
     pub(super) may_have_run: bool,
     /// Whether the next attempt needs a new connection.
     pub(super) needs_fresh: bool,
     /// Whether a failure status has been retried.
-    pub(super) status_retried: bool,
+    pub(super) failure_status_retried: bool,
     /// Whether it is the first with its key.
-    pub(super) holds_key: bool,
+    pub(super) owns_key: bool,
 }
 
-impl Live {
-    pub(super) fn new(now: Time, request: Request) -> Live {
-        Live {
+impl PendingRequest {
+    pub(super) fn new(now: Time, request: Request) -> PendingRequest {
+        PendingRequest {
             arrived: now,
             not_after: request.deadline,
             request,
             phase: Phase::New,
             in_flight: Vec::new(),
             tried: Vec::new(),
-            sent: 0,
+            possible_runs: 0,
             may_have_run: false,
             needs_fresh: false,
-            status_retried: false,
-            holds_key: false,
+            failure_status_retried: false,
+            owns_key: false,
         }
     }
 
@@ -68,8 +68,8 @@
     ///
     /// Attempts that were certainly not run don't count, but a request that is
     /// refused everywhere must end some time.
-    pub(super) fn may_be_sent(&self) -> bool {
-        self.sent < self.request.max_attempts && self.tried.len() < MAX_TRIES
+    pub(super) fn can_be_dispatched(&self) -> bool {
+        self.possible_runs < self.request.max_attempts && self.tried.len() < MAX_DISPATCHES
     }
 
     /// Returns whether it may have run, be it by an attempt or by the first request with
@@ -80,7 +80,11 @@
     /// guard holds because no decision that refuses says by itself whether it ran.
     pub(super) fn execution(&self) -> Execution {
         let may_run = self.may_have_run || !self.in_flight.is_empty();
-        if may_run || self.phase == Phase::Joined { Execution::Unknown } else { Execution::NotRun }
+        if may_run || self.phase == Phase::AwaitingOriginal {
+            Execution::Unknown
+        } else {
+            Execution::NotRun
+        }
     }
 
     /// Returns whether it may be dispatched again as far as its runs go.
@@ -91,7 +95,7 @@
 
 /// An attempt whose slot is held.
 #[derive(Clone, Debug)]
-pub(super) struct Attempt {
+pub(super) struct AttemptState {
     /// The request, unless it is a health check.
     pub(super) request: Option<RequestId>,
     pub(super) customer: Option<Name>,
@@ -108,5 +112,5 @@
     /// Class of the request.
     pub(super) class: Class,
     /// What came of it and when, until the other VMs know.
-    pub(super) untold: Option<(Ending, Time)>,
+    pub(super) unreported: Option<(AttemptResult, Time)>,
 }
--- a/crates/pistachiotrack-core/src/shard/guests.rs
+++ b/crates/pistachiotrack-core/src/shard/subscribers.rs
@@ -8,16 +8,16 @@
 
 /// Time for which a VM that told something is told in turn: a VM that callers still
 /// use though it is no dispatcher any more must know what the others see.
-const GUEST_TIME: Duration = Duration::from_secs(2);
+const SUBSCRIPTION_TTL: Duration = Duration::from_secs(2);
 /// Messages within about that time from which on a VM is told: two or three requests
 /// a second. One with fewer asks for a picture when a request comes, which is less
 /// than all that a dispatcher has to tell.
-const BUSY_MESSAGES: f64 = 10.0;
+const MIN_MESSAGES: f64 = 10.0;
 /// Guests that are told at most, so that a fleet that has not found itself yet
 /// doesn't flood itself.
-const MAX_TOLD: usize = 16;
+const MAX_RECIPIENTS: usize = 16;
 /// VMs that are counted at most.
-const MAX_COUNTED: usize = 1_024;
+const MAX_TRACKED_VMS: usize = 1_024;
 
 /// The VMs that a dispatcher tells besides the other dispatchers.
 ///
@@ -28,46 +28,46 @@
 ///
 /// Only those of its own data centre: those elsewhere have dispatchers of their own.
 #[derive(Clone, Debug, Default)]
-pub struct Guests {
-    known: FxHashMap<SocketAddr, Guest>,
+pub struct Subscribers {
+    by_address: FxHashMap<SocketAddr, Subscriber>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Guest {
+struct Subscriber {
     is_nearby: bool,
     /// Messages so far, each counting less the longer ago it came.
     messages: f64,
-    at: Time,
+    last_at: Time,
 }
 
-impl Guest {
-    fn note(&mut self, now: Time) {
-        let age = now.since(self.at).as_secs_f64() / GUEST_TIME.as_secs_f64();
+impl Subscriber {
+    fn record(&mut self, now: Time) {
+        let age = now.since(self.last_at).as_secs_f64() / SUBSCRIPTION_TTL.as_secs_f64();
         self.messages = self.messages * (-age).exp() + 1.0;
-        self.at = now;
+        self.last_at = now;
     }
 
-    fn is_told(&self) -> bool {
-        self.is_nearby && self.messages >= BUSY_MESSAGES
+    fn is_recipient(&self) -> bool {
+        self.is_nearby && self.messages >= MIN_MESSAGES
     }
 }
 
-impl Guests {
+impl Subscribers {
     /// Notes that a VM told something; `is_nearby` says whether it is in this data
     /// centre, and is only asked about a VM that hasn't told anything lately.
-    pub fn note(&mut self, now: Time, vm: SocketAddr, is_nearby: impl FnOnce() -> bool) {
-        if let Some(guest) = self.known.get_mut(&vm) {
-            guest.note(now);
-        } else if self.known.len() < MAX_COUNTED {
-            let guest = Guest { is_nearby: is_nearby(), messages: 1.0, at: now };
-            self.known.insert(vm, guest);
+    pub fn record_update(&mut self, now: Time, vm: SocketAddr, is_nearby: impl FnOnce() -> bool) {
+        if let Some(subscriber) = self.by_address.get_mut(&vm) {
+            subscriber.record(now);
+        } else if self.by_address.len() < MAX_TRACKED_VMS {
+            let subscriber = Subscriber { is_nearby: is_nearby(), messages: 1.0, last_at: now };
+            self.by_address.insert(vm, subscriber);
         }
     }
 
     /// Returns the VMs that have to be told.
-    pub fn told(&mut self, now: Time) -> impl Iterator<Item = SocketAddr> {
-        self.known.retain(|_, guest| now < guest.at + GUEST_TIME);
-        let told = self.known.iter().filter(|(_, guest)| guest.is_told());
-        told.map(|(vm, _)| *vm).take(MAX_TOLD)
+    pub fn recipients(&mut self, now: Time) -> impl Iterator<Item = SocketAddr> {
+        self.by_address.retain(|_, subscriber| now < subscriber.last_at + SUBSCRIPTION_TTL);
+        let recipients = self.by_address.iter().filter(|(_, subscriber)| subscriber.is_recipient());
+        recipients.map(|(vm, _)| *vm).take(MAX_RECIPIENTS)
     }
 }
--- a/crates/pistachiotrack-core/src/shard/via.rs
+++ b/crates/pistachiotrack-core/src/shard/witness.rs
@@ -1,7 +1,7 @@
 //! Witnesses: VMs through which work goes to endpoints that only this VM can't
 //! reach.
 
-use super::{Shard, ShardAction, state::Attempt};
+use super::{Shard, ShardAction, state::AttemptState};
 use crate::{name::Name, request::Outcome, time::Time};
 
 impl Shard {
@@ -36,19 +36,19 @@
 
     /// Gives up a witness that did not do its part: the next one is used, and
     /// new ones are asked for when there is none.
-    pub(super) fn on_witness_outcome(&mut self, now: Time, of: &Attempt, outcome: Outcome) {
-        let (Outcome::WitnessFailed { .. }, Some(failed)) = (outcome, &of.via) else { return };
-        let Some(witnesses) = self.witnesses.get_mut(&of.endpoint) else { return };
+    pub(super) fn on_witness_outcome(&mut self, now: Time, state: &AttemptState, outcome: Outcome) {
+        let (Outcome::WitnessFailed { .. }, Some(failed)) = (outcome, &state.via) else { return };
+        let Some(witnesses) = self.witnesses.get_mut(&state.endpoint) else { return };
         witnesses.retain(|witness| witness != failed);
         if witnesses.is_empty() {
-            self.witnesses.remove(&of.endpoint);
-            let actions = self.health.on_witness_lost(now, &of.endpoint);
+            self.witnesses.remove(&state.endpoint);
+            let actions = self.health.on_witness_lost(now, &state.endpoint);
             self.on_health_actions(now, actions);
         }
     }
 
     /// Forgets the witnesses of endpoints that the configuration no longer has.
-    pub(super) fn forget_witnesses(&mut self) {
+    pub(super) fn remove_unused_witnesses(&mut self) {
         let pool = &self.pool;
         self.witnesses.retain(|endpoint, _| pool.address(endpoint).is_some());
     }
--- a/crates/pistachiotrack-core/tests/rate_limit.rs
+++ b/crates/pistachiotrack-core/tests/rate_limit.rs
@@ -9,7 +9,7 @@
     rate_limit::{RateLimit, RateNews, RateShare, SharedRate},
     request::{BodyEnd, Outcome, Report},
     retry::DispatchersInView,
-    shard::{EndpointNews, Shard, ShardAction, ShardNews},
+    shard::{EndpointUpdate, Shard, ShardAction, ShardUpdate},
     time::Time,
 };
 use rand::{RngExt, SeedableRng};
@@ -140,7 +140,7 @@
 }
 
 /// Sends a booking and has it answered; returns the endpoint and what the others are told.
-fn serve(shard: &mut Shard, now: Time, id: u64, limit: Option<&str>) -> (Name, Vec<ShardNews>) {
+fn serve(shard: &mut Shard, now: Time, id: u64, limit: Option<&str>) -> (Name, Vec<ShardUpdate>) {
     let mut actions = shard.on_request(now, booking(id, now));
     let sent = dispatched(&actions).expect("a slot is free");
     let outcome = Outcome::Answered { status: 200, fresh_connection: true };
@@ -164,8 +164,8 @@
     let mut told = news_of("endpoint-0", 0, Default::default());
     for sent in [3, 8] {
         let rate = Some(RateNews { limit: limit("1"), age_ms: 0, sent });
-        told.endpoints = vec![EndpointNews { rate, ..told.endpoints[0] }];
-        shard.on_news(now, &Name::from("vm-02"), &told);
+        told.endpoints = vec![EndpointUpdate { rate, ..told.endpoints[0] }];
+        shard.on_update(now, &Name::from("vm-02"), &told);
     }
     let soon = now + Duration::from_millis(500);
     assert_eq!(dispatched(&shard.on_request(soon, booking(2, soon))), None);
@@ -178,7 +178,7 @@
     let named = told.iter().flat_map(|news| &news.endpoints).find_map(|news| news.rate);
     assert_eq!(named.unwrap().limit, limit("2.5"));
     let mut other = dispatcher(2, true);
-    let said = |shard: &mut Shard, now, told: &[ShardNews]| {
+    let said = |shard: &mut Shard, now, told: &[ShardUpdate]| {
         let actions = shared_support::pass_on(shard, now, told);
         actions.into_iter().find_map(|action| match action {
             ShardAction::RateLimit { limit, .. } => Some(limit),
@@ -195,9 +195,9 @@
 fn a_vm_that_begins_learns_limits_with_the_picture() {
     let mut shard = dispatcher(2, true);
     serve(&mut shard, START, 1, Some("1"));
-    let picture = shard.picture(START);
+    let picture = shard.snapshot(START);
     let mut begins = dispatcher(2, true);
-    begins.on_picture(START, &picture);
+    begins.on_snapshot(START, &picture);
     let status = begins.endpoints(START);
     assert_eq!(status[0].rate_limit, Some(1.0));
 }
--- a/crates/pistachiotrack-core/tests/replaced_endpoint.rs
+++ b/crates/pistachiotrack-core/tests/replaced_endpoint.rs
@@ -102,7 +102,7 @@
     let (mut informed, mut guest) = (shard(4), shard(4));
     let (replaced, _) = turn_away(&mut informed, START);
     let mut now = START + Duration::from_millis(500);
-    guest.on_picture(now, &informed.picture(now));
+    guest.on_snapshot(now, &informed.snapshot(now));
     let chosen = send(&mut guest, &mut now, START + REGISTRY_LAG, lookup, &replaced);
     assert!(chosen.iter().all(|name| *name != replaced));
 }
@@ -116,7 +116,7 @@
     let later = START + Duration::from_secs(1);
     let dispatch = dispatched(&second.on_request(later, booking(1, later))).unwrap();
     end(&mut second, later, &dispatch, 200);
-    second.on_picture(later, &informed.picture(later));
+    second.on_snapshot(later, &informed.snapshot(later));
     assert!(dispatched(&second.on_request(later, booking(2, later))).is_some());
 }
 
--- a/crates/pistachiotrack-core/tests/shard_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shard_support/mod.rs
@@ -396,7 +396,7 @@
                     self.probes.push((attempt, endpoint))
                 }
                 ShardAction::CheckPath { endpoint, .. } => self.path_checks.push(endpoint),
-                ShardAction::Tell(news) => panic!("an owner told {news:?}"),
+                ShardAction::Broadcast(news) => panic!("an owner told {news:?}"),
                 ShardAction::RateLimit { .. } | ShardAction::Health(_) => {}
             }
         }
--- a/crates/pistachiotrack-core/tests/news.rs
+++ b/crates/pistachiotrack-core/tests/shard_updates.rs
@@ -60,5 +60,5 @@
     let actions = shard.on_request(at, late);
     let at = at + Duration::from_millis(9);
     let sent = dispatched(&actions).or_else(|| dispatched(&shard.on_tick(at)));
-    sent.expect("the booking is sent").grounds.risk_permille
+    sent.expect("the booking is sent").selection.risk_permille
 }
--- a/crates/pistachiotrack-core/tests/shared_shard.rs
+++ b/crates/pistachiotrack-core/tests/shared_shard.rs
@@ -11,7 +11,7 @@
     request::{BodyEnd, Outcome, Report, Request},
     retry::DispatchersInView,
     service::RetryLimit,
-    shard::{Dispatch, Served, Shard, ShardAction, ShardMode, ShardSettings},
+    shard::{Dispatch, RequestCounts, Shard, ShardAction, ShardMode, ShardSettings},
     time::Time,
 };
 use shared_support::{
@@ -49,10 +49,10 @@
 #[test]
 fn requests_of_other_vms_take_up_slots() {
     let mut shard = shard(1);
-    let news = news(SLOTS, Served::default());
+    let news = news(SLOTS, RequestCounts::default());
     pass_on(&mut shard, START, std::slice::from_ref(&news));
     assert_eq!(dispatched(&shard.on_request(START, booking(1, START))), None);
-    let freed = news_of("endpoint-0", SLOTS - 1, Served::default());
+    let freed = news_of("endpoint-0", SLOTS - 1, RequestCounts::default());
     assert!(dispatched(&pass_on(&mut shard, START, &[freed])).is_some());
 }
 
@@ -61,7 +61,7 @@
 #[test]
 fn the_count_of_a_silent_vm_runs_out() {
     let mut shard = shard(1);
-    let news = news(SLOTS, Served::default());
+    let news = news(SLOTS, RequestCounts::default());
     pass_on(&mut shard, START, &[news]);
     let later = START + Duration::from_secs(4);
     shard.on_tick(later);
@@ -80,7 +80,7 @@
         failing.get_or_insert(endpoint);
     }
     let mut new = shard(3);
-    new.on_picture(START, &old.picture(START));
+    new.on_snapshot(START, &old.snapshot(START));
     for id in 0..8 {
         assert_ne!(Some(answer(&mut new, START, id, 200).0), failing);
     }
@@ -228,7 +228,7 @@
 fn all_endpoints_get_work_while_much_is_lost() {
     let mut shard = shard(10);
     let mut now = START;
-    let told = news(0, Served { served: 4, lost: 1 });
+    let told = news(0, RequestCounts { served: 4, failed: 1 });
     let mut used = std::collections::BTreeSet::new();
     for id in 0..300 {
         now += Duration::from_millis(20);
@@ -251,13 +251,13 @@
     let mut used = std::collections::BTreeSet::new();
     for id in 0..300_u64 {
         now += Duration::from_millis(20);
-        let finished = match id % 20 {
-            0 => Served { served: 1, lost: 0 },
-            _ => Served { served: 4, lost: 1 },
+        let request_counts = match id % 20 {
+            0 => RequestCounts { served: 1, failed: 0 },
+            _ => RequestCounts { served: 4, failed: 1 },
         };
-        let news = news(0, finished);
+        let news = news(0, request_counts);
         let vm = if id % 20 == 0 { format!("guest-{id}") } else { "dispatcher".to_owned() };
-        shard.on_news(now, &Name::from(vm), &news);
+        shard.on_update(now, &Name::from(vm), &news);
         let (endpoint, _) = answer(&mut shard, now, id, 200);
         if id >= 200 {
             used.insert(endpoint);
@@ -289,7 +289,7 @@
     let actions = shard.on_config(START, &renamed(2_000));
     let new = dispatched(&actions).expect("the new incarnation has free slots");
     assert_ne!(new.endpoint, old[0].endpoint);
-    let fresh = new.grounds;
+    let fresh = new.selection;
     for one in &old {
         let broken = Outcome::Broken { fresh_connection: true };
         shard.on_outcome(START, one.attempt, broken, Report::default());
@@ -297,7 +297,7 @@
     end(&mut shard, START, &new, 200);
     let next = dispatched(&shard.on_request(START, booking(9, START))).unwrap();
     assert_eq!(next.endpoint, new.endpoint);
-    assert!(next.grounds.risk_permille < fresh.risk_permille, "{:?} {fresh:?}", next.grounds);
+    assert!(next.selection.risk_permille < fresh.risk_permille, "{:?} {fresh:?}", next.selection);
 }
 
 /// An endpoint resets what it is sent for some seconds. One VM loses a booking there.
@@ -309,7 +309,7 @@
     let broken = Outcome::Broken { fresh_connection: true };
     let actions = first.on_outcome(START, lost.attempt, broken, Report::default());
     for news in told(&actions) {
-        second.on_news(START, &Name::from("vm-1"), &news);
+        second.on_update(START, &Name::from("vm-1"), &news);
     }
     for id in 1..=6 {
         let next = dispatched(&second.on_request(START, booking(id, START))).unwrap();
@@ -330,10 +330,10 @@
     assert_ne!(second.endpoint, first.endpoint);
     end(&mut informed, now, &second, 200);
 
-    idle.on_picture_asked(now);
+    idle.on_snapshot_requested(now);
     assert_eq!(dispatched(&idle.on_request(now, booking(3, now))), None);
     now += Duration::from_millis(3);
-    let sent = dispatched(&idle.on_picture(now, &informed.picture(now))).unwrap();
+    let sent = dispatched(&idle.on_snapshot(now, &informed.snapshot(now))).unwrap();
     assert_eq!(sent.endpoint, second.endpoint);
 }
 
@@ -341,7 +341,7 @@
 #[test]
 fn a_request_does_not_wait_long_for_a_picture_that_does_not_come() {
     let mut idle = shard(2);
-    idle.on_picture_asked(START);
+    idle.on_snapshot_requested(START);
     assert_eq!(dispatched(&idle.on_request(START, booking(1, START))), None);
     let later = START + Duration::from_millis(20);
     assert!(dispatched(&idle.on_tick(later)).is_some());
@@ -358,8 +358,8 @@
     let settings = ShardSettings { mode, ..ShardSettings::default() };
     let mut shard = Shard::new(START, id.clone(), &config, settings);
     for index in 0..4 {
-        let news = news_of(&format!("endpoint-{index}"), SLOTS - 1, Served::default());
-        shard.on_news(START, &Name::from("vm-2"), &news);
+        let news = news_of(&format!("endpoint-{index}"), SLOTS - 1, RequestCounts::default());
+        shard.on_update(START, &Name::from("vm-2"), &news);
     }
     for id in 1..=4 {
         assert!(dispatched(&shard.on_request(START, booking(id, START))).is_some(), "{id}");
@@ -374,7 +374,7 @@
     let mut shard = shard(4);
     shard.set_dispatchers(START, DispatchersInView { count: 1, is_member: true });
     let sent = |shard: &mut Shard| {
-        let history = shard.picture(START + Duration::from_secs(20)).sent;
+        let history = shard.snapshot(START + Duration::from_secs(20)).sent;
         history.iter().map(|one| one.retries).sum::<u64>()
     };
     let mut now = START + Duration::from_secs(20);
--- a/crates/pistachiotrack-core/tests/shared_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shared_support/mod.rs
@@ -15,8 +15,8 @@
     retry::SentTotal,
     service::{RetryLimit, Service},
     shard::{
-        Dispatch, EndpointKey, EndpointNews, Served, Shard, ShardAction, ShardMode, ShardNews,
-        ShardSettings,
+        Dispatch, EndpointKey, EndpointUpdate, RequestCounts, Shard, ShardAction, ShardMode,
+        ShardSettings, ShardUpdate,
     },
     time::Time,
 };
@@ -98,26 +98,30 @@
     all_dispatched(&actions)
 }
 
-pub(crate) fn told(actions: &[ShardAction]) -> Vec<ShardNews> {
+pub(crate) fn told(actions: &[ShardAction]) -> Vec<ShardUpdate> {
     let news = actions.iter().filter_map(|action| match action {
-        ShardAction::Tell(news) => Some(news.clone()),
+        ShardAction::Broadcast(news) => Some(news.clone()),
         _ => None,
     });
     news.collect()
 }
 
 /// Returns what a VM tells of `endpoint-0`.
-pub(crate) fn news(in_flight: u32, finished: Served) -> ShardNews {
-    news_of("endpoint-0", in_flight, finished)
+pub(crate) fn news(in_flight: u32, request_counts: RequestCounts) -> ShardUpdate {
+    news_of("endpoint-0", in_flight, request_counts)
 }
 
 /// Returns what a VM tells of an endpoint.
-pub(crate) fn news_of(endpoint: &str, in_flight: u32, finished: Served) -> ShardNews {
-    ShardNews {
+pub(crate) fn news_of(
+    endpoint: &str,
+    in_flight: u32,
+    request_counts: RequestCounts,
+) -> ShardUpdate {
+    ShardUpdate {
         shard: ShardId { service: Name::from("booking"), index: 0 },
-        finished,
+        request_counts,
         sent: SentTotal::default(),
-        endpoints: vec![EndpointNews {
+        endpoints: vec![EndpointUpdate {
             endpoint: EndpointKey::of(endpoint),
             in_flight,
             ended: None,
@@ -127,7 +131,12 @@
 }
 
 /// Has a request answered with `status` and returns what the VM tells.
-pub(crate) fn answer(shard: &mut Shard, now: Time, id: u64, status: u16) -> (Name, Vec<ShardNews>) {
+pub(crate) fn answer(
+    shard: &mut Shard,
+    now: Time,
+    id: u64,
+    status: u16,
+) -> (Name, Vec<ShardUpdate>) {
     let dispatch = dispatched(&shard.on_request(now, booking(id, now))).unwrap();
     let outcome = Outcome::Answered { status, fresh_connection: true };
     let mut actions = shard.on_outcome(now, dispatch.attempt, outcome, Report::default());
@@ -135,7 +144,7 @@
     (dispatch.endpoint, told(&actions))
 }
 
-pub(crate) fn pass_on(to: &mut Shard, now: Time, news: &[ShardNews]) -> Vec<ShardAction> {
+pub(crate) fn pass_on(to: &mut Shard, now: Time, news: &[ShardUpdate]) -> Vec<ShardAction> {
     let from = Name::from("vm-02");
-    news.iter().flat_map(|news| to.on_news(now, &from, news)).collect()
+    news.iter().flat_map(|news| to.on_update(now, &from, news)).collect()
 }
--- a/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
@@ -124,7 +124,7 @@
         ShardAction::Replay { .. }
         | ShardAction::Probe { .. }
         | ShardAction::CheckPath { .. }
-        | ShardAction::Tell(_)
+        | ShardAction::Broadcast(_)
         | ShardAction::RateLimit { .. }
         | ShardAction::Health(_) => None,
     }
--- a/crates/pistachiotrackd/src/attempt.rs
+++ b/crates/pistachiotrackd/src/attempt.rs
@@ -7,7 +7,7 @@
 use pistachiotrack_core::{
     name::Name,
     request::{ConnectionChoice, Outcome, Report, remaining},
-    shard::{Dispatch, Grounds},
+    shard::{Dispatch, SelectionDetails},
 };
 
 use crate::{
@@ -30,7 +30,7 @@
     /// Its address, unless it was asked through another VM.
     pub(crate) address: Option<SocketAddr>,
     /// Why the endpoint was chosen.
-    pub(crate) grounds: Grounds,
+    pub(crate) grounds: SelectionDetails,
     /// Time from the dispatch to the outcome.
     pub(crate) took: Duration,
     /// What the shard is told.
@@ -84,7 +84,7 @@
     let mut end = AttemptEnd {
         endpoint: dispatch.endpoint.clone(),
         address: dispatch.via.is_none().then_some(dispatch.address),
-        grounds: dispatch.grounds,
+        grounds: dispatch.selection,
         took: context.clock.now().since(begun),
         outcome: Outcome::NotSent,
         report: Report::default(),
--- a/crates/pistachiotrackd/src/news_link.rs
+++ b/crates/pistachiotrackd/src/news_link.rs
@@ -15,7 +15,7 @@
     ownership::ShardId,
     rate_limit::RateNews,
     retry::{DispatchersInView, Sent},
-    shard::{EndpointKey, Guests, ShardNews, ShardPicture},
+    shard::{EndpointKey, ShardSnapshot, ShardUpdate, Subscribers},
     time::Time,
     vm::Vm,
 };
@@ -58,11 +58,11 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum NewsContent {
     /// What the sender does and sees.
-    Told(ShardNews),
+    Told(ShardUpdate),
     /// The sender has just begun with a shard and asks for a picture of it.
     Begun(ShardId),
     /// What the sender believes of the endpoints.
-    Picture(ShardPicture),
+    Picture(ShardSnapshot),
 }
 
 impl NewsContent {
@@ -93,7 +93,7 @@
     socket: Arc<UdpSocket>,
     view: watch::Receiver<Arc<FleetView>>,
     traffic: Arc<Traffic>,
-    guests: Mutex<Guests>,
+    guests: Mutex<Subscribers>,
     unused_logged_at: Mutex<Option<Time>>,
 }
 
@@ -138,7 +138,7 @@
     }
 
     /// Tells the other dispatchers, and the guests.
-    pub(crate) fn tell(&self, news: ShardNews) {
+    pub(crate) fn tell(&self, news: ShardUpdate) {
         let service = news.shard.service.clone();
         let Some(bytes) = self.encode(NewsContent::Told(news)) else { return };
         let view = Arc::clone(&self.view.borrow());
@@ -148,7 +148,7 @@
         }
         let now = self.clock.now();
         let mut guests = self.guests.lock().unwrap_or_else(PoisonError::into_inner);
-        for address in guests.told(now) {
+        for address in guests.recipients(now) {
             if dispatchers.iter().all(|vm| vm.peer_address != address) {
                 // Guests are of this data centre.
                 self.send(address, &bytes, Topic::News, Place::Near);
@@ -186,15 +186,15 @@
     }
 
     /// Sends a picture to the VM at an address, in as many datagrams as it takes.
-    pub(crate) fn answer(&self, to: SocketAddr, mut picture: ShardPicture) {
+    pub(crate) fn answer(&self, to: SocketAddr, mut picture: ShardSnapshot) {
         let place = self.view.borrow().place(to);
-        let beliefs = std::mem::take(&mut picture.beliefs);
+        let beliefs = std::mem::take(&mut picture.estimates);
         let mut parts: Vec<&[BeliefOf]> = beliefs.chunks(BELIEFS_PER_DATAGRAM).collect();
         if parts.is_empty() {
             // The VM that asks waits for an answer, and may need the retries sent.
             parts.push(&[]);
         }
-        let rates = std::mem::take(&mut picture.rates);
+        let rates = std::mem::take(&mut picture.rate_limits);
         for beliefs in parts {
             let sent = std::mem::take(&mut picture.sent);
             self.send_picture(to, place, picture.shard.clone(), beliefs, sent, &[]);
@@ -214,7 +214,7 @@
         rates: &[(EndpointKey, RateNews)],
     ) {
         let (beliefs, rates) = (beliefs.to_vec(), rates.to_vec());
-        let part = ShardPicture { shard, beliefs, sent, rates };
+        let part = ShardSnapshot { shard, estimates: beliefs, sent, rate_limits: rates };
         if let Some(bytes) = self.encode(NewsContent::Picture(part)) {
             self.send(to, &bytes, Topic::Picture, place);
         }
@@ -250,7 +250,7 @@
             return Err(NewsError::Sender(datagram.from));
         }
         let mut guests = self.guests.lock().unwrap_or_else(PoisonError::into_inner);
-        guests.note(self.clock.now(), from, || self.is_nearby(from));
+        guests.record_update(self.clock.now(), from, || self.is_nearby(from));
         Ok(datagram)
     }
 
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -321,7 +321,7 @@
             end.endpoint,
             self.inbound.route.idempotent,
             end.outcome,
-            end.grounds.choice,
+            end.grounds.reason,
             f64::from(end.grounds.risk_permille) / 10.0,
             end.grounds.last_seen_ms_ago,
             end.took.as_millis()
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -132,7 +132,7 @@
         let mut shard = Shard::new(now, args.id.clone(), &args.config, settings);
         shard.set_dispatchers(now, args.news.dispatchers(&args.id.service));
         if shard.is_shared() && args.news.ask(&args.id) {
-            shard.on_picture_asked(now);
+            shard.on_snapshot_requested(now);
         }
         Ok(ShardActor {
             id: args.id,
@@ -347,7 +347,7 @@
                     let _ = shard.tell(PathChecked { endpoint, answer, witnesses }).try_send();
                 });
             }
-            ShardAction::Tell(news) => self.news.tell(news),
+            ShardAction::Broadcast(news) => self.news.tell(news),
             ShardAction::RateLimit { endpoint, limit } => {
                 let per_second = limit.map(RateLimit::per_second);
                 log::info!(
@@ -414,7 +414,7 @@
 
     fn ask_for_picture(&mut self, now: Time) {
         if self.news.ask(&self.id) {
-            self.shard.on_picture_asked(now);
+            self.shard.on_snapshot_requested(now);
         }
     }
 
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -29,10 +29,10 @@
         self.heard = now;
         let NewsDatagram { from, content, .. } = message.datagram;
         let actions = match content {
-            NewsContent::Told(news) => self.shard.on_news(now, &from, &news),
-            NewsContent::Picture(picture) => self.shard.on_picture(now, &picture),
+            NewsContent::Told(news) => self.shard.on_update(now, &from, &news),
+            NewsContent::Picture(picture) => self.shard.on_snapshot(now, &picture),
             NewsContent::Begun(_) => {
-                self.news.answer(message.address, self.shard.picture(now));
+                self.news.answer(message.address, self.shard.snapshot(now));
                 Vec::new()
             }
         };
