--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -1,4 +1,4 @@
-//! The owner of a shard: decides which request goes to which endpoint when.
+//! Scheduling for one shard: decides when each request is dispatched and to which endpoint.
 
 mod action;
 mod completion;
@@ -49,33 +49,33 @@
     time::Time,
 };
 
-/// Longest time for which a new owner allows for its predecessor's work.
+/// Longest grace period of a new owner, in which its predecessor's requests may still run.
 const MAX_TAKEOVER_GRACE: Duration = Duration::from_millis(500);
-/// Pause after which another VM may have taken the shard over and back.
+/// Length of a pause of this process after which another VM may have taken the shard over and
+/// handed it back.
 const MIN_TAKEOVER_PAUSE: Duration = Duration::from_secs(1);
-/// Time after which a health check without any report is forgotten.
+/// Time after its time limit at which a health check whose outcome was never reported is dropped.
 const LOST_PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How far this VM may go with the shard's endpoints.
+/// Share of the endpoints' slots that this VM may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardMode {
     /// This VM owns the shard and may use all slots.
     Owner,
-    /// This VM is one of several that dispatch side by side; each counts the
-    /// requests that the others have in flight against the slots.
+    /// This VM is one of several dispatchers; each counts the requests that the others have in
+    /// flight against the slots.
     Shared,
-    /// The owner can't be reached: a small share of each endpoint's slots.
+    /// The owner can't be reached; this VM uses a small share of each endpoint's slots.
     Careful,
 }
 
 impl ShardMode {
-    /// Returns how far a VM may go that doesn't own a service's shard.
+    /// Returns the mode of a VM that doesn't own a service's shard.
     ///
-    /// Failure guarded against: a VM takes a shared shard over for a moment, as VMs
-    /// find each other after a restart of all, and goes on carefully while the others
-    /// fill the slots. It shows as one dispatcher with a queue and refusals for as long
-    /// as it runs, while slots are free. The guard holds because whoever starts such a
-    /// shard takes the mode from here.
+    /// Every caller that starts a shard without owning it must take the mode from here. A VM can
+    /// take over a shared shard for a moment while the VMs discover each other after a restart of
+    /// the whole fleet. If it stayed in careful mode while the others fill the slots, it would
+    /// queue and refuse requests for as long as it runs although slots are free.
     pub fn without_ownership(service: Option<&Service>) -> ShardMode {
         match service.is_some_and(Service::is_shared) {
             true => ShardMode::Shared,
@@ -96,13 +96,13 @@
 /// Settings of a shard.
 #[derive(Clone, Debug)]
 pub struct ShardSettings {
-    /// Mode at the start.
+    /// Initial mode.
     pub mode: ShardMode,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Data centre of this VM; endpoints there are preferred.
     pub data_centre: Option<Name>,
-    /// Mechanisms at work.
+    /// Mechanisms that are switched on.
     pub mechanisms: Mechanisms,
 }
 
@@ -113,7 +113,7 @@
     }
 }
 
-/// The decisions about one shard.
+/// State of one shard.
 #[derive(Clone, Debug)]
 pub struct Shard {
     id: ShardId,
@@ -125,28 +125,28 @@
     takeover_grace: Duration,
     pending: FxHashMap<RequestId, PendingRequest>,
     attempts: FxHashMap<AttemptId, AttemptState>,
-    /// Waiting requests by the moment at which they have no time left.
+    /// Waiting requests by the latest time at which they can still be dispatched.
     deadlines: BTreeSet<(Time, RequestId)>,
-    /// Requests in flight by the moment at which a hedge is due.
+    /// Requests in flight by the time at which a hedge is due.
     hedges: BTreeSet<(Time, RequestId)>,
-    /// Attempts by the moment from which on they are better given up.
+    /// Attempts by the time at which they are given up in favour of a retry.
     give_ups: BTreeSet<(Time, AttemptId)>,
-    /// VMs through which endpoints work that only this VM can't reach.
+    /// For each endpoint that only this VM can't reach, the VMs that can relay requests to it.
     witnesses: FxHashMap<Name, Vec<Name>>,
     keys: KeyTable,
     retry_budget: ShardRetryBudget,
     latency: RecentLatency,
     service_time: UsualTime,
     next_attempt: u64,
-    /// Whether other VMs dispatch to the endpoints too.
+    /// Whether other VMs dispatch to the endpoints as well.
     is_shared: bool,
-    /// VMs that dispatch to them, this one included.
+    /// Number of VMs that dispatch to them, including this one.
     dispatchers: u32,
-    /// How much of the service's work is lost.
+    /// Failure rate of the service.
     failure_rate: ServiceFailureRate,
-    /// Attempts that ended and the other VMs don't know of.
+    /// Attempts that have ended and have not been reported to the other VMs yet.
     ended_attempts: Vec<(Name, EndedAttempt, Time)>,
-    /// Until then requests wait for a picture that other VMs were asked for.
+    /// While set and not reached, requests wait for a snapshot that was requested from other VMs.
     snapshot_deadline: Option<Time>,
     mechanisms: Mechanisms,
     pending_actions: Vec<ShardAction>,
@@ -155,8 +155,8 @@
 impl Shard {
     /// Creates a shard from the configuration.
     ///
-    /// For a short time only half of the slots are used, as a predecessor's
-    /// work may still run; [`Shard::on_hand_over`] ends that time.
+    /// For a short time only half of the slots are used because requests of a predecessor may
+    /// still be running; [`Shard::on_hand_over`] ends that time.
     pub fn new(now: Time, id: ShardId, config: &Config, settings: ShardSettings) -> Shard {
         let service = config.service(&id.service);
         let endpoints = service.map(|service| endpoints(service, &id)).unwrap_or_default();
@@ -209,7 +209,7 @@
         shard
     }
 
-    /// Takes a new configuration.
+    /// Applies a new configuration.
     pub fn on_config(&mut self, now: Time, config: &Config) -> Vec<ShardAction> {
         let service = config.service(&self.id.service);
         let endpoints = service.map(|service| endpoints(service, &self.id)).unwrap_or_default();
@@ -223,7 +223,7 @@
         self.advance(now)
     }
 
-    /// Changes how far this VM may go.
+    /// Changes the mode of this VM.
     pub fn set_mode(&mut self, now: Time, mode: ShardMode) -> Vec<ShardAction> {
         if mode == ShardMode::Owner && self.pool.mode() == ShardMode::Careful && !self.is_shared {
             self.pool.halve_limits_until(now + self.takeover_grace);
@@ -233,7 +233,7 @@
         self.advance(now)
     }
 
-    /// Takes a request.
+    /// Accepts a request.
     pub fn on_request(&mut self, now: Time, request: Request) -> Vec<ShardAction> {
         let id = request.id;
         self.pool.release_due(now);
@@ -243,11 +243,11 @@
         self.advance(now)
     }
 
-    /// Takes how an attempt ended or how its answer began.
+    /// Records the outcome of an attempt: how it ended, or that the head of its answer has
+    /// arrived.
     ///
-    /// After [`Outcome::Answered`], and only then, [`Shard::on_body_end`]
-    /// follows; any other outcome of an attempt whose answer has begun counts
-    /// as the end of its body.
+    /// After [`Outcome::Answered`], and only then, [`Shard::on_body_end`] follows; any other
+    /// outcome of an attempt whose answer has begun counts as the end of its body.
     pub fn on_outcome(
         &mut self,
         now: Time,
@@ -288,7 +288,7 @@
         self.advance(now)
     }
 
-    /// Takes the end of an answer's body.
+    /// Records the end of an answer's body.
     pub fn on_body_end(&mut self, now: Time, attempt: AttemptId, end: BodyEnd) -> Vec<ShardAction> {
         let Some(state) = self.attempts.get(&attempt).cloned() else { return Vec::new() };
         let actions = self.health.on_body_end(now, attempt, end);
@@ -304,7 +304,7 @@
         self.advance(now)
     }
 
-    /// Keeps a small whole answer for duplicates of its request.
+    /// Stores a small complete answer for duplicates of its request.
     pub fn on_stored_answer(
         &mut self,
         now: Time,
@@ -321,10 +321,10 @@
         self.advance(now)
     }
 
-    /// Notes that the caller went away before its answer began.
+    /// Records that the caller disconnected before its answer began.
     ///
-    /// Attempts in flight are cancelled. A key stays on record until the
-    /// outcome of its attempt is known.
+    /// Attempts in flight are cancelled. An idempotency key stays on record until the outcome of
+    /// its attempt is known.
     pub fn on_cancel(&mut self, now: Time, request: RequestId) -> Vec<ShardAction> {
         let Some(pending) = self.pending.get(&request) else { return Vec::new() };
         let was_running = pending.phase == Phase::Running;
@@ -338,7 +338,7 @@
         self.advance(now)
     }
 
-    /// Takes the answer to [`ShardAction::CheckPath`].
+    /// Processes the result of [`ShardAction::CheckPath`].
     pub fn on_path_answer(
         &mut self,
         now: Time,
@@ -351,7 +351,7 @@
         self.advance(now)
     }
 
-    /// Does what is due.
+    /// Performs all work that is due.
     pub fn on_tick(&mut self, now: Time) -> Vec<ShardAction> {
         self.remove_lost_probes(now);
         let actions = self.health.on_tick(now);
@@ -360,12 +360,11 @@
         self.advance(now)
     }
 
-    /// Notes that this process was paused for `gap`.
+    /// Records that this process was paused for `gap`.
     ///
-    /// A paused process wakes up with requests whose callers have given up
-    /// and may believe that it owns what another VM has taken over. Requests
-    /// out of time are refused first, nothing is dispatched in this call, and
-    /// after a long pause the limits are halved as after a takeover.
+    /// After a pause, callers of queued requests may have timed out, and another VM may have
+    /// taken the shard over. Requests out of time are refused first, nothing is dispatched in
+    /// this call, and after a long pause the limits are halved as after a takeover.
     pub fn on_pause(&mut self, now: Time, gap: Duration) -> Vec<ShardAction> {
         self.health.on_pause(now, gap);
         self.hedges.clear();
@@ -377,7 +376,7 @@
         std::mem::take(&mut self.pending_actions)
     }
 
-    /// Returns the expected wait of a new request.
+    /// Returns the expected queueing time of a new request.
     pub fn queue_wait(&self, now: Time) -> Duration {
         if self.queue.is_empty() && self.pool.has_free_slot(now) {
             return Duration::ZERO;
@@ -385,23 +384,23 @@
         self.drain_time(self.queue.len() as f64 + 1.0)
     }
 
-    /// Returns whether other VMs dispatch to the endpoints too.
+    /// Returns whether other VMs dispatch to the endpoints as well.
     pub fn is_shared(&self) -> bool {
         self.is_shared
     }
 
-    /// Returns whether further ejections are held back.
+    /// Returns whether further ejections are held back by the floor.
     pub fn at_floor(&self) -> bool {
         self.health.at_floor()
     }
 
-    /// Returns whether nothing is lost if the shard is forgotten: no request and
-    /// no attempt is under way and no idempotency key is on record.
+    /// Returns whether the shard can be dropped without losing anything: there are no requests,
+    /// no attempts and no idempotency keys on record.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.attempts.is_empty() && self.keys.is_empty()
     }
 
-    /// Returns the endpoints for the admin port.
+    /// Returns the status of the endpoints for the admin port.
     pub fn endpoints(&self, _now: Time) -> Vec<EndpointStatus> {
         let mode = self.pool.mode();
         self.pool
@@ -423,7 +422,7 @@
             .collect()
     }
 
-    /// Does what has become possible, and returns all actions of the event.
+    /// Performs the work that has become possible and returns all actions of the event.
     fn advance(&mut self, now: Time) -> Vec<ShardAction> {
         self.pool.release_due(now);
         let waiters = self.keys.on_tick(now);
@@ -458,7 +457,7 @@
         self.queue.set_weights(weights);
     }
 
-    /// Releases the slots of health checks whose end was never reported.
+    /// Releases the slots of health checks whose outcome was never reported.
     fn remove_lost_probes(&mut self, now: Time) {
         let lost: Vec<AttemptId> = self
             .attempts
@@ -477,7 +476,7 @@
     shard_endpoints(service, id.index)
 }
 
-/// Returns the shard's part of the service's floor, rounded up.
+/// Returns the shard's share of the service's floor, rounded up.
 fn shard_floor(service: &Service, shard_endpoints: usize) -> u32 {
     let all = service.endpoints.len().max(1) as u64;
     (u64::from(service.floor) * shard_endpoints as u64).div_ceil(all) as u32
--- a/crates/pistachiotrack-core/src/shard/action.rs
+++ b/crates/pistachiotrack-core/src/shard/action.rs
@@ -1,4 +1,4 @@
-//! What a shard asks its caller to do.
+//! Actions that a shard returns to its caller.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -13,28 +13,28 @@
     time::Time,
 };
 
-/// What spoke for an endpoint when it was chosen, for the log.
+/// Why and on what evidence an endpoint was selected, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SelectionDetails {
-    /// Why this endpoint.
+    /// Why this endpoint was selected.
     pub reason: SelectionReason,
-    /// How likely the request was to fail, in parts of a thousand.
+    /// Estimated probability that the request fails, in parts per thousand.
     pub risk_permille: u16,
-    /// Time since any VM's last answer of the endpoint, if there was one.
+    /// Time since the last answer of the endpoint to any VM, if there was one.
     pub last_seen_ms_ago: Option<u64>,
 }
 
-/// Why an endpoint was chosen.
+/// Why an endpoint was selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SelectionReason {
-    /// It was the best of those with a free slot.
+    /// It ranked first among those with a free slot.
     #[default]
     Best,
-    /// It joined, and nobody had tried it yet.
+    /// It was added recently and no VM has tried it yet.
     Untried,
-    /// It had got no request for a while.
+    /// It had received no request for a while.
     Overdue,
-    /// The request may run again and looked at one in doubt.
+    /// The request can be run again and was used to test an endpoint with an elevated risk.
     Explored,
 }
 
@@ -43,37 +43,37 @@
 pub struct Dispatch {
     /// Request to send.
     pub request: RequestId,
-    /// Identity of this attempt.
+    /// Id of this attempt.
     pub attempt: AttemptId,
     /// Endpoint to send it to.
     pub endpoint: Name,
-    /// Why it was chosen.
+    /// Why the endpoint was selected.
     pub selection: SelectionDetails,
     /// Address of the endpoint.
     pub address: SocketAddr,
-    /// VM through which it goes, as the endpoint can't be reached from here.
+    /// VM that relays the request because this VM can't reach the endpoint.
     pub via: Option<Name>,
-    /// What the connection must be like.
+    /// Kind of connection to use.
     pub connection: ConnectionChoice,
-    /// Moment after which not even the first byte may be written.
+    /// Time after which not even the first byte may be written.
     pub not_after: Time,
-    /// Moment at which the attempt is reported as timed out.
+    /// Time at which the attempt is reported as timed out.
     pub time_limit: Time,
 }
 
-/// What the caller of a shard has to do.
+/// An action that the caller of a shard has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardAction {
     /// Sends a request to an endpoint.
     Dispatch(Dispatch),
-    /// Ends an attempt: closes its connection, so that the endpoint stops.
+    /// Cancels an attempt by closing its connection, so that the endpoint stops.
     Cancel {
         /// Request of the attempt.
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Ends an attempt without an answer as if its time had passed, to be reported as
+    /// Ends an attempt without an answer early, to be reported as
     /// [`Outcome::TimedOut`](crate::request::Outcome::TimedOut).
     GiveUp {
         /// Request of the attempt.
@@ -81,30 +81,30 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Passes the answer of an attempt, which has begun, to the caller.
+    /// Passes the answer of an attempt, whose head has arrived, to the caller.
     Deliver {
         /// Request that is answered.
         request: RequestId,
         /// Attempt whose answer is passed on.
         attempt: AttemptId,
     },
-    /// Answers a duplicate with the answer of the first.
+    /// Answers a duplicate with the stored answer to the original request.
     Replay {
         /// Request that is answered.
         request: RequestId,
         /// The stored answer.
         answer: Arc<StoredAnswer>,
     },
-    /// Refuses a request; final.
+    /// Refuses a request. No other action for it follows.
     Refuse {
         /// The request.
         request: RequestId,
-        /// What is known of it here.
+        /// Reason, and whether the request may have run.
         refusal: Verdict,
     },
     /// Sends a health check.
     Probe {
-        /// Identity of the attempt.
+        /// Id of the attempt.
         attempt: AttemptId,
         /// Endpoint to check.
         endpoint: Name,
@@ -112,25 +112,25 @@
         address: SocketAddr,
         /// Path of the health check.
         path: Name,
-        /// Moment at which the probe is reported as timed out.
+        /// Time at which the probe is reported as timed out.
         time_limit: Time,
     },
-    /// Asks VMs elsewhere whether they reach an endpoint.
+    /// Asks other VMs whether they reach an endpoint.
     CheckPath {
         /// The endpoint.
         endpoint: Name,
         /// Address of the endpoint.
         address: SocketAddr,
     },
-    /// Tells the other VMs that dispatch for the shard.
+    /// Sends an update to the other VMs that dispatch for the shard.
     Broadcast(ShardUpdate),
-    /// An endpoint names a limit from now on, or none any more; for the log.
+    /// An endpoint has announced, changed or dropped a rate limit; for the log.
     RateLimit {
         /// The endpoint.
         endpoint: Name,
-        /// Requests a second that it takes from all VMs together.
+        /// Requests per second that it accepts from all VMs together.
         limit: Option<RateLimit>,
     },
-    /// Something that belongs into the log.
+    /// A health event, for the log.
     Health(HealthAction),
 }
--- a/crates/pistachiotrack-core/src/shard/completion.rs
+++ b/crates/pistachiotrack-core/src/shard/completion.rs
@@ -1,4 +1,4 @@
-//! From an attempt's outcome to the request's final answer.
+//! Request completion: from the outcome of an attempt to the final answer.
 
 use std::time::Duration;
 
@@ -14,21 +14,20 @@
     time::Time,
 };
 
-/// Bounds of the time for which the slot of an attempt that ended without an
-/// answer is held.
+/// Bounds of the time for which the slot of an attempt that ended without an answer is kept.
 const SLOT_RELEASE_DELAY_RANGE: (Duration, Duration) =
     (Duration::from_millis(10), Duration::from_secs(1));
 /// That time while the usual service time is unknown.
 const DEFAULT_SLOT_RELEASE_DELAY: Duration = Duration::from_millis(100);
-/// A failed attempt counts as this many usual service times at most.
+/// Upper bound, in usual service times, of the duration recorded for a timed-out attempt.
 const MAX_TIMEOUT_FACTOR: u32 = 4;
 
 impl Shard {
-    /// Takes the beginning of an answer.
+    /// Processes the head of an answer.
     ///
-    /// A failure status on an idempotent request is retried elsewhere: an endpoint
-    /// that fails grayly answers that way. It is passed on as it is when there is no
-    /// other attempt to wait for and no retry left.
+    /// A failure status of an idempotent request is retried on another endpoint because a
+    /// gray-failing endpoint answers that way. It is passed on unchanged if there is no other
+    /// attempt to wait for and no retry left.
     pub(super) fn on_answer(&mut self, now: Time, attempt: AttemptId, id: RequestId, status: u16) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let is_failure = status >= FIRST_FAILURE_STATUS && pending.request.idempotent;
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Takes the end of an attempt that brought no answer.
+    /// Processes the end of an attempt that produced no answer.
     pub(super) fn on_failure(
         &mut self,
         now: Time,
@@ -106,7 +105,7 @@
         self.refuse(now, id, reason, retry_after_ms);
     }
 
-    /// Takes the end of an attempt whose request has no caller any more.
+    /// Updates the idempotency key of a request whose caller has been refused or is gone.
     fn settle_key(&mut self, now: Time, id: RequestId, not_run: bool) {
         if not_run {
             let waiters = self.keys.on_not_run(id);
@@ -126,14 +125,14 @@
         })
     }
 
-    /// Takes a retry from the budget where the failed attempt was a burden to
-    /// an endpoint, also to one that it wasn't meant for. A trial is the fleet's own
-    /// doing and is never held against the caller.
+    /// Takes a retry from the budget if the failed attempt reached an endpoint, even one that it
+    /// wasn't meant for. A trial is started by the fleet itself and never counts against the
+    /// caller.
     ///
-    /// Failure guarded against: endpoints start again under other names while nobody
-    /// hears of it, and a hundred requests in ten seconds are turned away at their
-    /// addresses and sent on. It shows as more retries than the service's limit allows.
-    /// The guard holds because each of them is taken from what is left.
+    /// Requests that another endpoint turned away count as well: when endpoints restart under
+    /// other names and the VMs have not been informed yet, a hundred requests in ten seconds can
+    /// be turned away at the old addresses, and resending them all would exceed the service's
+    /// retry limit.
     fn try_take_retry(&mut self, now: Time, state: &AttemptState, outcome: Outcome) -> bool {
         let never_arrived = matches!(
             outcome,
@@ -149,7 +148,7 @@
         self.retry_budget.take(now)
     }
 
-    /// Notes what an outcome says about load and latency.
+    /// Records what an outcome shows about load and latency.
     pub(super) fn record_evidence(&mut self, now: Time, state: &AttemptState, outcome: Outcome) {
         let age = now.since(state.dispatched_at);
         match outcome {
@@ -168,8 +167,8 @@
         }
     }
 
-    /// Ends an attempt and releases its slot, at once only where the endpoint
-    /// is certainly done with it.
+    /// Ends an attempt and releases its slot, immediately only if the endpoint has certainly
+    /// finished with it.
     pub(super) fn end_attempt(&mut self, now: Time, attempt: AttemptId, is_done: bool) {
         let Some(ended) = self.attempts.remove(&attempt) else { return };
         self.queue_attempt_end(&ended);
@@ -181,7 +180,7 @@
         }
     }
 
-    /// Notes a whole answer: it fills the budgets and tells the service time.
+    /// Records a complete answer in the retry budget and the service time.
     pub(super) fn on_complete(&mut self, now: Time, state: &AttemptState) {
         if state.kind == AttemptKind::Probe {
             return;
@@ -196,7 +195,7 @@
         }
     }
 
-    /// Records how the answer to a request with a key ended.
+    /// Records in the idempotency key how the answer ended.
     pub(super) fn on_key_body_end(&mut self, now: Time, id: RequestId, end: BodyEnd) {
         if end == BodyEnd::Complete {
             return self.keys.on_answered(now, id);
@@ -212,7 +211,7 @@
             .clamp(SLOT_RELEASE_DELAY_RANGE.0, SLOT_RELEASE_DELAY_RANGE.1)
     }
 
-    /// Refuses requests that have no time left.
+    /// Refuses requests that can no longer be dispatched in time.
     pub(super) fn refuse_expired(&mut self, now: Time) {
         while let Some((not_after, id)) = self.deadlines.first().copied() {
             if not_after > now {
@@ -223,7 +222,7 @@
         }
     }
 
-    /// Refuses a request; nothing else is said about it afterwards.
+    /// Refuses a request; no other action for it follows.
     pub(super) fn refuse(
         &mut self,
         now: Time,
@@ -243,7 +242,7 @@
         }
     }
 
-    /// Refuses a request that a caller sent before, and whose first may have run.
+    /// Refuses a request whose earlier copy may have run.
     pub(super) fn refuse_as_maybe_run(&mut self, now: Time, id: RequestId, reason: Reason) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.may_have_run = true;
@@ -251,7 +250,7 @@
         self.refuse(now, id, reason, None);
     }
 
-    /// Takes a request out of every list; returns whether it held its key.
+    /// Removes a request from all collections; returns whether it owned its idempotency key.
     pub(super) fn remove_request(&mut self, id: RequestId) -> Option<bool> {
         let pending = self.pending.remove(&id)?;
         let request = &pending.request;
@@ -272,14 +271,14 @@
         Some(pending.owns_key)
     }
 
-    /// Refuses requests whose first may have run without an answer to give.
+    /// Refuses duplicates of a request that may have run and has no answer to replay.
     pub(super) fn refuse_waiters(&mut self, now: Time, waiters: Vec<RequestId>) {
         for waiter in waiters {
             self.refuse_as_maybe_run(now, waiter, Reason::Duplicate);
         }
     }
 
-    /// Decides anew about requests whose first was certainly not run.
+    /// Processes duplicates of a request anew after it was certainly not run.
     pub(super) fn reprocess_requests(&mut self, now: Time, waiters: Vec<RequestId>) {
         for waiter in waiters {
             let Some(pending) = self.pending.get_mut(&waiter) else { continue };
@@ -289,11 +288,11 @@
         }
     }
 
-    /// Passes on what the health decisions ask for.
+    /// Performs the actions that the health checker returned.
     pub(super) fn on_health_actions(&mut self, now: Time, actions: Vec<HealthAction>) {
         for action in actions {
             match action {
-                // One VM's health checks are enough for all that dispatch.
+                // Health checks of one VM are enough for all dispatchers.
                 HealthAction::Probe { .. } if self.pool.mode() == ShardMode::Shared => {}
                 HealthAction::Probe { endpoint } => self.start_probe(now, endpoint),
                 HealthAction::CheckPath { endpoint } => {
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a request's arrival to its dispatch.
+//! Request dispatch: from the arrival of a request to its attempts.
 
 use std::time::Duration;
 
@@ -17,41 +17,42 @@
     time::Time,
 };
 
-/// Multiple of the 95th percentile of the answer time that is left to a
-/// request when it is dispatched, up to half of its time: a request that ends
-/// at its deadline has held a slot for nothing.
+/// Multiple of the 95th percentile of the answer time that must be left to a request when it is
+/// dispatched, up to half of its time. A request that ends at its deadline has occupied a slot
+/// for nothing.
 const ANSWER_RESERVE_P95_FACTOR: f64 = 1.5;
-/// The same when it is admitted; more, since the expected wait is a mean.
+/// The same at admission. It is higher because the expected wait is a mean.
 const ADMISSION_RESERVE_P95_FACTOR: u32 = 2;
-/// Multiple of the usual service time that a request on an endpoint under
-/// trial must have left, so that a retry can still mend a failure.
+/// Multiple of the usual service time that a request must have left to be sent to an endpoint
+/// under trial, so that there is time for a retry if it fails.
 const TRIAL_SERVICE_TIME_FACTOR: u32 = 4;
 /// Time that it must have left while the usual service time is unknown.
 const DEFAULT_TRIAL_TIME_LEFT: Duration = Duration::from_millis(500);
-/// Multiple of the 95th percentile after which an attempt that can be retried
+/// Multiple of the 95th percentile of the answer time after which an attempt that can be retried
 /// is given up.
 const GIVE_UP_P95_FACTOR: u32 = 4;
-/// Largest risk that a request takes while it can wait; an endpoint of which
-/// nothing is known is below.
+/// Highest risk that a request accepts while it can wait; an endpoint without any observations is
+/// below it.
 const MAX_RISK_WHILE_WAITING: f64 = 0.25;
-/// Part of its time for which it waits, if it may run again and if it must not: the
-/// first can be sent once more when it fails, the second is lost.
+/// Share of its time for which a request waits for a low-risk endpoint: if it may run again, and
+/// if it must not. The first can be sent once more after a failure, the second is lost.
 const LOW_RISK_WAIT_SHARES: (f64, f64) = (0.5, 0.85);
-/// Requests that may always wait while it does.
+/// Queue length up to which requests always wait for a low-risk endpoint.
 const MIN_LOW_RISK_QUEUE_LEN: usize = 8;
-/// Time after which it is looked at again whether a silent attempt can be given up.
+/// Interval at which an attempt without an answer is checked again if it couldn't be given up.
 const GIVE_UP_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest age of an attempt at which a hedge is sent.
+/// Minimum age of an attempt at which a hedge is sent.
 const MIN_HEDGE_AGE: Duration = Duration::from_millis(2);
-/// Shortest time that a refused caller is asked to wait.
+/// Minimum time that a refused caller is asked to wait.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// Time that a caller is asked to wait while no endpoint gets work.
+/// Time that a caller is asked to wait while no endpoint accepts requests.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Time allowed for a health check.
+/// Timeout of a health check.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Shard {
-    /// Decides what becomes of a request that has just come.
+    /// Processes a new request: checks its idempotency key and admits, joins, replays or refuses
+    /// it.
     pub(super) fn process_request(&mut self, now: Time, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else { return };
         let request = &pending.request;
@@ -121,7 +122,7 @@
         self.enqueue(id);
     }
 
-    /// Puts a request into the queue, whatever the queue's limit.
+    /// Puts a request into the queue regardless of the queue's limit.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         pending.phase = Phase::Queued;
@@ -130,7 +131,7 @@
         self.deadlines.insert((pending.not_after, id));
     }
 
-    /// Returns the expected wait of a customer's new request.
+    /// Returns the expected queueing time of a customer's new request.
     pub(super) fn expected_wait(&self, now: Time, customer: &Name, class: Class) -> Duration {
         if self.queue.is_empty() && self.pool.has_free_slot(now) {
             return Duration::ZERO;
@@ -138,7 +139,7 @@
         self.drain_time(self.queue.ahead(customer, class))
     }
 
-    /// Returns the time in which so many requests leave the queue.
+    /// Returns the time in which `requests` requests leave the queue.
     pub(super) fn drain_time(&self, requests: f64) -> Duration {
         let service_time = self.service_time.value().unwrap_or_default();
         let limited = self.pool.limited_per_second() / f64::from(self.dispatchers);
@@ -146,13 +147,14 @@
         match (capacity, limited > 0.0) {
             (_, false) => service_time.mul_f64(requests / f64::from(capacity.max(1))),
             (0, true) => Duration::from_secs_f64(requests / limited),
-            // In the usual time, endpoints that name a limit take work beside the slots.
+            // Within one service time, endpoints with a rate limit take requests in addition to
+            // the slots.
             (_, true) => service_time
                 .mul_f64(requests / (f64::from(capacity) + service_time.as_secs_f64() * limited)),
         }
     }
 
-    /// Dispatches what waits as long as there are free slots.
+    /// Dispatches queued requests as long as there are free slots.
     pub(super) fn dispatch_queue(&mut self, now: Time) {
         if self.awaits_snapshot(now) {
             return;
@@ -178,8 +180,8 @@
 
     /// Sends a second attempt for requests whose first is slow.
     ///
-    /// Only idle slots are used: while requests wait, a hedge would take the
-    /// place of one that has not had its first attempt.
+    /// Only idle slots are used: while requests are queued, a hedge would displace a request that
+    /// has not had its first attempt.
     pub(super) fn dispatch_hedges(&mut self, now: Time) {
         while let Some((at, id)) = self.hedges.first().copied() {
             if at > now {
@@ -216,18 +218,17 @@
             tried: &pending.tried,
             max_risk: self.max_risk(now, pending),
             now,
-            is_failure_rate_high: self.mechanisms.strain
-                && self.failure_rate.is_failure_rate_high(),
+            is_failure_rate_high: self.mechanisms.strain && self.failure_rate.is_high(),
             allow_already_tried,
         })
     }
 
-    /// Returns the largest risk that a request may be put to.
+    /// Returns the highest risk that a request accepts.
     ///
-    /// A request is lost when it fails and has no attempt left, so it rather waits
-    /// for an endpoint that has just answered, for a part of its time and as long
-    /// as those that wait get their turn within it: beyond, all slots are needed. An
-    /// endpoint that fails at once is always free, and would take in all that wait.
+    /// A request that fails without an attempt left is lost. It therefore waits for an endpoint
+    /// that has answered recently, for a share of its time, as long as all waiting requests get
+    /// their turn within it; beyond that, all slots are needed. An endpoint that fails
+    /// immediately always has free slots and would otherwise attract all waiting requests.
     fn max_risk(&self, now: Time, pending: &PendingRequest) -> f64 {
         let part = if pending.request.idempotent {
             LOW_RISK_WAIT_SHARES.0
@@ -242,11 +243,11 @@
         if is_patient { MAX_RISK_WHILE_WAITING } else { 1.0 }
     }
 
-    /// Returns the time in which the queue empties into this VM's part of the slots of
-    /// endpoints that a patient request takes.
+    /// Returns the time in which the queue drains into this VM's share of the slots of low-risk
+    /// endpoints.
     ///
-    /// Load: all callers come back at once after a loss of all VMs, so that dozens wait
-    /// at each VM, while a third of the endpoints fails at once.
+    /// This matters when all callers return at once after the loss of all VMs: dozens of requests
+    /// wait at each VM while a third of the endpoints fails immediately.
     fn low_risk_drain_time(&self) -> Duration {
         let slots = f64::from(self.pool.slots_at_risk_up_to(MAX_RISK_WHILE_WAITING))
             / f64::from(self.dispatchers);
@@ -268,7 +269,8 @@
         } else {
             AttemptKind::Work
         };
-        // A witness ends an attempt by itself, so that its word is the endpoint's.
+        // A witness enforces the time limit itself, so that the timeout it reports counts as the
+        // endpoint's.
         let deadline = pending.request.deadline;
         let time_limit = give_up_at.filter(|_| via.is_some()).unwrap_or(deadline);
         if let (Some(at), None) = (give_up_at, &via) {
@@ -340,13 +342,12 @@
         }
     }
 
-    /// Gives up attempts that have been silent for long, where others can follow.
+    /// Gives up attempts that have had no answer for long, if they can be retried.
     ///
-    /// Failure guarded against: an attempt is broken off, and there is no time, no
-    /// retry or no endpoint left for another. It shows as "unknown" long before the
-    /// deadline while the endpoint is at work. The guard holds because the retry is
-    /// taken from the budget before the attempt is given up, and an attempt without
-    /// one goes on.
+    /// The retry is taken from the budget before the attempt is given up, and an attempt without
+    /// a retry continues. Otherwise an attempt could be aborted with no time, retry or endpoint
+    /// left for another, and the caller would get "unknown" long before the deadline while the
+    /// endpoint is still working.
     pub(super) fn give_up_due(&mut self, now: Time) {
         while let Some((at, attempt)) = self.give_ups.first().copied() {
             if at > now {
@@ -365,8 +366,8 @@
         }
     }
 
-    /// Returns the request of an attempt that is its only one and has brought no
-    /// answer, if it may be sent to another endpoint.
+    /// Returns the request of an attempt that is its only one and has no answer yet, if it may be
+    /// sent to another endpoint.
     fn unanswered_request(&self, now: Time, attempt: AttemptId) -> Option<RequestId> {
         let state = self.attempts.get(&attempt).filter(|state| !state.answered)?;
         let request = state.request?;
@@ -377,12 +378,11 @@
         may_follow.then_some(request)
     }
 
-    /// Returns the moment from which on an attempt is better given up.
+    /// Returns the time at which an attempt is given up, if it can be retried.
     ///
-    /// An endpoint that hangs shows by silence until the deadline, when a
-    /// retry is too late. An idempotent request that has another endpoint
-    /// left is therefore given up halfway, unless that is within the usual
-    /// latencies.
+    /// A hanging endpoint sends nothing until the deadline, when it is too late for a retry. An
+    /// idempotent request that has another endpoint left is therefore given up halfway, unless
+    /// half of its time is within the usual latencies.
     fn give_up_at(&self, now: Time, id: RequestId, standing: Standing) -> Option<Time> {
         let pending = self.pending.get(&id)?;
         let deadline = pending.request.deadline;
@@ -404,7 +404,7 @@
         (give_up_at < pending.not_after).then_some(give_up_at)
     }
 
-    /// Sends a health check, if a slot is free for it.
+    /// Sends a health check if a slot is free for it.
     pub(super) fn start_probe(&mut self, now: Time, endpoint: Name) {
         let Some(address) = self.pool.address(&endpoint) else { return };
         if !self.pool.may_probe(&endpoint) {
@@ -437,7 +437,7 @@
         self.attempts.insert(attempt, probe);
     }
 
-    /// Returns a retry hint that spreads the callers that get it.
+    /// Returns a retry delay with random jitter, to spread the callers that receive it.
     pub(super) fn retry_hint(&mut self, wait: Duration) -> Option<u64> {
         let wait_ms = wait.max(MIN_RETRY_AFTER).as_millis() as u64;
         Some(wait_ms + self.pool.random_below(wait_ms / 2))
@@ -450,13 +450,12 @@
     }
 }
 
-/// Returns what the connection of the next attempt must be like.
+/// Returns the kind of connection for the next attempt.
 ///
-/// A pooled connection can have gone silent while the endpoint is well. A
-/// request that must not be repeated would be lost on it with an unknown
-/// outcome, so it gets one that has answered lately, or a new one if there
-/// are doubts about the endpoint. A retry after a pooled connection failed
-/// gets a new one, which tells the two causes apart.
+/// A pooled connection can be dead while the endpoint is healthy. A request that must not be
+/// repeated would be lost on it with an unknown outcome, so it gets a connection that has
+/// answered recently, or a new one if the endpoint is suspect. A retry after a failure on a
+/// pooled connection gets a new one, which distinguishes the two causes.
 fn connection(pending: &PendingRequest, standing: Standing) -> ConnectionChoice {
     let in_doubt = matches!(standing, Standing::Suspect | Standing::HeldByFloor | Standing::Trial);
     if pending.needs_fresh || standing == Standing::Trial {
--- a/crates/pistachiotrack-core/src/shard/hand_over.rs
+++ b/crates/pistachiotrack-core/src/shard/hand_over.rs
@@ -1,4 +1,4 @@
-//! What a shard's owner tells its successor.
+//! State transfer from a shard's owner to its successor.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
     health::HealthHandOver, idempotency::KeyHandOver, name::Name, ownership::ShardId, time::Time,
 };
 
-/// Multiple of the usual service time for which a predecessor's requests are
-/// counted against their endpoints.
+/// Multiple of the usual service time for which a predecessor's requests count against their
+/// endpoints.
 const PREDECESSOR_SERVICE_TIME_FACTOR: u32 = 2;
 
-/// What an owner tells its successor.
+/// State that an owner transfers to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardHandOver {
     /// The shard.
@@ -22,16 +22,16 @@
     pub health: Vec<HealthHandOver>,
     /// Requests still in flight by endpoint.
     pub in_flight: Vec<(Name, u32)>,
-    /// Usual time for which a request holds its slot, if known.
+    /// Usual time for which a request occupies its slot, if known.
     #[serde(default)]
     pub usual_service_us: Option<u64>,
-    /// Idempotency keys on record, the newest first, within bounds.
+    /// Idempotency keys on record, newest first, up to a maximum size.
     #[serde(default)]
     pub keys: Vec<KeyHandOver>,
 }
 
 impl Shard {
-    /// Returns what a successor needs to know.
+    /// Returns the state for a successor.
     pub fn hand_over(&self, now: Time) -> ShardHandOver {
         ShardHandOver {
             shard: self.id.clone(),
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Takes what a predecessor knew.
+    /// Applies the state of a predecessor.
     ///
-    /// Its requests in flight count against their endpoints until about twice
-    /// the usual service time has passed.
+    /// Its requests in flight count against their endpoints until about twice the usual service
+    /// time has passed.
     pub fn on_hand_over(&mut self, now: Time, from: &ShardHandOver) -> Vec<ShardAction> {
         if from.shard != self.id {
             return Vec::new();
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -1,4 +1,4 @@
-//! Slots of the shard's endpoints: who holds them and which one is next.
+//! Endpoints of a shard: their slots in use and the selection of the next endpoint.
 
 mod pick;
 mod ranking;
@@ -26,42 +26,41 @@
     time::Time,
 };
 
-/// Part of all slots that a VM uses that is not the owner, as a divisor.
+/// Divisor of the total slots that a VM in careful mode uses.
 const CAREFUL_DIVISOR: u32 = 4;
-/// Part of an endpoint's slots that is used while a predecessor's work may
-/// still run, as a divisor.
+/// Divisor of an endpoint's slots while a predecessor's requests may still be running.
 const TAKEOVER_DIVISOR: u32 = 2;
-/// One of so many idempotent requests treats a suspect endpoint like others,
-/// so that the evidence for or against it goes on.
+/// One in this many idempotent requests treats a suspect endpoint like the others, so that
+/// evidence about it continues to arrive.
 const EXPLORE_ONE_IN: u32 = 8;
 
-/// Slots of one endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct PoolEntry {
     pub(super) endpoint: Endpoint,
     pub(super) health_status: Standing,
     pub(super) in_flight: u32,
-    /// Share of its slots that the endpoint may use.
+    /// Share of its slots that may be used, as the health checker sets it.
     share: f64,
-    /// Requests that may be in flight now.
+    /// Maximum number of requests of this VM in flight.
     pub(super) limit: u32,
     is_configured: bool,
     adaptive: AdaptiveLimit,
     predecessor_in_flight: u32,
     predecessor_until: Time,
-    /// How likely the next request fails for a reason that another endpoint would spare
-    /// it, and when the last answer was seen.
+    /// Estimated probability that the next request fails for a reason that another endpoint would
+    /// avoid, and the time of the last observed answer.
     risk: f64,
     last_seen: Option<Time>,
-    /// Moment of the last request that any VM is known to have sent.
+    /// Time of the last request that any VM is known to have sent.
     last_sent: Time,
-    /// Whether it joined while this VM was at work, and nobody has tried it yet.
+    /// Whether it was added while this VM was running, and no VM has tried it yet.
     is_untried: bool,
-    /// What may be sent in a second, if the endpoint ever named a limit.
+    /// Rate that may be used, if the endpoint has ever announced a rate limit.
     rate: Option<SharedRate>,
-    /// Whether its limit leaves no room for requests of this VM.
+    /// Whether its rate limit leaves no share for this VM.
     is_reserved_for_peers: bool,
-    /// Requests that other VMs have in flight, each count with its last moment.
+    /// Requests that other VMs have in flight, each count with its expiry time.
     peer_counts: Vec<(Name, u32, Time)>,
 }
 
@@ -71,13 +70,13 @@
         self.peer_counts.iter().map(|(_, count, _)| count).sum()
     }
 
-    /// Returns whether it gets work and has a slot for one more request now.
+    /// Returns whether it accepts requests and has a slot for one more now.
     fn is_free(&self, now: Time, share: RateShare) -> bool {
         let may_send = self.rate.as_ref().is_none_or(|rate| rate.may_send(now, share));
         may_send && self.accepts_work() && self.in_flight < self.limit
     }
 
-    /// Returns the limit that the endpoint names.
+    /// Returns the rate limit that the endpoint announces.
     pub(super) fn rate_limit(&self) -> Option<RateLimit> {
         self.rate.as_ref().and_then(SharedRate::limit)
     }
@@ -91,11 +90,11 @@
     }
 }
 
-/// Whether it was tried, rank of its standing, load and a random tie-break;
-/// the least is chosen.
+/// Sort key: whether the endpoint was already tried, rank of its health status, load, and a
+/// random tie-break. The least is selected.
 type PickOrder = (bool, u32, u32, u32);
 
-/// The endpoints of a shard with the slots in use.
+/// The endpoints of a shard with their slots in use.
 #[derive(Clone, Debug)]
 pub(super) struct Pool {
     endpoints: BTreeMap<Name, PoolEntry>,
@@ -105,15 +104,15 @@
     in_flight: u32,
     in_flight_limit: u32,
     capacity: u32,
-    /// Requests a second that endpoints which name a limit take from all VMs in view.
+    /// Requests per second that endpoints with a rate limit accept from all VMs in view.
     limited_per_second: f64,
     rate_share: RateShare,
-    /// Slots whose attempt ended without an answer, by the time they are free.
+    /// Slots of attempts that ended without an answer, by the time at which they are released.
     delayed_releases: BTreeSet<(Time, u64, Name)>,
     next_serial: u64,
-    /// Endpoints whose requests in flight have changed.
+    /// Endpoints whose number of requests in flight has changed.
     changed: Vec<Name>,
-    /// Whether endpoints are ranked by how likely they fail.
+    /// Whether endpoints are ranked by their risk.
     is_ranked_by_risk: bool,
     mechanisms: Mechanisms,
     /// Data centre of this VM.
@@ -153,23 +152,22 @@
 
     /// Halves the limits until `until`.
     ///
-    /// A predecessor that didn't hand over may still have work in flight,
-    /// which would show as slots used twice and as sheds. Its work ends
-    /// within a request's time allowed, which bounds the wait.
+    /// A predecessor that didn't hand over may still have requests in flight, which would
+    /// oversubscribe slots and cause sheds. They end within a request's timeout, which bounds the
+    /// time.
     pub(super) fn halve_limits_until(&mut self, until: Time) {
         self.limits_halved_until = until;
     }
 
-    /// Has endpoints ranked by how likely they fail; those known so far aren't
-    /// new.
+    /// Switches to ranking by risk; the endpoints known so far don't count as newly added.
     pub(super) fn rank_by_risk(&mut self, local_data_centre: Option<Name>) {
         self.is_ranked_by_risk = true;
         self.local_data_centre = local_data_centre;
         self.endpoints.values_mut().for_each(|entry| entry.is_untried = false);
     }
 
-    /// Takes the endpoints of the configuration. One that is gone keeps its
-    /// slots in use until they are released, and gets no new work.
+    /// Applies the endpoints of the configuration. A removed endpoint keeps its slots in use
+    /// until they are released, and gets no new requests.
     pub(super) fn set_endpoints<'a>(&mut self, endpoints: impl Iterator<Item = &'a Endpoint>) {
         for entry in self.endpoints.values_mut() {
             entry.is_configured = false;
@@ -202,7 +200,7 @@
             self.endpoints.keys().map(|name| (EndpointKey::of(name), name.clone())).collect();
     }
 
-    /// Returns the endpoint that other VMs mean by a key.
+    /// Returns the endpoint that a key in another VM's update stands for.
     pub(super) fn endpoint_by_key(&self, key: EndpointKey) -> Option<Name> {
         self.by_key.get(&key).cloned()
     }
@@ -216,7 +214,7 @@
             .collect()
     }
 
-    /// Works out the limits anew.
+    /// Recomputes the limits.
     pub(super) fn refresh(&mut self, now: Time, health: &Health) {
         let are_limits_halved = now < self.limits_halved_until;
         let mut all_slots = 0;
@@ -253,19 +251,19 @@
         self.capacity = self.capacity.min(self.in_flight_limit);
     }
 
-    /// Returns the requests that may be in flight at the same time at endpoints that name no
-    /// limit.
+    /// Returns the maximum number of requests in flight at endpoints without a rate limit.
     pub(super) fn capacity(&self) -> u32 {
         self.capacity
     }
 
-    /// Returns the slots of the endpoints that get work and fail at most that likely.
+    /// Returns the slots of the endpoints that accept requests and whose risk is at most
+    /// `max_risk`.
     pub(super) fn slots_at_risk_up_to(&self, max_risk: f64) -> u32 {
         let within = |entry: &&PoolEntry| entry.accepts_work() && entry.risk <= max_risk;
         self.endpoints.values().filter(within).map(|entry| entry.endpoint.slots).sum()
     }
 
-    /// Returns the number of endpoints that get work.
+    /// Returns the number of endpoints that accept requests.
     pub(super) fn usable_endpoints(&self, idempotent: bool) -> usize {
         self.endpoints
             .values()
@@ -281,11 +279,10 @@
         self.in_flight < self.in_flight_limit && self.endpoints.values().any(is_free)
     }
 
-    /// Chooses the endpoint of an attempt among those with a free slot.
+    /// Selects the endpoint of an attempt among those with a free slot.
     ///
-    /// Least loaded first. A suspect endpoint is handicapped by a slot for
-    /// idempotent requests and comes last for others, which can't be mended
-    /// by a retry.
+    /// The least loaded one is selected. A suspect endpoint counts as having one more request in
+    /// flight for idempotent requests, and comes last for others, which can't be retried.
     pub(super) fn pick(&mut self, criteria: PickCriteria<'_>) -> Option<Pick> {
         if self.in_flight >= self.in_flight_limit {
             return None;
@@ -330,13 +327,13 @@
         best.map(|(_, entry)| Pick::of(entry, SelectionReason::Best))
     }
 
-    /// Returns the address of an endpoint that is configured.
+    /// Returns the address of a configured endpoint.
     pub(super) fn address(&self, name: &str) -> Option<SocketAddr> {
         let entry = self.endpoints.get(name).filter(|entry| entry.is_configured)?;
         Some(entry.endpoint.address)
     }
 
-    /// Returns whether a health check would keep within the endpoint's slots.
+    /// Returns whether a health check would stay within the endpoint's slots.
     pub(super) fn may_probe(&self, name: &str) -> bool {
         self.endpoints.get(name).is_some_and(|entry| {
             entry.is_configured
@@ -367,12 +364,11 @@
         }
     }
 
-    /// Releases a slot at `until` only.
+    /// Releases a slot at `until`.
     ///
-    /// When a connection breaks or an attempt is given up, the endpoint may
-    /// still be at work on it; using the slot at once shows as more work at
-    /// the endpoint than it has slots. Work that goes on ends within about
-    /// the usual service time.
+    /// When a connection breaks or an attempt is given up, the endpoint may still be processing
+    /// it; reusing the slot immediately would give the endpoint more requests than it has slots.
+    /// Processing that continues ends within about the usual service time.
     pub(super) fn release_later(&mut self, name: &Name, until: Time) {
         self.next_serial += 1;
         self.delayed_releases.insert((until, self.next_serial, name.clone()));
@@ -407,8 +403,7 @@
         }
     }
 
-    /// Sets how many requests another VM has in flight, to be believed until
-    /// `until`.
+    /// Sets how many requests another VM has in flight; the count expires at `until`.
     pub(super) fn set_peer_in_flight(
         &mut self,
         now: Time,
@@ -433,7 +428,7 @@
         self.endpoints.get(name).map_or(0, |entry| entry.in_flight)
     }
 
-    /// Takes the endpoints whose requests in flight have changed, each once.
+    /// Takes the endpoints whose number of requests in flight has changed, each once.
     pub(super) fn take_changed(&mut self) -> Vec<Name> {
         let mut changed = std::mem::take(&mut self.changed);
         changed.sort_unstable();
--- a/crates/pistachiotrack-core/src/shard/pool/pick.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/pick.rs
@@ -1,28 +1,28 @@
-//! What is asked of an endpoint, and which one was chosen.
+//! Criteria for the selection of an endpoint, and its result.
 
 use std::net::SocketAddr;
 
 use super::PoolEntry;
 use crate::{health::Standing, name::Name, shard::SelectionReason, time::Time};
 
-/// What the endpoint of an attempt must be like.
+/// Criteria for the endpoint of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::shard) struct PickCriteria<'a> {
     pub(in crate::shard) idempotent: bool,
-    /// Whether a failure on an endpoint under trial can still be mended.
+    /// Whether an endpoint under trial may be selected because there is time for a retry if it
+    /// fails.
     pub(in crate::shard) allow_trial: bool,
     pub(in crate::shard) tried: &'a [Name],
-    /// Largest risk that the request may be put to.
+    /// Highest risk that the request accepts.
     pub(in crate::shard) max_risk: f64,
-    /// Present moment.
     pub(in crate::shard) now: Time,
-    /// Whether so much of the service's work is lost that all endpoints are needed.
+    /// Whether so many of the service's requests fail that all endpoints are needed.
     pub(in crate::shard) is_failure_rate_high: bool,
-    /// Whether an endpoint that was tried already is better than none.
+    /// Whether an endpoint that was already tried may be selected if there is no other.
     pub(in crate::shard) allow_already_tried: bool,
 }
 
-/// The endpoint chosen for an attempt.
+/// The endpoint selected for an attempt.
 #[derive(Clone, Debug)]
 pub(in crate::shard) struct Pick {
     pub(in crate::shard) name: Name,
--- a/crates/pistachiotrack-core/src/shard/pool/ranking.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/ranking.rs
@@ -1,4 +1,4 @@
-//! Which endpoint comes first where endpoints are ranked by how likely they fail.
+//! Ranking of endpoints by the estimated probability that a request fails.
 
 use std::time::Duration;
 
@@ -7,36 +7,38 @@
 use super::{EXPLORE_ONE_IN, Pick, PickCriteria, Pool, PoolEntry};
 use crate::{health::Standing, shard::SelectionReason, time::Time};
 
-/// Whether it was tried, rank of its risk, load and a random tie-break; the least
-/// is chosen.
+/// Sort key: whether the endpoint was already tried, rank of its risk, load, and a random
+/// tie-break. The least is selected.
 type RiskOrder = (bool, u64, u32, u32);
 
-/// Part of the endpoints that get a request in any two seconds; users ask for seven
-/// in ten, and VMs see each other's requests a little late.
+/// Minimum share of the endpoints that get a request in any two seconds. Users require seven in
+/// ten, and VMs see each other's requests with a small delay.
 const MIN_COVERED_PERCENT: usize = 72;
-/// Time without a request after which an endpoint is overdue: sooner for a request
-/// that may run again, so that one that must not run twice seldom tries it.
+/// Time without a request after which an endpoint is overdue, for requests that may run again and
+/// for others. It is shorter for the first, so that a request that must not run twice is seldom
+/// the one that tries an overdue endpoint.
 const OVERDUE_AFTER: (Duration, Duration) =
     (Duration::from_millis(1_400), Duration::from_millis(1_750));
-/// Ranks that overdue endpoints take up, above all others.
+/// Highest rank of overdue endpoints, which come before all others.
 const MAX_OVERDUE_RANK: u64 = 1_000;
-/// Risk from which an endpoint is worth a look by a request that may run again.
+/// Risk from which on requests that may run again explore an endpoint.
 const EXPLORE_MIN_RISK: f64 = 0.08;
-/// Step of risks that count as alike: within one, load decides.
+/// Width of the steps in which risks count as equal; within one step, load decides.
 const RISK_STEP: f64 = 0.03;
 
-/// Steps of risk that a request is put to rather than leave the data centre. What
-/// crosses between data centres is paid for by the kilobyte: about a step's worth
-/// for a booking, three for a lookup, which is answered elsewhere if it fails.
+/// Penalty, in risk steps, of endpoints in another data centre: for requests that must not run
+/// twice, and for those that may. Traffic between data centres is paid for by the kilobyte, which
+/// is worth about one step for a booking and three for a lookup, which is answered elsewhere if
+/// it fails.
 const REMOTE_PENALTY_STEPS: (u64, u64) = (1, 3);
 
 impl Pool {
-    /// Chooses the endpoint that is least likely to fail.
+    /// Selects the endpoint with the lowest risk.
     ///
-    /// Load: a third of the slots busy, endpoints in spells of some seconds in
-    /// which three of four requests fail. Keeping the work on endpoints that have
-    /// just answered meets fewer spells than spreading it, since each spell is
-    /// found out by a failure. Requests that may run again look after the others.
+    /// This is meant for a load in which a third of the slots is busy and endpoints have episodes
+    /// of some seconds in which three of four requests fail. Sending requests to endpoints that
+    /// have answered recently meets fewer episodes than spreading them, since each episode is
+    /// detected by a failure. Requests that may run again explore the other endpoints.
     pub(super) fn pick_by_risk(&mut self, criteria: PickCriteria<'_>) -> Option<Pick> {
         let round = Round {
             is_exploring: self.mechanisms.exploring
@@ -64,9 +66,9 @@
         Some(Pick::of(entry, selection_reason(entry, &criteria, &round)))
     }
 
-    /// Returns the rank of an endpoint; the least comes first: one that joined,
-    /// those that are overdue, then all others by risk. A request that explores
-    /// takes the endpoint in doubt that was seen longest ago.
+    /// Returns the rank of an endpoint; the least comes first: newly added endpoints, then
+    /// overdue ones, then all others by risk. A request that explores takes the endpoint with an
+    /// elevated risk that was observed longest ago.
     fn rank(&self, entry: &PoolEntry, criteria: &PickCriteria<'_>, round: &Round) -> u64 {
         let risk_rank = self.risk_rank(entry, criteria.idempotent);
         if is_unused_newcomer(entry, criteria) {
@@ -83,15 +85,14 @@
         }
     }
 
-    /// Returns since when an endpoint must have got nothing to come first; none
-    /// while enough endpoints get work.
+    /// Returns the time since which an endpoint must have had no request to be overdue; none
+    /// while enough endpoints get requests.
     ///
-    /// Failure guarded against: the work stays on the endpoints that have just
-    /// answered, and when these fail, or the VMs that used them, nobody knows the
-    /// others. It shows as sound endpoints without work while requests fail. The
-    /// guard holds because most endpoints get a request in any two seconds, the
-    /// least likely to fail first, and all of them while much is lost: then the
-    /// endpoints in use can't be the right ones.
+    /// If requests stayed on the endpoints that have answered recently, no VM would have
+    /// observations of the others when these endpoints, or the VMs that used them, fail: healthy
+    /// endpoints would get nothing while requests fail. Therefore most endpoints get a request in
+    /// any two seconds, those with the lowest risk first. While the failure rate is high, all of
+    /// them do, since then the endpoints in use can't be the right ones.
     fn overdue_since(&self, criteria: &PickCriteria<'_>) -> Option<Time> {
         if !self.mechanisms.coverage {
             return None;
@@ -120,11 +121,11 @@
     }
 }
 
-/// What is the same for all endpoints while one is chosen.
+/// Parameters that are the same for all endpoints during one selection.
 struct Round {
-    /// Whether the request looks at endpoints in doubt.
+    /// Whether the request explores endpoints with an elevated risk.
     is_exploring: bool,
-    /// Endpoints that got nothing since then are overdue.
+    /// Endpoints without a request since then are overdue.
     overdue_since: Option<Time>,
 }
 
@@ -154,13 +155,13 @@
     (!is_tried || criteria.allow_already_tried) && !is_barred_trial && !is_risky
 }
 
-/// Returns whether an endpoint joined and nobody has tried it yet.
+/// Returns whether an endpoint was added recently and no VM has tried it yet.
 fn is_unused_newcomer(entry: &PoolEntry, criteria: &PickCriteria<'_>) -> bool {
     let is_idle = entry.in_flight + entry.peer_in_flight() == 0;
     entry.is_untried && is_idle && !criteria.tried.contains(&entry.endpoint.name)
 }
 
-/// Returns whether it is an endpoint's turn to get a request.
+/// Returns whether an endpoint is due to get a request.
 fn is_overdue(entry: &PoolEntry, criteria: &PickCriteria<'_>, round: &Round) -> bool {
     round.overdue_since.is_some_and(|since| entry.last_sent < since)
         && !criteria.tried.contains(&entry.endpoint.name)
--- a/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name in requests a second.
+//! Rate limits that endpoints announce, in requests per second.
 
 use rand::RngExt;
 
@@ -11,19 +11,19 @@
 };
 
 impl Pool {
-    /// Sets how this VM takes part in keeping the limits that endpoints name.
+    /// Sets this VM's share of the limits that endpoints announce.
     pub(in crate::shard) fn set_rate_share(&mut self, rate_share: RateShare) {
         self.rate_share = rate_share;
     }
 
-    /// Returns the requests a second that all VMs in view can send to endpoints that name a
+    /// Returns the requests per second that all VMs in view can send to endpoints with a rate
     /// limit.
     pub(in crate::shard) fn limited_per_second(&self) -> f64 {
         self.limited_per_second
     }
 
-    /// Takes the limit that an endpoint names, or no longer names, in its answer to a request
-    /// that was sent at `sent_at`; returns whether it changed.
+    /// Sets the limit that an endpoint announces, or no longer announces, in its answer to a
+    /// request sent at `sent_at`; returns whether it changed.
     pub(in crate::shard) fn on_rate_limit(
         &mut self,
         now: Time,
@@ -43,19 +43,19 @@
         }
     }
 
-    /// Takes what another VM has sent to an endpoint that names a limit.
+    /// Records what another VM has sent to an endpoint with a rate limit.
     pub(in crate::shard) fn on_peer_sent(&mut self, now: Time, name: &str, peer: &Name, sent: u32) {
         if let Some(rate) = self.endpoints.get_mut(name).and_then(|entry| entry.rate.as_mut()) {
             rate.on_peer(now, peer, sent, self.rate_share, self.rng.random());
         }
     }
 
-    /// Returns what other VMs are told of an endpoint that names a limit.
+    /// Returns the update for other VMs on an endpoint with a rate limit.
     pub(in crate::shard) fn rate_update(&self, now: Time, name: &str) -> Option<RateNews> {
         self.endpoints.get(name).and_then(|entry| entry.rate.as_ref()?.news(now))
     }
 
-    /// Returns all endpoints that name a limit.
+    /// Returns all endpoints with a rate limit.
     pub(in crate::shard) fn rate_limits(&self, now: Time) -> Vec<(EndpointKey, RateNews)> {
         let limited = self.endpoints.iter().filter_map(|(name, entry)| {
             Some((EndpointKey::of(name), entry.rate.as_ref()?.news(now)?))
--- a/crates/pistachiotrack-core/src/shard/rate_limits.rs
+++ b/crates/pistachiotrack-core/src/shard/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name in requests a second, as a shard hears of them.
+//! Rate limits that endpoints announce: updates from answers and from other VMs.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
     time::Time,
 };
 
-/// Part of a limit that a VM uses in the place of an owner that it can't reach.
+/// Share of a limit that a VM uses while it can't reach the owner.
 const CAREFUL_SHARE: f64 = 0.25;
 
 impl Shard {
-    /// Takes whether an answer names a limit. A failure without one says nothing: it may not be
-    /// the endpoint's own.
+    /// Records whether an answer announces a limit. A failure without one is ignored because
+    /// another server may have sent it.
     pub(super) fn record_answered_limit(
         &mut self,
         now: Time,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes what another VM says of an endpoint's limit, and how much it has sent.
+    /// Applies another VM's observation of an endpoint's limit and how much that VM has sent.
     pub(super) fn on_peer_rate_limit(
         &mut self,
         now: Time,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes the limits that another VM knows of.
+    /// Applies the limits of another VM's snapshot.
     pub(super) fn on_snapshot_rate_limits(&mut self, now: Time, rates: &[(EndpointKey, RateNews)]) {
         for (key, rate) in rates {
             if let Some(endpoint) = self.pool.endpoint_by_key(*key) {
@@ -73,10 +73,11 @@
         }
     }
 
-    /// Returns how this VM takes part in keeping the limits that endpoints name.
+    /// Returns this VM's share of the limits that endpoints announce.
     ///
-    /// A VM that is no dispatcher isn't told what the others send, and leaves such endpoints
-    /// to them. One that sees fewer dispatchers than there should be may be cut off from them.
+    /// A VM that is no dispatcher receives no updates on what the others send, and leaves such
+    /// endpoints to them. A VM that sees fewer dispatchers than expected may be partitioned from
+    /// them, and uses only the share of those in view.
     pub(super) fn rate_share(&mut self, in_view: DispatchersInView) -> RateShare {
         let Some(budget) = self.retry_budget.fleet() else {
             let is_careful = self.pool.mode() == ShardMode::Careful;
@@ -93,7 +94,7 @@
     }
 }
 
-/// Returns when the request was sent whose answer named a limit.
+/// Returns when the request was sent whose answer announced the limit.
 fn request_sent_at(now: Time, rate: RateNews) -> Time {
     now.before(Duration::from_millis(u64::from(rate.age_ms)))
 }
--- a/crates/pistachiotrack-core/src/shard/retry_budget.rs
+++ b/crates/pistachiotrack-core/src/shard/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget that a shard's retries come from.
+//! Retry budget of a shard.
 
 use super::{Shard, ShardSettings};
 use crate::{
@@ -9,12 +9,11 @@
     time::Time,
 };
 
-/// The budget of a shard.
 #[derive(Clone, Debug)]
 pub(super) enum ShardRetryBudget {
-    /// That of an owner, who sends all of the shard's requests.
+    /// Budget of an owner, which sends all of the shard's requests.
     Owner(RetryBudget),
-    /// One that the dispatchers of a shared service keep together.
+    /// Budget that the dispatchers of a shared service maintain together.
     Fleet(FleetBudget),
 }
 
@@ -25,10 +24,12 @@
         config: &Config,
         name: &str,
     ) -> ShardRetryBudget {
-        let mut retry_budget = ShardRetryBudget::Owner(RetryBudget::new(now, BudgetSettings::default()));
+        let mut retry_budget =
+            ShardRetryBudget::Owner(RetryBudget::new(now, BudgetSettings::default()));
         let Some(service) = config.service(name) else { return retry_budget };
         if let (true, Some(limit)) = (service.is_shared(), service.retry_limit) {
-            // A shard that this process begins once more counts anew.
+            // A shard that this process starts again needs a new counter, so the id differs at
+            // each start.
             let begun = settings.seed ^ now.as_micros();
             let count_id = hash::fnv(&begun.to_le_bytes()) as u32;
             let expected = expected_dispatchers(config, service);
@@ -40,8 +41,8 @@
         retry_budget
     }
 
-    /// Takes a new configuration; whether the service is shared stays as it was
-    /// when the shard began.
+    /// Applies a new configuration. Whether the service is shared stays as it was when the shard
+    /// started.
     pub(super) fn configure(&mut self, now: Time, config: &Config, service: &Service) {
         let Some(limit) = service.retry_limit else { return };
         match self {
@@ -52,21 +53,21 @@
         }
     }
 
-    /// Notes a request that is sent for the first time.
+    /// Records a request that is sent for the first time.
     pub(super) fn on_request(&mut self, now: Time) {
         if let ShardRetryBudget::Fleet(budget) = self {
             budget.on_request(now);
         }
     }
 
-    /// Notes a whole answer.
+    /// Records a complete answer.
     pub(super) fn on_success(&mut self) {
         if let ShardRetryBudget::Owner(budget) = self {
             budget.on_success();
         }
     }
 
-    /// Notes a retry that is sent whatever the limit.
+    /// Records a retry that is sent regardless of the limit.
     pub(super) fn spend(&mut self, now: Time) {
         if let ShardRetryBudget::Fleet(budget) = self {
             budget.spend(now);
@@ -81,8 +82,7 @@
         }
     }
 
-    /// Takes a retry that only saves time and returns whether there was one to
-    /// spare.
+    /// Takes a retry that only reduces latency and returns whether one could be spared.
     pub(super) fn take_spare(&mut self, now: Time) -> bool {
         match self {
             ShardRetryBudget::Owner(budget) => budget.take_spare(now),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns the budget that is kept together with other VMs, if it is one.
+    /// Returns the budget that is maintained together with other VMs, if it is one.
     pub(super) fn fleet(&mut self) -> Option<&mut FleetBudget> {
         match self {
             ShardRetryBudget::Owner(_) => None,
@@ -100,8 +100,8 @@
 }
 
 impl Shard {
-    /// Takes which dispatchers of the service this VM sees; returns whether it has
-    /// just become one of them and has to ask for a picture.
+    /// Applies the set of dispatchers that this VM sees; returns whether this VM has just become
+    /// one of them and has to request a snapshot.
     pub fn set_dispatchers(&mut self, now: Time, in_view: DispatchersInView) -> bool {
         self.dispatchers = in_view.count.max(1);
         let share = self.rate_share(in_view);
--- a/crates/pistachiotrack-core/src/shard/state.rs
+++ b/crates/pistachiotrack-core/src/shard/state.rs
@@ -1,4 +1,4 @@
-//! Requests and attempts that a shard has in hand.
+//! State of a shard's requests and attempts.
 
 use crate::{
     health::AttemptKind,
@@ -9,17 +9,17 @@
     time::Time,
 };
 
-/// Attempts of one request at most, those without a connection included.
+/// Maximum number of attempts of one request, including those that got no connection.
 const MAX_DISPATCHES: usize = 6;
 
-/// Where a request without a final answer stands.
+/// Phase of a request without a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It has just come.
+    /// It has just arrived.
     New,
     /// It waits for a slot.
     Queued,
-    /// It waits for the answer of the first request with its key.
+    /// It waits for the answer to the original request with its idempotency key.
     AwaitingOriginal,
     /// At least one attempt is in flight.
     Running,
@@ -31,19 +31,19 @@
     pub(super) arrived: Time,
     pub(super) request: Request,
     pub(super) phase: Phase,
-    /// Moment after which a dispatch leaves no time for a useful answer.
+    /// Time after which a dispatch leaves no time for a useful answer.
     pub(super) not_after: Time,
     pub(super) in_flight: Vec<AttemptId>,
     pub(super) tried: Vec<Name>,
-    /// Attempts that may have been run.
+    /// Number of attempts that may have run.
     pub(super) possible_runs: u32,
-    /// Whether an attempt that has ended may have been run.
+    /// Whether an ended attempt may have run.
     pub(super) may_have_run: bool,
     /// Whether the next attempt needs a new connection.
     pub(super) needs_fresh: bool,
     /// Whether a failure status has been retried.
     pub(super) failure_status_retried: bool,
-    /// Whether it is the first with its key.
+    /// Whether it is the original request with its idempotency key.
     pub(super) owns_key: bool,
 }
 
@@ -66,18 +66,17 @@
 
     /// Returns whether it may be sent to another endpoint.
     ///
-    /// Attempts that were certainly not run don't count, but a request that is
-    /// refused everywhere must end some time.
+    /// Attempts that certainly did not run don't count towards the request's maximum, but the
+    /// total is bounded so that a request that is refused everywhere ends.
     pub(super) fn can_be_dispatched(&self) -> bool {
         self.possible_runs < self.request.max_attempts && self.tried.len() < MAX_DISPATCHES
     }
 
-    /// Returns whether it may have run, be it by an attempt or by the first request with
-    /// its key.
+    /// Returns whether it may have run, either by an attempt or by the original request with its
+    /// key.
     ///
-    /// Failure guarded against: a request is refused as not run while an attempt is at an
-    /// endpoint. It shows as a doubled booking, since callers repeat such a request. The
-    /// guard holds because no decision that refuses says by itself whether it ran.
+    /// All refusals take the answer from here. If a request were refused as not run while an
+    /// attempt is at an endpoint, the caller would repeat it and could make a booking twice.
     pub(super) fn execution(&self) -> Execution {
         let may_run = self.may_have_run || !self.in_flight.is_empty();
         if may_run || self.phase == Phase::AwaitingOriginal {
@@ -87,30 +86,29 @@
         }
     }
 
-    /// Returns whether it may be dispatched again as far as its runs go.
+    /// Returns whether it may be dispatched again without running a non-idempotent request twice.
     pub(super) fn may_run_again(&self) -> bool {
         self.request.idempotent || !self.may_have_run
     }
 }
 
-/// An attempt whose slot is held.
+/// An attempt that occupies a slot.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptState {
-    /// The request, unless it is a health check.
+    /// The request, or none for a health check.
     pub(super) request: Option<RequestId>,
     pub(super) customer: Option<Name>,
     pub(super) endpoint: Name,
-    /// VM through which it went.
+    /// VM that relayed it.
     pub(super) via: Option<Name>,
     pub(super) kind: AttemptKind,
     pub(super) dispatched_at: Time,
     pub(super) time_limit: Time,
-    /// Whether the answer has begun.
+    /// Whether the head of the answer has arrived.
     pub(super) answered: bool,
-    /// Whether it was given up for a retry, which is taken from the budget already.
+    /// Whether it was given up for a retry, which has already been taken from the budget.
     pub(super) is_given_up: bool,
-    /// Class of the request.
     pub(super) class: Class,
-    /// What came of it and when, until the other VMs know.
+    /// Its result and the time of it, until the other VMs are informed.
     pub(super) unreported: Option<(AttemptResult, Time)>,
 }
--- a/crates/pistachiotrack-core/src/shard/subscribers.rs
+++ b/crates/pistachiotrack-core/src/shard/subscribers.rs
@@ -1,4 +1,4 @@
-//! VMs that aren't dispatchers of a service and are told all the same.
+//! VMs that receive updates on a service although they are no dispatchers of it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,27 +6,27 @@
 
 use crate::time::Time;
 
-/// Time for which a VM that told something is told in turn: a VM that callers still
-/// use though it is no dispatcher any more must know what the others see.
+/// Time for which a VM that has sent an update receives updates in turn. A VM that callers still
+/// use although it is no longer a dispatcher must see what the others see.
 const SUBSCRIPTION_TTL: Duration = Duration::from_secs(2);
-/// Messages within about that time from which on a VM is told: two or three requests
-/// a second. One with fewer asks for a picture when a request comes, which is less
-/// than all that a dispatcher has to tell.
+/// Minimum number of messages within about that time for a VM to receive updates: two or three
+/// requests per second. A VM with fewer requests asks for a snapshot when one arrives, which
+/// takes less than all updates of a dispatcher.
 const MIN_MESSAGES: f64 = 10.0;
-/// Guests that are told at most, so that a fleet that has not found itself yet
+/// Maximum number of recipients, so that a fleet whose members have not discovered each other yet
 /// doesn't flood itself.
 const MAX_RECIPIENTS: usize = 16;
-/// VMs that are counted at most.
+/// Maximum number of VMs whose messages are counted.
 const MAX_TRACKED_VMS: usize = 1_024;
 
-/// The VMs that a dispatcher tells besides the other dispatchers.
+/// The VMs that a dispatcher sends updates to in addition to the other dispatchers.
 ///
-/// Failure guarded against: all VMs get a request now and then, each is told all that
-/// every dispatcher nearby does, and that fills the links of weak ones. It shows as
-/// endpoints to which no connection opens in time. The guard holds because only VMs with
-/// requests of their own to place are told, and a bounded number.
+/// Only VMs that dispatch a certain rate of requests themselves receive updates, and a bounded
+/// number of them. If every VM with an occasional request received all updates of every
+/// dispatcher nearby, the links of weak VMs would be saturated, and connections to endpoints
+/// would not open in time.
 ///
-/// Only those of its own data centre: those elsewhere have dispatchers of their own.
+/// Only VMs of the same data centre are included: those elsewhere have dispatchers of their own.
 #[derive(Clone, Debug, Default)]
 pub struct Subscribers {
     by_address: FxHashMap<SocketAddr, Subscriber>,
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Subscriber {
     is_nearby: bool,
-    /// Messages so far, each counting less the longer ago it came.
+    /// Number of messages, with a weight that decays exponentially with their age.
     messages: f64,
     last_at: Time,
 }
@@ -53,8 +53,8 @@
 }
 
 impl Subscribers {
-    /// Notes that a VM told something; `is_nearby` says whether it is in this data
-    /// centre, and is only asked about a VM that hasn't told anything lately.
+    /// Records an update from a VM. `is_nearby` returns whether it is in this data centre, and is
+    /// only called for a VM that hasn't sent an update recently.
     pub fn record_update(&mut self, now: Time, vm: SocketAddr, is_nearby: impl FnOnce() -> bool) {
         if let Some(subscriber) = self.by_address.get_mut(&vm) {
             subscriber.record(now);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns the VMs that have to be told.
+    /// Returns the VMs that receive updates.
     pub fn recipients(&mut self, now: Time) -> impl Iterator<Item = SocketAddr> {
         self.by_address.retain(|_, subscriber| now < subscriber.last_at + SUBSCRIPTION_TTL);
         let recipients = self.by_address.iter().filter(|(_, subscriber)| subscriber.is_recipient());
--- a/crates/pistachiotrack-core/src/shard/updates.rs
+++ b/crates/pistachiotrack-core/src/shard/updates.rs
@@ -1,8 +1,8 @@
-//! What VMs that dispatch for one shard side by side tell each other.
+//! State updates between the VMs that dispatch for one shard.
 //!
-//! Each keeps the picture that a single owner would have: how many requests are
-//! in flight at each endpoint and how those of the others ended. What is lost on
-//! the way leaves the picture a little old, never wrong for long.
+//! Each VM maintains the view that a single owner would have: how many requests are in flight at
+//! each endpoint, and how those of the other VMs ended. A lost update leaves the view slightly
+//! stale until the next one.
 
 use std::time::Duration;
 
@@ -20,19 +20,20 @@
     time::Time,
 };
 
-/// Time for which another VM's count of requests in flight is believed without a
-/// newer one. A VM that dies tells nothing any more; few requests take longer.
+/// Time after which another VM's count of requests in flight expires. A VM that has crashed sends
+/// no further update; few requests take longer than this.
 const PEER_COUNT_TTL: Duration = Duration::from_secs(3);
 
-/// Time for which requests wait for a picture: some round trips between data centres
-/// of one region. A picture that is lost, or that nobody has, costs no more than that.
+/// Time for which requests wait for a snapshot: some round trips between data centres of one
+/// region. It bounds the cost of a snapshot that is lost or that no VM has.
 const SNAPSHOT_WAIT: Duration = Duration::from_millis(20);
 
-/// Endpoints in one message: each takes some 20 bytes of the 1,200 that one may have.
+/// Maximum number of endpoints in one message: each takes about 20 bytes of the 1,200 that a
+/// message may have.
 const MAX_ENDPOINTS_PER_UPDATE: usize = 32;
 
-/// An endpoint's name as it travels between VMs that have the same configuration: its hash,
-/// which is shorter.
+/// Hash of an endpoint's name. It replaces the longer name in messages between VMs that have the
+/// same configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointKey([u8; 8]);
 
@@ -43,63 +44,63 @@
     }
 }
 
-/// What a VM tells the others that dispatch for the same shard.
+/// An update from one VM to the others that dispatch for the same shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardUpdate {
     /// The shard.
     pub shard: ShardId,
-    /// The sender's requests that came to their end since it last told anything.
+    /// The sender's requests that have completed since its last update.
     pub request_counts: RequestCounts,
-    /// All that the sender has sent as a dispatcher.
+    /// Totals of what the sender has sent as a dispatcher.
     pub sent: SentTotal,
-    /// What has changed at the endpoints.
+    /// Endpoints whose state has changed.
     pub endpoints: Vec<EndpointUpdate>,
 }
 
-/// What a VM tells of an endpoint.
+/// An update on one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointUpdate {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Requests that the sender has in flight there.
     pub in_flight: u32,
-    /// How one of them was just answered, if one was.
+    /// How one of them has just been answered, if one was.
     pub ended: Option<EndedAttempt>,
-    /// The limit that the endpoint names, if it does.
+    /// The rate limit that the endpoint announces, if it does.
     pub rate: Option<RateNews>,
 }
 
-/// What a VM believes of a shard's endpoints, for one that has just begun.
+/// A VM's view of a shard's endpoints, for a VM that has just started to dispatch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardSnapshot {
     /// The shard.
     pub shard: ShardId,
-    /// The endpoints that it has seen at work.
+    /// Estimates of the endpoints that the VM has observed.
     pub estimates: Vec<BeliefOf>,
-    /// What all dispatchers have sent in the last window of the limit of retries,
-    /// newest first; empty if the sender doesn't know.
+    /// What all dispatchers have sent in the last window of the retry limit, newest first; empty
+    /// if the sender has no such record.
     pub sent: Vec<Sent>,
-    /// Endpoints that name a limit.
+    /// Endpoints that announce a rate limit.
     pub rate_limits: Vec<(EndpointKey, RateNews)>,
 }
 
-/// How an endpoint answered.
+/// The end of an attempt at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedAttempt {
     /// Class of the request.
     pub class: Class,
-    /// What came of it.
+    /// What the endpoint did.
     pub result: AttemptResult,
-    /// Time from the dispatch to the head of the answer, or to the break.
+    /// Time from the dispatch to the head of the answer, or to the broken connection.
     pub latency_us: u64,
     /// Time since then.
     pub age_us: u64,
 }
 
-/// What is to be told of an endpoint: how an attempt ended there and when, if one did.
+/// Unreported change of an endpoint: the end of an attempt there and its time, if one has ended.
 type Unreported = (Name, Option<(EndedAttempt, Time)>);
 
-/// What an endpoint did with an attempt.
+/// Result of an attempt at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptResult {
     /// It answered.
@@ -107,7 +108,7 @@
         /// HTTP status.
         status: u16,
     },
-    /// It broke the connection.
+    /// It closed or reset the connection.
     Broken,
     /// Another endpoint answered at its address.
     Misdirected,
@@ -121,14 +122,14 @@
 }
 
 impl Shard {
-    /// Takes what another VM that dispatches for this shard tells.
+    /// Applies an update of another VM that dispatches for this shard.
     ///
-    /// Answers and broken connections count as evidence; that another VM gets no
-    /// answer at all may be the fault of its own path. Load: spells in which endpoints
-    /// reset what they are sent. While breaks weren't told, each VM found each spell
-    /// out by a request of its own.
+    /// Answers and broken connections count as evidence. A missing answer does not because the
+    /// other VM's own network path may be at fault. Broken connections are included because
+    /// endpoints can have episodes in which they reset connections, and each VM would otherwise
+    /// detect each episode by a failed request of its own.
     ///
-    /// An endpoint that this VM's configuration doesn't have is left aside.
+    /// An endpoint that is not in this VM's configuration is ignored.
     pub fn on_update(&mut self, now: Time, from: &Name, update: &ShardUpdate) -> Vec<ShardAction> {
         if update.shard != self.id {
             return Vec::new();
@@ -164,21 +165,20 @@
         }
     }
 
-    /// Returns what this VM believes of the endpoints.
+    /// Returns a snapshot of this VM's view of the endpoints.
     pub fn snapshot(&mut self, now: Time) -> ShardSnapshot {
         let sent = self.retry_budget.fleet().map(|budget| budget.history(now)).unwrap_or_default();
         let (estimates, rate_limits) = (self.health.beliefs(now), self.pool.rate_limits(now));
         ShardSnapshot { shard: self.id.clone(), estimates, sent, rate_limits }
     }
 
-    /// Notes that other VMs were asked for a picture; until one comes, or none can be
-    /// expected any more, requests wait.
+    /// Records that a snapshot was requested from other VMs. Requests wait until one arrives, or
+    /// until none can be expected any more.
     ///
-    /// Failure guarded against: a VM that callers seldom use knows nothing of the
-    /// endpoints, and sends what it gets to any of them. It shows as many of these
-    /// requests failing. The guard holds because the picture is there within a round
-    /// trip. It is of no help in the first second after a loss of all VMs, when nobody
-    /// knows more.
+    /// A VM with few requests has no recent observations of the endpoints and would send a
+    /// request to any of them, so that many of these requests would fail. A snapshot arrives
+    /// within a round trip. It doesn't help in the first second after the loss of all VMs, when
+    /// no VM has observations.
     pub fn on_snapshot_requested(&mut self, now: Time) {
         self.snapshot_deadline = self.mechanisms.picture_wait.then(|| now + SNAPSHOT_WAIT);
     }
@@ -187,7 +187,7 @@
         self.snapshot_deadline.is_some_and(|due| now < due)
     }
 
-    /// Takes what another VM believes of the endpoints.
+    /// Applies another VM's snapshot.
     pub fn on_snapshot(&mut self, now: Time, snapshot: &ShardSnapshot) -> Vec<ShardAction> {
         if snapshot.shard != self.id {
             return Vec::new();
@@ -203,8 +203,8 @@
         self.advance(now)
     }
 
-    /// Tells of a failure at once: the next request of another VM should not be
-    /// the one that finds it out.
+    /// Queues a failure for the other VMs as soon as it is known, so that their next requests
+    /// avoid the endpoint.
     pub(super) fn queue_failure_report(&mut self, attempt: AttemptId) {
         let Some(state) = self.attempts.get_mut(&attempt) else { return };
         if !state.unreported.is_some_and(|(result, _)| result.is_failure()) {
@@ -215,7 +215,7 @@
         self.queue_ended_attempt(&state, unreported);
     }
 
-    /// Notes the end of an attempt for the other VMs.
+    /// Queues the end of an attempt for the other VMs.
     pub(super) fn queue_attempt_end(&mut self, state: &AttemptState) {
         self.queue_ended_attempt(state, state.unreported);
     }
@@ -234,7 +234,7 @@
         self.ended_attempts.push((state.endpoint.clone(), ended, ended_at));
     }
 
-    /// Tells the other VMs what has changed in the event that ends.
+    /// Broadcasts the changes of the current event to the other VMs.
     pub(super) fn broadcast_updates(&mut self, now: Time) {
         let changed = self.pool.take_changed();
         if !self.is_shared {
--- a/crates/pistachiotrack-core/src/shard/witness.rs
+++ b/crates/pistachiotrack-core/src/shard/witness.rs
@@ -1,15 +1,14 @@
-//! Witnesses: VMs through which work goes to endpoints that only this VM can't
-//! reach.
+//! Witnesses: VMs that relay requests to endpoints that only this VM can't reach.
 
 use super::{Shard, ShardAction, state::AttemptState};
 use crate::{name::Name, request::Outcome, time::Time};
 
 impl Shard {
-    /// Takes the VMs that reach an endpoint, in answer to
-    /// [`ShardAction::CheckPath`]; the preferred one comes first.
+    /// Sets the VMs that reach an endpoint, as the result of [`ShardAction::CheckPath`]; the
+    /// preferred one comes first.
     ///
-    /// To be called in place of [`Shard::on_path_answer`] if there are any. The
-    /// endpoint works on through the first of them.
+    /// To be called in place of [`Shard::on_path_answer`] if there are any. Requests to the
+    /// endpoint are relayed by the first of them.
     pub fn on_witnesses(
         &mut self,
         now: Time,
@@ -26,7 +25,7 @@
         self.advance(now)
     }
 
-    /// Returns the VM through which work goes to an endpoint, if it must.
+    /// Returns the VM that relays requests to an endpoint, if a relay is needed.
     pub(super) fn witness(&self, endpoint: &Name) -> Option<Name> {
         if !self.health.goes_via_witness(endpoint) {
             return None;
@@ -34,8 +33,8 @@
         self.witnesses.get(endpoint)?.first().cloned()
     }
 
-    /// Gives up a witness that did not do its part: the next one is used, and
-    /// new ones are asked for when there is none.
+    /// Removes a witness that failed to relay an attempt. The next one is used; if none is left,
+    /// the health checker is informed and asks for new ones.
     pub(super) fn on_witness_outcome(&mut self, now: Time, state: &AttemptState, outcome: Outcome) {
         let (Outcome::WitnessFailed { .. }, Some(failed)) = (outcome, &state.via) else { return };
         let Some(witnesses) = self.witnesses.get_mut(&state.endpoint) else { return };
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Forgets the witnesses of endpoints that the configuration no longer has.
+    /// Removes the witnesses of endpoints that are no longer configured.
     pub(super) fn remove_unused_witnesses(&mut self) {
         let pool = &self.pool;
         self.witnesses.retain(|endpoint, _| pool.address(endpoint).is_some());
