--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -7,11 +7,11 @@
 mod hand_over;
 mod pool;
 mod rate_limits;
+mod relay;
 mod retry_budget;
 mod state;
 mod subscribers;
 mod updates;
-mod witness;
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -132,7 +132,7 @@
     /// Attempts by the time at which they are given up in favour of a retry.
     give_ups: BTreeSet<(Time, AttemptId)>,
     /// For each endpoint that only this VM can't reach, the VMs that can relay requests to it.
-    witnesses: FxHashMap<Name, Vec<Name>>,
+    relays: FxHashMap<Name, Vec<Name>>,
     keys: KeyTable,
     retry_budget: ShardRetryBudget,
     latency: RecentLatency,
@@ -185,7 +185,7 @@
             deadlines: BTreeSet::new(),
             hedges: BTreeSet::new(),
             give_ups: BTreeSet::new(),
-            witnesses: FxHashMap::default(),
+            relays: FxHashMap::default(),
             keys: KeyTable::new(KeySettings::default()),
             retry_budget,
             latency: RecentLatency::default(),
@@ -215,7 +215,7 @@
         let endpoints = service.map(|service| endpoints(service, &self.id)).unwrap_or_default();
         self.pool.set_endpoints(endpoints.iter().copied());
         self.set_service(now, config);
-        self.remove_unused_witnesses();
+        self.remove_unused_relays();
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
         let actions = self.health.on_config(now, &self.pool.candidates(), floor);
         self.on_health_actions(now, actions);
@@ -274,7 +274,7 @@
         }
         self.on_health_actions(now, actions);
         self.record_evidence(now, &state, outcome);
-        self.on_witness_outcome(now, &state, outcome);
+        self.on_relay_outcome(now, &state, outcome);
         self.pool.refresh(now, &self.health);
         if let Outcome::Answered { status, .. } = outcome {
             self.queue_failure_report(attempt);
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -262,14 +262,14 @@
     fn dispatch(&mut self, now: Time, id: RequestId, pick: Pick) {
         let attempt = self.next_attempt_id();
         let give_up_at = self.give_up_at(now, id, pick.health_status);
-        let via = self.witness(&pick.name);
+        let via = self.relay_for(&pick.name);
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let kind = if pick.health_status == Standing::Trial {
             AttemptKind::Trial
         } else {
             AttemptKind::Work
         };
-        // A witness enforces the time limit itself, so that the timeout it reports counts as the
+        // A relay enforces the time limit itself, so that the timeout it reports counts as the
         // endpoint's.
         let deadline = pending.request.deadline;
         let time_limit = give_up_at.filter(|_| via.is_some()).unwrap_or(deadline);
--- a/crates/pistachiotrack-core/src/shard/pool/ranking.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/ranking.rs
@@ -63,7 +63,7 @@
             }
         }
         let (_, entry) = best?;
-        Some(Pick::of(entry, selection_reason(entry, &criteria, &round)))
+        Some(Pick::of(entry, reason(entry, &criteria, &round)))
     }
 
     /// Returns the rank of an endpoint; the least comes first: newly added endpoints, then
@@ -129,11 +129,7 @@
     overdue_since: Option<Time>,
 }
 
-fn selection_reason(
-    entry: &PoolEntry,
-    criteria: &PickCriteria<'_>,
-    round: &Round,
-) -> SelectionReason {
+fn reason(entry: &PoolEntry, criteria: &PickCriteria<'_>, round: &Round) -> SelectionReason {
     if is_unused_newcomer(entry, criteria) {
         SelectionReason::Untried
     } else if is_overdue(entry, criteria, round) {
--- a/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
@@ -35,8 +35,8 @@
         match (&mut entry.rate, limit) {
             (Some(rate), limit) => rate.on_answer(sent_at, limit),
             (None, Some(limit)) => {
-                let (share, phase) = (self.rate_share, self.rng.random());
-                entry.rate = Some(SharedRate::new(now, sent_at, limit, share, phase));
+                let (share, turn) = (self.rate_share, self.rng.random());
+                entry.rate = Some(SharedRate::new(now, sent_at, limit, share, turn));
                 true
             }
             (None, None) => false,
--- a/crates/pistachiotrack-core/tests/witnesses.rs
+++ b/crates/pistachiotrack-core/tests/relays.rs
@@ -75,7 +75,7 @@
 fn give_witnesses(world: &mut World, endpoint: &str, witnesses: &[&str]) {
     world.path_checks.retain(|asked| **asked != *endpoint);
     let witnesses = witnesses.iter().map(|vm| name(vm)).collect();
-    let actions = world.shard.on_witnesses(world.now, &name(endpoint), witnesses);
+    let actions = world.shard.on_relays(world.now, &name(endpoint), witnesses);
     world.check(actions);
 }
 
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -176,7 +176,7 @@
                         let nobody = PathAnswer::UnreachableByOthers;
                         world.shard.on_path_answer(world.now, &asked, nobody)
                     }
-                    false => world.shard.on_witnesses(world.now, &asked, witnesses.clone()),
+                    false => world.shard.on_relays(world.now, &asked, witnesses.clone()),
                 };
                 world.check(actions);
             }
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -65,7 +65,7 @@
         // Where several VMs dispatch, those that reach the endpoint use it.
         let actions = match message.witnesses.is_empty() || self.shard.is_shared() {
             true => self.shard.on_path_answer(now, &message.endpoint, message.answer),
-            false => self.shard.on_witnesses(now, &message.endpoint, message.witnesses),
+            false => self.shard.on_relays(now, &message.endpoint, message.witnesses),
         };
         self.apply(actions);
     }
