--- a/crates/pistachiotrack-core/tests/admission.rs
+++ b/crates/pistachiotrack-core/tests/admission.rs
@@ -13,7 +13,7 @@
     time::Time,
 };
 use quickcheck::{Gen, QuickCheck};
-use shard_support::{World, config};
+use shard_support::{Harness, config};
 
 fn queue(contracts: &[(&str, u32)]) -> AdmissionQueue {
     let mut queue = AdmissionQueue::default();
@@ -171,8 +171,8 @@
 }
 
 /// Returns a world with one busy slot that usually takes 100 ms.
-fn busy_world() -> World {
-    let mut world = World::new(config(1, 1, &[("a", 3), ("b", 1)]));
+fn busy_world() -> Harness {
+    let mut world = Harness::new(config(1, 1, &[("a", 3), ("b", 1)]));
     for _ in 0..40 {
         let id = world.send(10_000, |_| {});
         world.now += Duration::from_millis(100);
@@ -192,7 +192,8 @@
     }
     let id = world.send(300, |request| request.idempotent = false);
     assert_eq!(world.refusal(id), Some((Execution::NotRun, Reason::WaitTooLong)));
-    let Some(ShardAction::Refuse { refusal, .. }) = world.requests[&id].finals.first() else {
+    let Some(ShardAction::Refuse { refusal, .. }) = world.requests[&id].final_actions.first()
+    else {
         panic!("not refused");
     };
     assert!(refusal.retry_after_ms.is_some_and(|ms| (300..2_000).contains(&ms)), "{refusal:?}");
@@ -207,7 +208,7 @@
     let more = world.send(10_000, |_| {});
     assert_eq!(world.refusal(more), Some((Execution::NotRun, Reason::QueueFull)));
     let other = world.send(10_000, |request| request.customer = Name::from("b"));
-    assert!(world.requests[&other].finals.is_empty());
+    assert!(world.requests[&other].final_actions.is_empty());
     let refused = crowd.iter().filter(|id| world.refusal(**id).is_some()).count();
     assert_eq!(refused, 1);
 }
--- a/crates/pistachiotrack-core/tests/at_most_once.rs
+++ b/crates/pistachiotrack-core/tests/at_most_once.rs
@@ -8,13 +8,13 @@
     request::{BodyEnd, Outcome, RequestId},
     shard::{Shard, ShardAction, ShardSettings},
 };
-use shard_support::{World, answered, config, shard_id};
+use shard_support::{Harness, answered, config, shard_id};
 
-fn world() -> World {
-    World::new(config(3, 1, &[("a", 1)]))
+fn world() -> Harness {
+    Harness::new(config(3, 1, &[("a", 1)]))
 }
 
-fn book(world: &mut World, key: Option<&str>, repeat: bool) -> RequestId {
+fn book(world: &mut Harness, key: Option<&str>, repeat: bool) -> RequestId {
     world.send(1_000, |request| {
         request.idempotent = false;
         request.key = key.map(Name::from);
@@ -52,7 +52,7 @@
         assert!(world.is_delivered(id), "{outcome:?}");
 
         let id = book(&mut world, None, false);
-        while world.requests[&id].finals.is_empty() {
+        while world.requests[&id].final_actions.is_empty() {
             world.outcome(world.attempt(id), outcome);
             world.tick(50);
         }
@@ -113,7 +113,7 @@
     let mut world = world();
     let first = book(&mut world, Some("k"), false);
     let joined = book(&mut world, Some("k"), false);
-    while world.requests[&first].finals.is_empty() {
+    while world.requests[&first].final_actions.is_empty() {
         world.outcome(world.attempt(first), Outcome::ConnectFailed);
     }
     assert_eq!(world.refusal(first).unwrap().0, Execution::NotRun);
--- a/crates/pistachiotrack-core/tests/dispatchers.rs
+++ b/crates/pistachiotrack-core/tests/dispatchers.rs
@@ -1,4 +1,4 @@
-//! Which VMs dispatch side by side.
+//! Selection of the VMs that dispatch for a shared service.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Returns a fleet with the given capacities.
+/// Returns members with the given capacities.
 fn fleet(capacities: &[u32]) -> Vec<Member> {
     let member = |(number, capacity): (usize, &u32)| Member {
         vm: vm(number, *capacity),
@@ -60,11 +60,10 @@
     chosen.map(|vm| vm.name.strip_prefix("vm-").unwrap().parse().unwrap()).collect()
 }
 
-/// Clerks wait although the endpoints are idle. A few VMs have half of a core and a
-/// fast link, most have a tenth and a slow one, and the requests of a whole service
-/// were dispatched by slow ones.
+/// A few VMs have half of a core and a fast link, most have a tenth and a slow one. If slow VMs
+/// dispatched all requests of a service, callers would wait although the endpoints are idle.
 #[test]
-fn the_strongest_vms_of_each_data_centre_dispatch() {
+fn the_highest_capacity_vms_of_each_data_centre_dispatch() {
     let mut capacities = [10; 36];
     for strong in [3, 16, 11, 18, 22, 29] {
         capacities[strong] = 50;
@@ -72,9 +71,10 @@
     assert_eq!(dispatchers(&fleet(&capacities), 3), BTreeSet::from([3, 11, 16, 18, 22, 29]));
 }
 
-/// A strong VM dies. The next best takes its place, and the others stay.
+/// When a VM with high capacity dies, the one with the next highest capacity takes its place and
+/// the others stay.
 #[test]
-fn a_strong_vm_that_dies_is_replaced() {
+fn a_dead_dispatcher_is_replaced_by_the_vm_with_the_next_highest_capacity() {
     let mut capacities = [10; 36];
     for strong in [3, 16, 11, 18, 22, 29] {
         capacities[strong] = 50;
@@ -85,8 +85,8 @@
     assert_eq!(dispatchers(&members, 3), BTreeSet::from([11, 16, 18, 22, 29, 33]));
 }
 
-/// Where all are alike, the choice must not fall on the first ones of each data
-/// centre, which would be the same for every group.
+/// Among VMs of equal capacity, the choice must not fall on the first ones of each data centre,
+/// which would be the same for every group of services.
 #[test]
 fn equal_vms_are_chosen_by_hashing() {
     let chosen = dispatchers(&fleet(&[20; 36]), 3);
@@ -94,10 +94,10 @@
     assert_ne!(chosen, (0..6).collect());
 }
 
-/// A fleet serves many services. The few strong VMs must not have to dispatch for all
-/// of them.
+/// In a fleet with many services, the few VMs with high capacity must not have to dispatch for
+/// all of them.
 #[test]
-fn many_services_are_spread_over_weak_vms_too() {
+fn many_services_are_spread_over_low_capacity_vms_too() {
     let mut capacities = [10; 36];
     for strong in [3, 16, 11, 18, 22, 29] {
         capacities[strong] = 50;
--- a/crates/pistachiotrack-core/tests/rate_limit.rs
+++ b/crates/pistachiotrack-core/tests/rate_limit.rs
@@ -14,7 +14,7 @@
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shared_support::{START, all_dispatched, booking, dispatched, news_of, shard};
+use shared_support::{START, all_dispatched, booking, dispatched, endpoint_update, shard};
 
 /// Time over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -146,7 +146,7 @@
     let outcome = Outcome::Answered { status: 200, fresh_connection: true };
     actions.extend(shard.on_outcome(now, sent.attempt, outcome, report(limit)));
     actions.extend(shard.on_body_end(now, sent.attempt, BodyEnd::Complete));
-    (sent.endpoint, shared_support::told(&actions))
+    (sent.endpoint, shared_support::broadcasts(&actions))
 }
 
 /// Returns a shard with one endpoint that is one of so many dispatchers.
@@ -161,7 +161,7 @@
     let mut shard = dispatcher(2, true);
     serve(&mut shard, START, 1, Some("1"));
     let now = START + Duration::from_secs(5);
-    let mut told = news_of("endpoint-0", 0, Default::default());
+    let mut told = endpoint_update("endpoint-0", 0, Default::default());
     for sent in [3, 8] {
         let rate = Some(RateNews { limit: limit("1"), age_ms: 0, sent });
         told.endpoints = vec![EndpointUpdate { rate, ..told.endpoints[0] }];
@@ -179,7 +179,7 @@
     assert_eq!(named.unwrap().limit, limit("2.5"));
     let mut other = dispatcher(2, true);
     let said = |shard: &mut Shard, now, told: &[ShardUpdate]| {
-        let actions = shared_support::pass_on(shard, now, told);
+        let actions = shared_support::apply_updates(shard, now, told);
         actions.into_iter().find_map(|action| match action {
             ShardAction::RateLimit { limit, .. } => Some(limit),
             _ => None,
--- a/crates/pistachiotrack-core/tests/replaced_endpoint.rs
+++ b/crates/pistachiotrack-core/tests/replaced_endpoint.rs
@@ -18,7 +18,7 @@
     shard::{Dispatch, Shard, ShardAction},
     time::Time,
 };
-use shared_support::{START, booking, dispatched, end, pass_on, shard, told};
+use shared_support::{START, apply_updates, booking, broadcasts, dispatched, end, shard};
 
 /// Time between two requests.
 const STEP: Duration = Duration::from_millis(20);
@@ -88,7 +88,7 @@
 fn the_other_vms_are_told() {
     let (mut first, mut second) = (shard(4), shard(4));
     let (replaced, actions) = turn_away(&mut first, START);
-    pass_on(&mut second, START, &told(&actions));
+    apply_updates(&mut second, START, &broadcasts(&actions));
     let mut now = START;
     let chosen = send(&mut second, &mut now, START + REGISTRY_LAG, booking, &replaced);
     assert!(chosen.iter().all(|name| *name != replaced));
--- a/crates/pistachiotrack-core/tests/shard_fault_table.rs
+++ b/crates/pistachiotrack-core/tests/shard_fault_table.rs
@@ -8,7 +8,7 @@
     request::{AttemptId, BodyEnd, Outcome, Report, RequestId},
     shard::{Shard, ShardSettings},
 };
-use shard_support::{State, World, answered, config, shard_id};
+use shard_support::{Harness, State, answered, config, shard_id};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Idempotent,
-    Once,
+    NonIdempotent,
     Keyed,
 }
 
@@ -67,85 +67,85 @@
     Step::Shutdown,
 ];
 
-const KINDS: [Kind; 3] = [Kind::Idempotent, Kind::Once, Kind::Keyed];
+const KINDS: [Kind; 3] = [Kind::Idempotent, Kind::NonIdempotent, Kind::Keyed];
 
-/// Returns a world in which enough answers have come for hedges, and whose
-/// endpoints are all free.
-fn warm_world(endpoints: u32) -> World {
-    let mut world = World::new(config(endpoints, 1, &[("a", 1)]));
+/// Returns a harness that has recorded enough answers for hedges, and whose endpoints are all
+/// free.
+fn warm_harness(endpoints: u32) -> Harness {
+    let mut harness = Harness::new(config(endpoints, 1, &[("a", 1)]));
     for _ in 0..40 {
-        let id = world.send(1_000, |_| {});
-        world.now += std::time::Duration::from_millis(5);
-        world.answer(world.attempt(id));
+        let id = harness.send(1_000, |_| {});
+        harness.now += std::time::Duration::from_millis(5);
+        harness.answer(harness.attempt(id));
     }
-    world
+    harness
 }
 
-fn send(world: &mut World, kind: Kind, hedge: bool) -> RequestId {
-    world.send(2_000, |request| {
+fn send(harness: &mut Harness, kind: Kind, hedge: bool) -> RequestId {
+    harness.send(2_000, |request| {
         request.idempotent = kind == Kind::Idempotent;
         request.hedge = hedge;
         request.key = (kind == Kind::Keyed).then(|| Name::from("k"));
     })
 }
 
-/// Brings a request to `step`; returns it with the attempt that the fault
-/// hits, which is another request's if it only waits.
-fn arrange(world: &mut World, step: Step, kind: Kind) -> (RequestId, AttemptId) {
+/// Brings a request to `step`; returns it with the attempt that the fault affects, which is
+/// another request's if it is only queued.
+fn advance_to(harness: &mut Harness, step: Step, kind: Kind) -> (RequestId, AttemptId) {
     if step == Step::Queued {
-        let blockers: Vec<RequestId> = (0..3).map(|_| world.send(1_500, |_| {})).collect();
-        let id = send(world, kind, false);
-        assert!(world.attempts_of(id).is_empty(), "it has to wait");
-        return (id, world.attempt(blockers[0]));
+        let blockers: Vec<RequestId> = (0..3).map(|_| harness.send(1_500, |_| {})).collect();
+        let id = send(harness, kind, false);
+        assert!(harness.attempts_of(id).is_empty(), "it has to wait");
+        return (id, harness.attempt(blockers[0]));
     }
-    let id = send(world, kind, step == Step::Hedged);
-    let mut target = world.attempt(id);
+    let id = send(harness, kind, step == Step::Hedged);
+    let mut target = harness.attempt(id);
     match step {
-        Step::HeadReceived => world.outcome(target, answered(200)),
+        Step::HeadReceived => harness.outcome(target, answered(200)),
         Step::Retried => {
-            world.outcome(target, Outcome::ConnectFailed);
-            target = world.attempt(id);
+            harness.outcome(target, Outcome::ConnectFailed);
+            target = harness.attempt(id);
         }
         Step::Hedged => {
-            world.tick(50);
-            let attempts = world.attempts_of(id).len();
+            harness.tick(50);
+            let attempts = harness.attempts_of(id).len();
             assert_eq!(attempts, if kind == Kind::Idempotent { 2 } else { 1 }, "{kind:?}");
         }
         Step::HandOver => {
-            let handed = world.shard.hand_over(world.now);
+            let handed = harness.shard.hand_over(harness.now);
             let settings = ShardSettings { seed: 3, ..ShardSettings::default() };
-            let mut successor = Shard::new(world.now, shard_id(), &world.config, settings);
-            successor.on_hand_over(world.now, &handed);
-            check_successor(world, &mut successor, id, kind);
+            let mut successor = Shard::new(harness.now, shard_id(), &harness.config, settings);
+            successor.on_hand_over(harness.now, &handed);
+            check_successor(harness, &mut successor, id, kind);
         }
-        Step::ConfigChange => world.configure(config(4, 1, &[("b", 2)])),
+        Step::ConfigChange => harness.configure(config(4, 1, &[("b", 2)])),
         Step::Drain => {
-            let mut leaving = world.config.clone();
-            let name = &world.attempts[&target].dispatch.endpoint;
+            let mut leaving = harness.config.clone();
+            let name = &harness.attempts[&target].dispatch.endpoint;
             for endpoint in &mut leaving.services[0].endpoints {
                 endpoint.leaving = endpoint.name == *name;
             }
-            world.configure(leaving);
+            harness.configure(leaving);
         }
         Step::Shutdown => {
-            let mut empty = world.config.clone();
+            let mut empty = harness.config.clone();
             empty.services[0].endpoints.clear();
-            world.configure(empty);
+            harness.configure(empty);
         }
         Step::Queued | Step::Dispatched => {}
     }
     (id, target)
 }
 
-/// A duplicate that reaches the successor is not run while the first is in
-/// flight at the predecessor.
-fn check_successor(world: &World, successor: &mut Shard, id: RequestId, kind: Kind) {
+/// A duplicate that reaches the successor is not run while the original is in flight at the
+/// predecessor.
+fn check_successor(harness: &Harness, successor: &mut Shard, id: RequestId, kind: Kind) {
     if kind != Kind::Keyed {
         return;
     }
-    let mut duplicate = world.requests[&id].request.clone();
+    let mut duplicate = harness.requests[&id].request.clone();
     duplicate.id = RequestId(9_999);
-    let actions = successor.on_request(world.now, duplicate);
+    let actions = successor.on_request(harness.now, duplicate);
     let is_refused = matches!(
         &actions[..],
         [pistachiotrack_core::shard::ShardAction::Refuse { refusal, .. }]
@@ -154,72 +154,71 @@
     assert!(is_refused, "{actions:?}");
 }
 
-fn inject(world: &mut World, id: RequestId, target: AttemptId, fault: Fault) {
-    let has_head = world.attempts[&target].state == State::Answered;
+fn inject(harness: &mut Harness, id: RequestId, target: AttemptId, fault: Fault) {
+    let has_head = harness.attempts[&target].state == State::Answered;
     match fault {
         Fault::Outcome(outcome) if !has_head => {
-            world.outcome_with(target, outcome, Report::default());
+            harness.outcome_with(target, outcome, Report::default());
         }
-        Fault::Outcome(_) => world.body_end(target, BodyEnd::Cut),
+        Fault::Outcome(_) => harness.body_end(target, BodyEnd::Cut),
         Fault::Body(end) => {
             if !has_head {
-                world.outcome(target, answered(200));
+                harness.outcome(target, answered(200));
             }
-            world.body_end(target, end);
+            harness.body_end(target, end);
         }
-        Fault::Pause => world.pause(1_200),
-        Fault::CallerGone if world.requests[&id].finals.is_empty() => world.cancel(id),
-        Fault::CallerGone => world.body_end(target, BodyEnd::CallerGone),
+        Fault::Pause => harness.pause(1_200),
+        Fault::CallerGone if harness.requests[&id].final_actions.is_empty() => harness.cancel(id),
+        Fault::CallerGone => harness.body_end(target, BodyEnd::CallerGone),
     }
 }
 
-/// Answers everything that is in flight until nothing is.
-fn settle(world: &mut World) {
+/// Answers everything that is in flight until nothing is left.
+fn complete_all(harness: &mut Harness) {
     for _ in 0..20 {
-        for attempt in world.in_flight() {
-            world.outcome(attempt, answered(200));
+        for attempt in harness.in_flight() {
+            harness.outcome(attempt, answered(200));
         }
-        for attempt in world.with_state(State::Answered) {
-            world.body_end(attempt, BodyEnd::Complete);
+        for attempt in harness.with_state(State::Answered) {
+            harness.body_end(attempt, BodyEnd::Complete);
         }
-        world.tick(20);
+        harness.tick(20);
     }
 }
 
-fn cell(step: Step, kind: Kind, fault: Fault) -> &'static str {
-    let mut world = warm_world(3);
-    let (id, target) = arrange(&mut world, step, kind);
-    inject(&mut world, id, target, fault);
-    settle(&mut world);
-    world.drain();
+fn run_case(step: Step, kind: Kind, fault: Fault) -> &'static str {
+    let mut harness = warm_harness(3);
+    let (id, target) = advance_to(&mut harness, step, kind);
+    inject(&mut harness, id, target, fault);
+    complete_all(&mut harness);
+    harness.drain();
     let context = format!("{fault:?} at {step:?} of {kind:?}");
-    assert!(world.violations.is_empty(), "{context}: {:?}", world.violations);
+    assert!(harness.violations.is_empty(), "{context}: {:?}", harness.violations);
     let certain = matches!(fault, Fault::Outcome(outcome) if outcome.certainly_not_run());
-    let refusal = world.refusal(id).map(|(execution, _)| execution);
+    let refusal = harness.refusal(id).map(|(execution, _)| execution);
     if certain {
         assert_ne!(refusal, Some(Execution::Unknown), "{context}");
     }
     if step == Step::Queued && fault != Fault::CallerGone {
-        assert!(world.is_delivered(id), "{context}: {refusal:?}");
+        assert!(harness.is_delivered(id), "{context}: {refusal:?}");
     }
-    if world.requests[&id].cancelled {
+    if harness.requests[&id].cancelled {
         return "-";
     }
     match refusal {
-        None if world.attempts_of(id).len() > 1 => "D+",
+        None if harness.attempts_of(id).len() > 1 => "D+",
         None => "D",
         Some(Execution::NotRun) => "N",
         Some(Execution::Unknown) => "U",
     }
 }
 
-// Whatever happens to an attempt, and whatever its request is just going
-// through, the caller gets one end: an answer, a refusal that says "not run"
-// and is right, or one that says "unknown". A request that must not be
-// repeated is never sent twice.
+// Whatever happens to an attempt, in any step of its request, the caller gets one final result:
+// an answer, a refusal that says "not run" and is correct, or one that says "unknown". A request
+// that must not be repeated is never sent twice.
 //
-// D delivered, D+ delivered after more than one attempt, N refused not run,
-// U refused unknown, - the caller is gone; idempotent/once/keyed.
+// D delivered, D+ delivered after more than one attempt, N refused not run, U refused unknown, -
+// the caller is gone; idempotent/non-idempotent/keyed.
 #[test]
 fn every_fault_at_every_step() {
     print!("{:<15}", "");
@@ -230,7 +229,7 @@
     for (name, fault) in FAULTS {
         print!("{name:<15}");
         for step in STEPS {
-            let cells = KINDS.map(|kind| cell(step, kind, fault));
+            let cells = KINDS.map(|kind| run_case(step, kind, fault));
             print!("{:<14}", cells.join("/"));
         }
         println!();
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -1,4 +1,4 @@
-//! Random histories of a shard against a naive oracle.
+//! Random event histories of a shard, checked against a simple oracle.
 
 mod shard_support;
 
@@ -9,7 +9,7 @@
     shard::{ShardHandOver, ShardMode},
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
-use shard_support::{State, World, answered, config};
+use shard_support::{Harness, State, answered, config};
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -98,25 +98,25 @@
     (!from.is_empty()).then(|| from[usize::from(pick) % from.len()])
 }
 
-/// Fails what connects to an endpoint until its path is asked about, if it is.
-fn fail_connects(world: &mut World, endpoint: usize) {
-    let Some(cut) = world.config.services[0].endpoints.get(endpoint).cloned() else { return };
+/// Fails all connections to an endpoint so that the shard asks for a path check, if it does.
+fn fail_connects(harness: &mut Harness, endpoint: usize) {
+    let Some(cut) = harness.config.services[0].endpoints.get(endpoint).cloned() else { return };
     for _ in 0..6 {
-        world.tick(50);
-        world.send(1_000, |_| {});
-        for attempt in world.in_flight() {
-            let dispatch = &world.attempts[&attempt].dispatch;
+        harness.tick(50);
+        harness.send(1_000, |_| {});
+        for attempt in harness.in_flight() {
+            let dispatch = &harness.attempts[&attempt].dispatch;
             if dispatch.endpoint == cut.name && dispatch.via.is_none() {
-                world.outcome(attempt, Outcome::ConnectFailed);
+                harness.outcome(attempt, Outcome::ConnectFailed);
             }
         }
     }
 }
 
-fn apply(world: &mut World, step: &Step) {
+fn apply(harness: &mut Harness, step: &Step) {
     match *step {
         Step::Request { customer, class, flags, key, deadline_ms } => {
-            world.send(u64::from(deadline_ms), |request| {
+            harness.send(u64::from(deadline_ms), |request| {
                 request.customer = Name::from(["a", "b", "none"][usize::from(customer) % 3]);
                 request.class = Class::ALL[usize::from(class) % 3];
                 request.idempotent = flags & 1 == 0;
@@ -126,63 +126,62 @@
             });
         }
         Step::Outcome { pick, kind, draining } => {
-            let Some(attempt) = choose(&world.in_flight(), pick) else { return };
-            let is_via = world.attempts[&attempt].dispatch.via.is_some();
-            world.outcome_with(
+            let Some(attempt) = choose(&harness.in_flight(), pick) else { return };
+            let is_via = harness.attempts[&attempt].dispatch.via.is_some();
+            harness.outcome_with(
                 attempt,
                 outcome(kind, is_via),
                 Report { in_flight: None, draining, ..Report::default() },
             );
         }
         Step::BodyEnd { pick, end, stored } => {
-            let Some(attempt) = choose(&world.with_state(State::Answered), pick) else { return };
-            let model = &world.attempts[&attempt];
-            let id = model.dispatch.request;
+            let Some(attempt) = choose(&harness.with_state(State::Answered), pick) else { return };
+            let record = &harness.attempts[&attempt];
+            let id = record.dispatch.request;
             let end = match end % 4 {
                 0 => BodyEnd::Cut,
                 1 => BodyEnd::CallerGone,
                 _ => BodyEnd::Complete,
             };
-            let may_store = end == BodyEnd::Complete && world.is_delivered(id);
+            let may_store = end == BodyEnd::Complete && harness.is_delivered(id);
             let body = id.0.to_le_bytes();
             if may_store && stored % 4 == 0 {
-                world.store(id, &body);
+                harness.store(id, &body);
             }
-            world.body_end(attempt, end);
+            harness.body_end(attempt, end);
             if may_store && stored % 4 == 1 {
-                world.store(id, &body);
+                harness.store(id, &body);
             }
         }
         Step::Probe { kind } => {
-            world.probe_outcome(outcome(kind, false));
+            harness.probe_outcome(outcome(kind, false));
         }
         Step::Cancel { pick } => {
-            let open: Vec<_> = world
+            let open: Vec<_> = harness
                 .requests
                 .values()
-                .filter(|model| model.finals.is_empty() && !model.cancelled)
-                .map(|model| model.request.id)
+                .filter(|record| record.final_actions.is_empty() && !record.cancelled)
+                .map(|record| record.request.id)
                 .collect();
             let Some(id) = choose(&open, pick) else { return };
-            world.cancel(id);
+            harness.cancel(id);
         }
         Step::Witnesses { count } => {
-            fail_connects(world, usize::from(count) % 4);
-            let witnesses: Vec<Name> =
-                (0..count % 4).map(|vm| Name::from(format!("w{vm}"))).collect();
-            for asked in std::mem::take(&mut world.path_checks) {
-                let actions = match witnesses.is_empty() {
+            fail_connects(harness, usize::from(count) % 4);
+            let relays: Vec<Name> = (0..count % 4).map(|vm| Name::from(format!("w{vm}"))).collect();
+            for checked in std::mem::take(&mut harness.path_checks) {
+                let actions = match relays.is_empty() {
                     true => {
                         let nobody = PathAnswer::UnreachableByOthers;
-                        world.shard.on_path_answer(world.now, &asked, nobody)
+                        harness.shard.on_path_answer(harness.now, &checked, nobody)
                     }
-                    false => world.shard.on_relays(world.now, &asked, witnesses.clone()),
+                    false => harness.shard.on_relays(harness.now, &checked, relays.clone()),
                 };
-                world.check(actions);
+                harness.check(actions);
             }
         }
-        Step::Tick { ms } => world.tick(u64::from(ms)),
-        Step::Pause { ms } => world.pause(u64::from(ms)),
+        Step::Tick { ms } => harness.tick(u64::from(ms)),
+        Step::Pause { ms } => harness.pause(u64::from(ms)),
         Step::Config { variant } => {
             let mut config = config(
                 1 + u32::from(variant) % 4,
@@ -191,55 +190,55 @@
             );
             config.services[0].floor = u32::from(variant) % 3;
             config.services[0].endpoints[0].leaving = variant % 8 == 0;
-            world.configure(config);
+            harness.configure(config);
         }
         Step::Mode { careful } => {
-            world.set_mode(if careful { ShardMode::Careful } else { ShardMode::Owner });
+            harness.set_mode(if careful { ShardMode::Careful } else { ShardMode::Owner });
         }
         Step::HandOver => {
-            let bytes = postcard::to_stdvec(&world.shard.hand_over(world.now)).unwrap();
+            let bytes = postcard::to_stdvec(&harness.shard.hand_over(harness.now)).unwrap();
             let handed: ShardHandOver = postcard::from_bytes(&bytes).unwrap();
-            let actions = world.shard.on_hand_over(world.now, &handed);
-            world.check(actions);
+            let actions = harness.shard.on_hand_over(harness.now, &handed);
+            harness.check(actions);
         }
     }
 }
 
-fn holds(steps: Vec<Step>) -> TestResult {
-    let mut world = World::new(config(3, 2, &[("a", 3), ("b", 1)]));
+fn run_history(steps: Vec<Step>) -> TestResult {
+    let mut harness = Harness::new(config(3, 2, &[("a", 3), ("b", 1)]));
     for step in &steps {
-        apply(&mut world, step);
-        if let Some(violation) = world.violations.first() {
+        apply(&mut harness, step);
+        if let Some(violation) = harness.violations.first() {
             return TestResult::error(format!("after {step:?}: {violation}"));
         }
     }
-    world.drain();
-    match world.violations.first() {
+    harness.drain();
+    match harness.violations.first() {
         Some(violation) => TestResult::error(violation.clone()),
         None => TestResult::passed(),
     }
 }
 
-// Callers see answers of their own, one end for every request, and a refusal
-// they can trust, whatever order outcomes, cancels, ticks, pauses,
-// configurations and hand-overs come in. The oracle keeps the truth about
-// every attempt and checks each action; a failing history is shrunk.
+// Callers get their own answers, one final result for every request, and only correct refusals,
+// in whatever order outcomes, cancellations, ticks, pauses, configurations and hand-overs arrive.
+// The oracle records the state of every attempt and checks each action; a failing history is
+// shrunk.
 #[test]
-fn random_histories_keep_every_promise() {
+fn random_histories_violate_no_invariant() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(160, 0x0b00_4b1e))
         .tests(3_000)
         .max_tests(3_000)
-        .quickcheck(holds as fn(Vec<Step>) -> TestResult);
+        .quickcheck(run_history as fn(Vec<Step>) -> TestResult);
 }
 
-// A long history fills the queue, the key table's queues and the budgets, which
-// short ones never do; what leaks shows at its end as a slot in use.
+// A long history fills the queue, the key table's queues and the budgets, which short ones never
+// do. Leaks show at its end as a slot in use.
 #[test]
-fn long_histories_leak_nothing() {
+fn long_histories_leak_no_slots() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(3_000, 0x51a7))
         .tests(60)
         .max_tests(60)
-        .quickcheck(holds as fn(Vec<Step>) -> TestResult);
+        .quickcheck(run_history as fn(Vec<Step>) -> TestResult);
 }
--- a/crates/pistachiotrack-core/tests/shard_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shard_support/mod.rs
@@ -1,4 +1,4 @@
-//! A naive oracle that watches every action of a shard.
+//! Test harness with a simple oracle that checks every action of a shard.
 #![allow(dead_code)]
 
 use std::{collections::BTreeMap, time::Duration};
@@ -22,14 +22,14 @@
     time::Time,
 };
 
-/// Times for which a report of leaving holds where the endpoint denies it, and
-/// where it says nothing.
-const DRAIN_DENIED: Duration = Duration::from_secs(10);
-const DRAIN_BELIEVED: Duration = Duration::from_secs(60);
+/// Times for which a draining report stays valid if the endpoint has withdrawn it since, and if
+/// it has not answered again.
+const DENIED_DRAINING_TTL: Duration = Duration::from_secs(10);
+const UNANSWERED_DRAINING_TTL: Duration = Duration::from_secs(60);
 
 pub(crate) const SERVICE: &str = "booking";
 
-/// Returns a configuration with one shard of `endpoints` with `slots` each.
+/// Returns a configuration with one shard of `endpoints` endpoints with `slots` slots each.
 pub(crate) fn config(endpoints: u32, slots: u32, contracts: &[(&str, u32)]) -> Config {
     let endpoint = |number: u32| Endpoint {
         name: Name::from(format!("e{number}")),
@@ -96,7 +96,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct ModelAttempt {
+pub(crate) struct AttemptRecord {
     pub(crate) dispatch: Dispatch,
     pub(crate) state: State,
     pub(crate) cancelled: bool,
@@ -104,39 +104,39 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct ModelRequest {
+pub(crate) struct RequestRecord {
     pub(crate) request: Request,
-    pub(crate) finals: Vec<ShardAction>,
+    pub(crate) final_actions: Vec<ShardAction>,
     pub(crate) cancelled: bool,
     pub(crate) delivered: Option<AttemptId>,
 }
 
-/// A shard, the truth about what it sent, and the violations found.
-pub(crate) struct World {
+/// A shard, the actual state of what it sent, and the violations found.
+pub(crate) struct Harness {
     pub(crate) now: Time,
     pub(crate) config: Config,
     pub(crate) mode: ShardMode,
     pub(crate) shard: Shard,
-    pub(crate) requests: BTreeMap<RequestId, ModelRequest>,
-    pub(crate) attempts: BTreeMap<AttemptId, ModelAttempt>,
-    /// Endpoints that said that they leave, when they last did, and whether
-    /// they have denied it since.
+    pub(crate) requests: BTreeMap<RequestId, RequestRecord>,
+    pub(crate) attempts: BTreeMap<AttemptId, AttemptRecord>,
+    /// Endpoints that reported that they are draining, the time of their last report, and whether
+    /// they have withdrawn it since.
     pub(crate) draining: BTreeMap<Name, (Time, bool)>,
     pub(crate) probes: Vec<(AttemptId, Name)>,
-    /// Endpoints whose path was asked about and not answered yet.
+    /// Endpoints with a path check that has no result yet.
     pub(crate) path_checks: Vec<Name>,
     pub(crate) answers: BTreeMap<(Name, Name), StoredAnswer>,
     pub(crate) violations: Vec<String>,
     next_request: u64,
 }
 
-impl World {
-    /// Creates a world whose shard has settled.
-    pub(crate) fn new(config: Config) -> World {
+impl Harness {
+    /// Creates a harness whose shard is past its takeover grace period.
+    pub(crate) fn new(config: Config) -> Harness {
         let settings =
             ShardSettings { mode: ShardMode::Owner, seed: 7, ..ShardSettings::default() };
         let shard = Shard::new(Time::ZERO, shard_id(), &config, settings);
-        let mut world = World {
+        let mut harness = Harness {
             now: Time::ZERO,
             config,
             mode: ShardMode::Owner,
@@ -150,27 +150,27 @@
             violations: Vec::new(),
             next_request: 1,
         };
-        world.tick(5_000);
-        world
+        harness.tick(5_000);
+        harness
     }
 
     pub(crate) fn deadline(&self, in_ms: u64) -> Time {
         self.now + Duration::from_millis(in_ms)
     }
 
-    /// Sends a request that is due in `in_ms`.
+    /// Sends a request whose deadline is in `in_ms`.
     pub(crate) fn send(&mut self, in_ms: u64, change: impl FnOnce(&mut Request)) -> RequestId {
         let mut request = request(self.next_request, self.deadline(in_ms));
         self.next_request += 1;
         change(&mut request);
         let id = request.id;
-        let model = ModelRequest {
+        let record = RequestRecord {
             request: request.clone(),
-            finals: Vec::new(),
+            final_actions: Vec::new(),
             cancelled: false,
             delivered: None,
         };
-        self.requests.insert(id, model);
+        self.requests.insert(id, record);
         let actions = self.shard.on_request(self.now, request);
         self.check(actions);
         id
@@ -181,13 +181,13 @@
     }
 
     pub(crate) fn outcome_with(&mut self, attempt: AttemptId, outcome: Outcome, report: Report) {
-        if let Some(model) = self.attempts.get_mut(&attempt) {
-            model.state = match outcome {
+        if let Some(record) = self.attempts.get_mut(&attempt) {
+            record.state = match outcome {
                 Outcome::Answered { .. } => State::Answered,
                 _ if outcome.certainly_not_run() => State::NotRun,
                 _ => State::MaybeRun,
             };
-            let endpoint = model.dispatch.endpoint.clone();
+            let endpoint = record.dispatch.endpoint.clone();
             self.note_report(endpoint, outcome, report);
         }
         let actions = self.shard.on_outcome(self.now, attempt, outcome, report);
@@ -223,14 +223,14 @@
     }
 
     pub(crate) fn body_end(&mut self, attempt: AttemptId, end: BodyEnd) {
-        if let Some(model) = self.attempts.get_mut(&attempt) {
-            model.state = State::MaybeRun;
+        if let Some(record) = self.attempts.get_mut(&attempt) {
+            record.state = State::MaybeRun;
         }
         let actions = self.shard.on_body_end(self.now, attempt, end);
         self.check(actions);
     }
 
-    /// Answers an attempt with a whole answer.
+    /// Completes an attempt with a successful answer.
     pub(crate) fn answer(&mut self, attempt: AttemptId) {
         self.outcome(attempt, answered(200));
         self.body_end(attempt, BodyEnd::Complete);
@@ -247,8 +247,8 @@
     }
 
     pub(crate) fn cancel(&mut self, id: RequestId) {
-        if let Some(model) = self.requests.get_mut(&id) {
-            model.cancelled = true;
+        if let Some(record) = self.requests.get_mut(&id) {
+            record.cancelled = true;
         }
         let actions = self.shard.on_cancel(self.now, id);
         self.check(actions);
@@ -289,12 +289,12 @@
     }
 
     pub(crate) fn with_state(&self, state: State) -> Vec<AttemptId> {
-        let attempts = self.attempts.iter().filter(|(_, model)| model.state == state);
+        let attempts = self.attempts.iter().filter(|(_, record)| record.state == state);
         attempts.map(|(attempt, _)| *attempt).collect()
     }
 
     pub(crate) fn attempts_of(&self, id: RequestId) -> Vec<AttemptId> {
-        let attempts = self.attempts.iter().filter(|(_, model)| model.dispatch.request == id);
+        let attempts = self.attempts.iter().filter(|(_, record)| record.dispatch.request == id);
         attempts.map(|(attempt, _)| *attempt).collect()
     }
 
@@ -303,23 +303,23 @@
         *self.attempts_of(id).last().expect("the request was dispatched")
     }
 
-    /// Returns how a request was refused, if it was.
+    /// Returns the refusal of a request, if it was refused.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<(Execution, Reason)> {
-        match self.requests[&id].finals.first() {
+        match self.requests[&id].final_actions.first() {
             Some(ShardAction::Refuse { refusal, .. }) => Some((refusal.execution, refusal.reason)),
             _ => None,
         }
     }
 
     pub(crate) fn is_delivered(&self, id: RequestId) -> bool {
-        matches!(self.requests[&id].finals.first(), Some(ShardAction::Deliver { .. }))
+        matches!(self.requests[&id].final_actions.first(), Some(ShardAction::Deliver { .. }))
     }
 
     pub(crate) fn is_replayed(&self, id: RequestId) -> bool {
-        matches!(self.requests[&id].finals.first(), Some(ShardAction::Replay { .. }))
+        matches!(self.requests[&id].final_actions.first(), Some(ShardAction::Replay { .. }))
     }
 
-    /// Reports everything in flight as lost and lets all time run out.
+    /// Times out or truncates everything in flight and advances time until nothing is left to do.
     pub(crate) fn drain(&mut self) {
         for _ in 0..50 {
             for attempt in self.with_state(State::InFlight) {
@@ -333,9 +333,9 @@
             }
             self.tick(1_000);
         }
-        for (id, model) in &self.requests {
-            let wanted = usize::from(!model.cancelled);
-            if model.finals.len() < wanted {
+        for (id, record) in &self.requests {
+            let wanted = usize::from(!record.cancelled);
+            if record.final_actions.len() < wanted {
                 self.violations.push(format!("{id:?} has no final action"));
             }
         }
@@ -347,40 +347,43 @@
         }
     }
 
-    /// Checks the actions of one event against the truth.
+    /// Checks the actions of one event against the actual state.
     pub(crate) fn check(&mut self, actions: Vec<ShardAction>) {
         for action in actions {
             match action {
                 ShardAction::Dispatch(dispatch) => self.check_dispatch(dispatch),
                 ShardAction::Cancel { attempt, .. } => {
-                    let known = self.attempts.get_mut(&attempt).is_some_and(|model| {
-                        let first = !model.cancelled;
-                        model.cancelled = true;
+                    let known = self.attempts.get_mut(&attempt).is_some_and(|record| {
+                        let first = !record.cancelled;
+                        record.cancelled = true;
                         first
                     });
                     self.expect(known, || format!("{attempt:?} cancelled without need"));
                 }
                 ShardAction::GiveUp { attempt, .. } => {
-                    let model = self.attempts.get_mut(&attempt);
-                    let is_silent = model.is_some_and(|model| {
-                        let is_first = !model.given_up && !model.cancelled;
-                        model.given_up = true;
-                        is_first && model.state == State::InFlight
+                    let record = self.attempts.get_mut(&attempt);
+                    let is_silent = record.is_some_and(|record| {
+                        let is_first = !record.given_up && !record.cancelled;
+                        record.given_up = true;
+                        is_first && record.state == State::InFlight
                     });
                     self.expect(is_silent, || format!("{attempt:?} given up without need"));
                 }
                 ShardAction::Deliver { request, attempt } => {
-                    let begun = self.attempts.get(&attempt).is_some_and(|model| {
-                        model.dispatch.request == request
-                            && !model.cancelled
-                            && model.state == State::Answered
+                    let begun = self.attempts.get(&attempt).is_some_and(|record| {
+                        record.dispatch.request == request
+                            && !record.cancelled
+                            && record.state == State::Answered
                     });
                     self.expect(begun, || format!("{request:?} delivered without an answer"));
                     self.finish(request, ShardAction::Deliver { request, attempt });
                 }
                 ShardAction::Replay { request, answer } => {
-                    let asked = &self.requests[&request].request;
-                    let key = asked.key.clone().map(|key| (asked.customer.clone(), key));
+                    let replayed_request = &self.requests[&request].request;
+                    let key = replayed_request
+                        .key
+                        .clone()
+                        .map(|key| (replayed_request.customer.clone(), key));
                     let stored = key.and_then(|key| self.answers.get(&key));
                     let is_same = stored == Some(&*answer);
                     self.expect(is_same, || format!("{request:?} got another one's answer"));
@@ -396,7 +399,7 @@
                     self.probes.push((attempt, endpoint))
                 }
                 ShardAction::CheckPath { endpoint, .. } => self.path_checks.push(endpoint),
-                ShardAction::Broadcast(news) => panic!("an owner told {news:?}"),
+                ShardAction::Broadcast(update) => panic!("an owner broadcast {update:?}"),
                 ShardAction::RateLimit { .. } | ShardAction::Health(_) => {}
             }
         }
@@ -404,9 +407,9 @@
     }
 
     fn check_dispatch(&mut self, dispatch: Dispatch) {
-        let model = self.requests[&dispatch.request].clone();
-        let (request, now) = (&model.request, self.now);
-        self.expect(model.finals.is_empty() && !model.cancelled, || {
+        let record = self.requests[&dispatch.request].clone();
+        let (request, now) = (&record.request, self.now);
+        self.expect(record.final_actions.is_empty() && !record.cancelled, || {
             format!("{:?} dispatched after its end", request.id)
         });
         self.expect(
@@ -425,7 +428,7 @@
         }
         self.attempts.insert(
             dispatch.attempt,
-            ModelAttempt {
+            AttemptRecord {
                 dispatch: dispatch.clone(),
                 state: State::InFlight,
                 cancelled: false,
@@ -441,9 +444,9 @@
         let takes_work = endpoint.is_some_and(|endpoint| !endpoint.leaving);
         self.expect(takes_work, || format!("{dispatch:?} to a leaving endpoint"));
         let status = self.shard.endpoints(self.now);
-        let others = status.iter().any(|status| is_working(status) && !self.drains(status));
-        let misled = others && self.says_leaving(&dispatch.endpoint);
-        self.expect(!misled, || format!("{dispatch:?} to a draining endpoint"));
+        let others = status.iter().any(|status| is_working(status) && !self.is_draining(status));
+        let is_avoidable = others && self.is_reported_draining(&dispatch.endpoint);
+        self.expect(!is_avoidable, || format!("{dispatch:?} to a draining endpoint"));
         let state = status.iter().find(|status| status.endpoint == dispatch.endpoint);
         self.expect(
             state.is_some_and(|status| !matches!(&*status.state, "ejected" | "draining")),
@@ -452,8 +455,8 @@
         let busy = |name: Option<&Name>| {
             self.attempts
                 .values()
-                .filter(|model| matches!(model.state, State::InFlight | State::Answered))
-                .filter(|model| name.is_none_or(|name| model.dispatch.endpoint == *name))
+                .filter(|record| matches!(record.state, State::InFlight | State::Answered))
+                .filter(|record| name.is_none_or(|name| record.dispatch.endpoint == *name))
                 .count() as u32
         };
         let (here, all) = (busy(Some(&dispatch.endpoint)), busy(None));
@@ -466,51 +469,55 @@
         self.expect(fits, || format!("{dispatch:?}: {here} of {slots} slots, {all} of {total}"));
     }
 
-    /// Returns whether the endpoint's word that it leaves still counts.
-    fn says_leaving(&self, endpoint: &Name) -> bool {
+    /// Returns whether the endpoint's draining report is still valid.
+    fn is_reported_draining(&self, endpoint: &Name) -> bool {
         let Some((said_at, denied)) = self.draining.get(endpoint) else { return false };
-        self.now.since(*said_at) < if *denied { DRAIN_DENIED } else { DRAIN_BELIEVED }
+        self.now.since(*said_at)
+            < if *denied { DENIED_DRAINING_TTL } else { UNANSWERED_DRAINING_TTL }
     }
 
-    fn drains(&self, status: &EndpointStatus) -> bool {
-        &*status.state == "draining" || self.says_leaving(&status.endpoint)
+    fn is_draining(&self, status: &EndpointStatus) -> bool {
+        &*status.state == "draining" || self.is_reported_draining(&status.endpoint)
     }
 
-    /// Returns whether no attempt of the request, or of another one with its
+    /// Returns whether it is safe to run a request: no attempt of it, or of another one with its
     /// key, may have run.
     fn may_run(&self, request: &Request) -> bool {
-        self.attempts.values().all(|model| {
-            let other = &self.requests[&model.dispatch.request].request;
+        self.attempts.values().all(|record| {
+            let other = &self.requests[&record.dispatch.request].request;
             let same_key = !other.idempotent
                 && !request.idempotent
                 && request.key.is_some()
                 && other.key == request.key
                 && other.customer == request.customer;
-            model.state == State::NotRun || (other.id != request.id && !same_key)
+            record.state == State::NotRun || (other.id != request.id && !same_key)
         })
     }
 
     fn check_not_run(&mut self, id: RequestId) {
         let request = self.requests[&id].request.clone();
-        self.expect(self.may_run(&request), || format!("{id:?} wrongly called not run"));
+        self.expect(self.may_run(&request), || format!("{id:?} wrongly refused as not run"));
     }
 
     fn check_floor(&mut self) {
         let status = self.shard.endpoints(self.now);
-        let alive = status.iter().filter(|status| !self.drains(status)).count();
-        let working = status.iter().filter(|status| is_working(status) && !self.drains(status));
+        let alive = status.iter().filter(|status| !self.is_draining(status)).count();
+        let working =
+            status.iter().filter(|status| is_working(status) && !self.is_draining(status));
         let (floor, working) = (self.config.services[0].floor as usize, working.count());
         self.expect(working >= floor.min(alive), || format!("{working} working, floor {floor}"));
         let mut configured = self.config.services[0].endpoints.iter();
         let is_needed = floor > 0 && configured.any(|endpoint| !endpoint.leaving);
-        self.expect(!is_needed || status.iter().any(is_working), || "nobody left".to_owned());
+        self.expect(!is_needed || status.iter().any(is_working), || "no endpoint left".to_owned());
     }
 
     fn finish(&mut self, id: RequestId, action: ShardAction) {
-        let Some(model) = self.requests.get_mut(&id) else { return };
-        model.finals.push(action);
-        let (finals, cancelled) = (model.finals.len(), model.cancelled);
-        self.expect(finals == 1 && !cancelled, || format!("{id:?} ended {finals} times"));
+        let Some(record) = self.requests.get_mut(&id) else { return };
+        record.final_actions.push(action);
+        let (final_actions, cancelled) = (record.final_actions.len(), record.cancelled);
+        self.expect(final_actions == 1 && !cancelled, || {
+            format!("{id:?} ended {final_actions} times")
+        });
     }
 
     fn expect(&mut self, holds: bool, violation: impl FnOnce() -> String) {
--- a/crates/pistachiotrack-core/tests/shard_updates.rs
+++ b/crates/pistachiotrack-core/tests/shard_updates.rs
@@ -1,4 +1,4 @@
-//! What dispatchers tell each other: how long it is, and that its age counts.
+//! Updates between dispatchers: their size, and the age of what they report.
 
 mod shared_support;
 
@@ -12,30 +12,33 @@
     shard::{Shard, ShardMode, ShardSettings},
     time::Time,
 };
-use shared_support::{START, answer, booking, config, dispatched, pass_on, shard, told};
+use shared_support::{
+    START, answer, apply_updates, booking, broadcasts, config, dispatched, shard,
+};
 
-/// Operators of hundreds of VMs pay for bytes between data centres, and each request brings
-/// two datagrams to each other dispatcher. Names that all of them know must not add to them.
+/// Operators of hundreds of VMs pay for traffic between data centres, and each request causes two
+/// datagrams to each other dispatcher. Names that all VMs have in their configuration must not
+/// add to their size.
 #[test]
-fn the_length_of_an_endpoint_s_name_costs_nothing() {
+fn the_length_of_an_endpoint_name_does_not_change_the_update_size() {
     let lengths = ["e", "i-2b3b66a64b-of-a-very-long-name"].map(|name| {
         let mut config = config(1);
         config.services[0].endpoints[0].name = incarnation_name(name, Some(1_796_285_640_001));
         let id = ShardId { service: Name::from("booking"), index: 0 };
         let settings = ShardSettings { mode: ShardMode::Shared, ..ShardSettings::default() };
         let mut shard = Shard::new(START, id, &config, settings);
-        let (_, news) = answer(&mut shard, START, 1, 200);
-        news.iter().map(|news| postcard::to_stdvec(news).unwrap().len()).collect::<Vec<_>>()
+        let (_, updates) = answer(&mut shard, START, 1, 200);
+        updates.iter().map(|update| postcard::to_stdvec(update).unwrap().len()).collect::<Vec<_>>()
     });
     assert_eq!(lengths[0], lengths[1]);
     assert_eq!(lengths[0].len(), 1, "one datagram for an answer: {lengths:?}");
 }
 
-/// An endpoint begins to fail. One VM has found that out; then another one tells of a good
-/// answer to a request of before, whose large body has only now ended. Taken for one to a
-/// later request, it clears the endpoint, and the next bookings fail there.
+/// An endpoint begins to fail, and one VM has detected it. Another VM then reports a success of
+/// an earlier request whose large body has only just ended. If it counted as the success of a
+/// later request, it would clear the endpoint, and the next bookings would fail there.
 #[test]
-fn a_good_answer_that_is_told_late_clears_no_endpoint() {
+fn a_late_report_of_an_earlier_success_clears_no_endpoint() {
     const LATENCY: Duration = Duration::from_millis(300);
     let (mut first, mut second) = (shard(1), shard(1));
     let good = dispatched(&first.on_request(START, booking(1, START))).unwrap();
@@ -44,16 +47,17 @@
 
     let answered = Outcome::Answered { status: 200, fresh_connection: true };
     first.on_outcome(START + LATENCY, good.attempt, answered, Report::default());
-    let told_at = START + LATENCY + Duration::from_millis(60);
-    let news = told(&first.on_body_end(told_at, good.attempt, BodyEnd::Complete));
-    assert_eq!(news.len(), 1);
-    let mut untold = second.clone();
-    pass_on(&mut second, told_at, &news);
-    let (told, untold) = (risk(&mut second, told_at), risk(&mut untold, told_at));
-    assert_eq!(told, untold, "the risk that the next booking fails, in parts of a thousand");
+    let reported_at = START + LATENCY + Duration::from_millis(60);
+    let updates = broadcasts(&first.on_body_end(reported_at, good.attempt, BodyEnd::Complete));
+    assert_eq!(updates.len(), 1);
+    let mut uninformed = second.clone();
+    apply_updates(&mut second, reported_at, &updates);
+    let (informed, uninformed) =
+        (risk(&mut second, reported_at), risk(&mut uninformed, reported_at));
+    assert_eq!(informed, uninformed, "risk that the next booking fails, in parts per thousand");
 }
 
-/// Returns the risk of a booking that can't wait and goes where it can.
+/// Returns the risk of a booking that can't wait for a low-risk endpoint.
 fn risk(shard: &mut Shard, at: Time) -> u16 {
     let mut late = booking(9, at);
     late.deadline = at + Duration::from_millis(10);
--- a/crates/pistachiotrack-core/tests/shared_shard.rs
+++ b/crates/pistachiotrack-core/tests/shared_shard.rs
@@ -1,4 +1,4 @@
-//! Several VMs that dispatch for one shard side by side.
+//! A shard with several VMs that dispatch for it at the same time.
 
 mod shared_support;
 
@@ -15,15 +15,15 @@
     time::Time,
 };
 use shared_support::{
-    SLOTS, START, all_dispatched, answer, booking, config, dispatched, end, news, news_of, pass_on,
-    shard, told,
+    SLOTS, START, all_dispatched, answer, apply_updates, booking, broadcasts, config, dispatched,
+    end, endpoint_update, shard, update,
 };
 
-/// A booking fails at one VM because its endpoint has begun to fail grayly. The
-/// next booking enters at another VM. It must not go to the same endpoint and fail
-/// too: the second VM has to learn of the failure from the first one at once.
+/// A booking fails at one VM because its endpoint has begun to fail grayly. The next booking
+/// arrives at another VM and must not fail at the same endpoint: the second VM has to get a
+/// report of the failure from the first one at once.
 #[test]
-fn a_failure_at_one_vm_keeps_the_next_booking_of_another_away() {
+fn a_failure_at_one_vm_diverts_the_next_booking_of_another() {
     let (mut first, mut second) = (shard(2), shard(2));
     let all_slots = (0..2 * u64::from(SLOTS)).map(|id| first.on_request(START, booking(id, START)));
     let dispatches: Vec<Dispatch> =
@@ -33,45 +33,45 @@
         let outcome = Outcome::Answered { status: 200, fresh_connection: true };
         first.on_outcome(proven_at, dispatch.attempt, outcome, Report::default());
         let ended = first.on_body_end(proven_at, dispatch.attempt, BodyEnd::Complete);
-        pass_on(&mut second, proven_at, &told(&ended));
+        apply_updates(&mut second, proven_at, &broadcasts(&ended));
     }
     let failed_at = proven_at + Duration::from_millis(300);
-    let (failing, news) = answer(&mut first, failed_at, 10, 500);
-    pass_on(&mut second, failed_at, &news);
+    let (failing, updates) = answer(&mut first, failed_at, 10, 500);
+    apply_updates(&mut second, failed_at, &updates);
     for id in 0..8 {
         let (endpoint, _) = answer(&mut second, failed_at, id, 200);
         assert_ne!(endpoint, failing);
     }
 }
 
-/// Two VMs send to the same endpoint at once. If each knew only its own requests,
-/// the endpoint would get twice as many as it has slots, and queue or refuse them.
+/// Two VMs send to the same endpoint at once. If each counted only its own requests, the endpoint
+/// would get twice as many as it has slots, and queue or refuse them.
 #[test]
-fn requests_of_other_vms_take_up_slots() {
+fn requests_of_other_vms_occupy_slots() {
     let mut shard = shard(1);
-    let news = news(SLOTS, RequestCounts::default());
-    pass_on(&mut shard, START, std::slice::from_ref(&news));
+    let update = update(SLOTS, RequestCounts::default());
+    apply_updates(&mut shard, START, std::slice::from_ref(&update));
     assert_eq!(dispatched(&shard.on_request(START, booking(1, START))), None);
-    let freed = news_of("endpoint-0", SLOTS - 1, RequestCounts::default());
-    assert!(dispatched(&pass_on(&mut shard, START, &[freed])).is_some());
+    let freed = endpoint_update("endpoint-0", SLOTS - 1, RequestCounts::default());
+    assert!(dispatched(&apply_updates(&mut shard, START, &[freed])).is_some());
 }
 
-/// A VM loses power while its requests are in flight, and tells nothing any more.
-/// Its count must not take up the slots for good.
+/// A VM loses power while its requests are in flight, and sends no further update. Its count must
+/// not occupy the slots forever.
 #[test]
-fn the_count_of_a_silent_vm_runs_out() {
+fn the_count_of_a_silent_vm_expires() {
     let mut shard = shard(1);
-    let news = news(SLOTS, RequestCounts::default());
-    pass_on(&mut shard, START, &[news]);
+    let update = update(SLOTS, RequestCounts::default());
+    apply_updates(&mut shard, START, &[update]);
     let later = START + Duration::from_secs(4);
     shard.on_tick(later);
     assert!(dispatched(&shard.on_request(later, booking(1, later))).is_some());
 }
 
-/// A VM starts while an endpoint fails grayly, which the others know. Its first
-/// bookings must not find that out anew: it asks one of them for a picture.
+/// A VM starts while an endpoint fails grayly, which the other VMs have detected. Its first
+/// bookings must not fail there: it requests a snapshot from one of them.
 #[test]
-fn a_new_vm_takes_over_what_another_believes() {
+fn a_new_vm_uses_the_snapshot_of_another() {
     let mut old = shard(3);
     let mut failing = None;
     for id in 0..12 {
@@ -86,8 +86,8 @@
     }
 }
 
-/// The endpoint that has just answered is busy, and the free one has just failed.
-/// A booking that was sent there would most likely be lost; it waits a little.
+/// The endpoint that has just answered is busy, and the free one has just failed. A booking sent
+/// there would most likely be lost; it waits for a short time.
 #[test]
 fn a_booking_waits_for_an_endpoint_that_has_just_answered() {
     let mut shard = shard(2);
@@ -106,12 +106,11 @@
     assert_eq!(dispatched(&freed).map(|dispatch| dispatch.endpoint), Some(proven));
 }
 
-/// All VMs lose power, and all callers come back at once. A third of the endpoints
-/// fails grayly, each failure within a millisecond, so that these are always free. No
-/// booking may be sent to an endpoint that has just failed while the others get
-/// through the queue in time.
+/// All VMs lose power, and all callers return at once. A third of the endpoints fails grayly,
+/// each failure within a millisecond, so that these always have free slots. No booking may be
+/// sent to an endpoint that has just failed while the others can drain the queue in time.
 #[test]
-fn many_bookings_wait_for_endpoints_that_don_t_fail() {
+fn many_bookings_wait_for_healthy_endpoints() {
     let mut shard = shard(30);
     let is_failing = |endpoint: &Name| endpoint.as_str().ends_with(['0', '3', '6']);
     let (mut now, mut running, mut failures) = (START, Vec::new(), BTreeMap::new());
@@ -139,10 +138,10 @@
     assert!(failures.values().all(|count| *count <= SLOTS), "{failures:?}");
 }
 
-/// An endpoint joins a service whose other endpoints all do well. If work only
-/// went to proven ones, the new capacity would never be used.
+/// An endpoint is added to a service whose other endpoints are all healthy. If requests only went
+/// to endpoints with recent successes, the new capacity would never be used.
 #[test]
-fn an_endpoint_that_joins_gets_a_request_soon() {
+fn an_added_endpoint_gets_a_request_soon() {
     let mut shard = shard(2);
     for id in 0..4 {
         answer(&mut shard, START, id, 200);
@@ -154,11 +153,11 @@
     assert!(endpoints.contains(&Name::from("endpoint-2")), "{endpoints:?}");
 }
 
-/// Callers with old addresses use VMs that don't dispatch for the service any more,
-/// each now and then, while all endpoints fail. The retries of so many VMs add up to
-/// more than the service's limit, if each may send a few.
+/// Callers with outdated addresses use VMs that no longer dispatch for the service, each now and
+/// then, while all endpoints fail. If each of so many VMs could send a few retries, they would
+/// add up to more than the service's limit.
 #[test]
-fn vms_that_callers_seldom_use_stay_within_the_limit_of_retries() {
+fn vms_with_few_requests_stay_within_the_retry_limit() {
     let limit = RetryLimit { ratio: 0.2, slack: 62, window_ms: 10_000 };
     let (mut requests, mut retries) = (0, 0);
     for _ in 0..48 {
@@ -181,11 +180,11 @@
     assert!(f64::from(retries) <= allowed, "{retries} retries of {requests} requests");
 }
 
-/// All VMs lose power, and with them the bookings in flight. If the work had stayed
-/// on the few endpoints that answered last, nobody would know the others then, and
-/// sound ones would have got nothing while bookings were lost.
+/// All VMs lose power, and with them the bookings in flight. If requests had stayed on the few
+/// endpoints that answered last, no VM would have observations of the others then, and healthy
+/// endpoints would have got nothing while bookings were lost.
 #[test]
-fn most_endpoints_get_work_in_any_two_seconds() {
+fn most_endpoints_get_a_request_in_any_two_seconds() {
     let mut shard = shard(20);
     let mut now = START;
     let mut used = std::collections::BTreeSet::new();
@@ -199,10 +198,10 @@
     assert!(used.len() >= 14, "{used:?} in the last 2 s");
 }
 
-/// A quarter of the endpoints fails grayly. The endpoints that are tried now and
-/// then must be the others.
+/// A quarter of the endpoints fails grayly. The endpoints that are tried now and then must be the
+/// others.
 #[test]
-fn endpoints_that_fail_are_the_last_to_get_work() {
+fn failing_endpoints_are_the_last_to_get_requests() {
     let mut shard = shard(20);
     let is_failing = |endpoint: &Name| {
         ["0", "1", "2", "3", "4"].map(|n| format!("endpoint-{n}")).contains(&endpoint.to_string())
@@ -222,17 +221,17 @@
     assert!(failed <= 25, "{failed} of 500 bookings");
 }
 
-/// A fifth of all bookings fails, by faults that no endpoint alone is to blame for.
-/// Then no endpoint may be left without work, whatever it looks like.
+/// A fifth of all bookings fails because of faults that no single endpoint causes. Then no
+/// endpoint may be left without requests, whatever its estimated risk.
 #[test]
-fn all_endpoints_get_work_while_much_is_lost() {
+fn all_endpoints_get_requests_while_the_failure_rate_is_high() {
     let mut shard = shard(10);
     let mut now = START;
-    let told = news(0, RequestCounts { served: 4, failed: 1 });
+    let peer_update = update(0, RequestCounts { served: 4, failed: 1 });
     let mut used = std::collections::BTreeSet::new();
     for id in 0..300 {
         now += Duration::from_millis(20);
-        pass_on(&mut shard, now, std::slice::from_ref(&told));
+        apply_updates(&mut shard, now, std::slice::from_ref(&peer_update));
         let status = if id % 5 == 0 { 500 } else { 200 };
         let (endpoint, _) = answer(&mut shard, now, id, status);
         if id >= 200 {
@@ -242,10 +241,10 @@
     assert_eq!(used.len(), 10, "{used:?} in the last 2 s");
 }
 
-/// Many VMs take in a request now and then and serve it, while those that most callers
-/// use lose a fifth. What counts is each request, not each VM.
+/// Many VMs accept a request now and then and serve it, while the VMs that most callers use fail
+/// a fifth. The failure rate is weighted by requests, not by VMs.
 #[test]
-fn vms_with_few_requests_don_t_hide_that_much_is_lost() {
+fn vms_with_few_requests_don_t_hide_a_high_failure_rate() {
     let mut shard = shard(10);
     let mut now = START;
     let mut used = std::collections::BTreeSet::new();
@@ -255,9 +254,9 @@
             0 => RequestCounts { served: 1, failed: 0 },
             _ => RequestCounts { served: 4, failed: 1 },
         };
-        let news = news(0, request_counts);
+        let update = update(0, request_counts);
         let vm = if id % 20 == 0 { format!("guest-{id}") } else { "dispatcher".to_owned() };
-        shard.on_update(now, &Name::from(vm), &news);
+        shard.on_update(now, &Name::from(vm), &update);
         let (endpoint, _) = answer(&mut shard, now, id, 200);
         if id >= 200 {
             used.insert(endpoint);
@@ -266,11 +265,10 @@
     assert_eq!(used.len(), 10, "{used:?} in the last 2 s");
 }
 
-/// An endpoint crashes with both slots busy, after failures, and starts again under its
-/// name. It must get work like a new one; what the crash leaves to be told of the old
-/// one must not count against it.
+/// An endpoint crashes with both slots busy, after failures, and restarts under its name. It must
+/// get requests like a new one; late reports about the old incarnation must not count against it.
 #[test]
-fn an_endpoint_that_started_again_bears_nothing_of_its_earlier_life() {
+fn a_restarted_endpoint_starts_with_a_clean_record() {
     let renamed = |started| {
         let mut config = config(1);
         let endpoint = &mut config.services[0].endpoints[0];
@@ -300,16 +298,16 @@
     assert!(next.selection.risk_permille < fresh.risk_permille, "{:?} {fresh:?}", next.selection);
 }
 
-/// An endpoint resets what it is sent for some seconds. One VM loses a booking there.
-/// Were the others not told, each of them would lose one of its own.
+/// An endpoint resets connections for some seconds, and one VM loses a booking there. If it
+/// didn't report that, each of the other VMs would lose one as well.
 #[test]
-fn a_connection_that_an_endpoint_broke_is_told_to_the_others() {
+fn a_broken_connection_is_reported_to_the_other_vms() {
     let (mut first, mut second) = (shard(4), shard(4));
     let lost = dispatched(&first.on_request(START, booking(1, START))).unwrap();
     let broken = Outcome::Broken { fresh_connection: true };
     let actions = first.on_outcome(START, lost.attempt, broken, Report::default());
-    for news in told(&actions) {
-        second.on_update(START, &Name::from("vm-1"), &news);
+    for update in broadcasts(&actions) {
+        second.on_update(START, &Name::from("vm-1"), &update);
     }
     for id in 1..=6 {
         let next = dispatched(&second.on_request(START, booking(id, START))).unwrap();
@@ -317,10 +315,10 @@
     }
 }
 
-/// A VM that callers seldom use gets a booking. It knows nothing of the endpoints, while
-/// the dispatchers know which one fails; a millisecond later it would know too.
+/// A VM with few requests gets a booking. It has no observations of the endpoints, while the
+/// dispatchers have detected which one fails; a millisecond later it would have them as well.
 #[test]
-fn a_request_waits_for_the_picture_that_was_asked_for() {
+fn a_request_waits_for_the_requested_snapshot() {
     let (mut informed, mut idle) = (shard(2), shard(2));
     let mut now = START;
     let first = dispatched(&informed.on_request(now, booking(1, now))).unwrap();
@@ -337,9 +335,10 @@
     assert_eq!(sent.endpoint, second.endpoint);
 }
 
-/// As above, and the dispatchers have just died. The booking must not wait for long.
+/// As above, but the dispatchers have just crashed. The booking must wait for a bounded time
+/// only.
 #[test]
-fn a_request_does_not_wait_long_for_a_picture_that_does_not_come() {
+fn a_request_waits_a_bounded_time_for_a_missing_snapshot() {
     let mut idle = shard(2);
     idle.on_snapshot_requested(START);
     assert_eq!(dispatched(&idle.on_request(START, booking(1, START))), None);
@@ -347,30 +346,31 @@
     assert!(dispatched(&idle.on_tick(later)).is_some());
 }
 
-/// All VMs start again and find each other; one is handed the shard by another for a
-/// moment, and the others fill some slots of each endpoint. It must go on to use the
-/// free ones: its callers waited and were refused for as long as it ran.
+/// All VMs restart and discover each other; one is handed the shard by another for a moment, and
+/// the others fill some slots of each endpoint. It must continue to use the free ones; otherwise
+/// its callers would wait and be refused for as long as it runs.
 #[test]
-fn a_vm_that_doesn_t_own_a_shared_shard_uses_the_slots_that_others_leave() {
+fn a_vm_without_ownership_of_a_shared_shard_uses_all_free_slots() {
     let config = config(4);
     let mode = ShardMode::without_ownership(config.service("booking"));
     let id = ShardId { service: Name::from("booking"), index: 0 };
     let settings = ShardSettings { mode, ..ShardSettings::default() };
     let mut shard = Shard::new(START, id.clone(), &config, settings);
     for index in 0..4 {
-        let news = news_of(&format!("endpoint-{index}"), SLOTS - 1, RequestCounts::default());
-        shard.on_update(START, &Name::from("vm-2"), &news);
+        let update =
+            endpoint_update(&format!("endpoint-{index}"), SLOTS - 1, RequestCounts::default());
+        shard.on_update(START, &Name::from("vm-2"), &update);
     }
     for id in 1..=4 {
         assert!(dispatched(&shard.on_request(START, booking(id, START))).is_some(), "{id}");
     }
 }
 
-/// Endpoints' addresses go to another service, whose endpoints turn away what was meant
-/// for them. Users count each request that arrives beyond the first; were these not
+/// Endpoints' addresses are reassigned to another service, whose endpoints turn away what was
+/// meant for them. Users count each request that arrives beyond the first; if these were not
 /// counted, the fleet would send more retries than it may.
 #[test]
-fn a_request_that_another_endpoint_turned_away_counts_as_sent() {
+fn the_retry_of_a_misdirected_request_is_counted() {
     let mut shard = shard(4);
     shard.set_dispatchers(START, DispatchersInView { count: 1, is_member: true });
     let sent = |shard: &mut Shard| {
@@ -386,12 +386,12 @@
     assert_eq!(sent(&mut shard), 1);
 }
 
-/// Endpoints start again under other names, nobody has heard of it, and all that is sent
-/// to them is turned away. Were each of these requests sent on whatever the limit, the
-/// fleet would send more retries than the service allows; beyond it, callers are told
-/// that their request was not run.
+/// Endpoints restart under other names, the VMs have not been informed yet, and everything sent
+/// to them is turned away. If each of these requests were resent regardless of the limit, the
+/// fleet would send more retries than the service allows; beyond it, callers get a refusal that
+/// says their request was not run.
 #[test]
-fn requests_that_are_turned_away_keep_to_the_limit_of_retries() {
+fn misdirected_requests_stay_within_the_retry_limit() {
     let mut shard = shard(8);
     shard.set_dispatchers(START, DispatchersInView { count: 1, is_member: true });
     let mut now = START + Duration::from_secs(20);
--- a/crates/pistachiotrack-core/tests/shared_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shared_support/mod.rs
@@ -1,6 +1,6 @@
-//! A shard that several VMs dispatch for side by side.
+//! A shard with several VMs that dispatch for it at the same time.
 
-// Each test file uses a part of it.
+// Each test file uses only a part of it.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -90,7 +90,7 @@
     actions.iter().filter_map(dispatch).collect()
 }
 
-/// Has an attempt answered with `status` and returns what is dispatched next.
+/// Answers an attempt with `status` and returns what is dispatched next.
 pub(crate) fn end(shard: &mut Shard, now: Time, dispatch: &Dispatch, status: u16) -> Vec<Dispatch> {
     let outcome = Outcome::Answered { status, fresh_connection: true };
     let mut actions = shard.on_outcome(now, dispatch.attempt, outcome, Report::default());
@@ -98,21 +98,21 @@
     all_dispatched(&actions)
 }
 
-pub(crate) fn told(actions: &[ShardAction]) -> Vec<ShardUpdate> {
-    let news = actions.iter().filter_map(|action| match action {
-        ShardAction::Broadcast(news) => Some(news.clone()),
+pub(crate) fn broadcasts(actions: &[ShardAction]) -> Vec<ShardUpdate> {
+    let updates = actions.iter().filter_map(|action| match action {
+        ShardAction::Broadcast(update) => Some(update.clone()),
         _ => None,
     });
-    news.collect()
+    updates.collect()
 }
 
-/// Returns what a VM tells of `endpoint-0`.
-pub(crate) fn news(in_flight: u32, request_counts: RequestCounts) -> ShardUpdate {
-    news_of("endpoint-0", in_flight, request_counts)
+/// Returns another VM's update on `endpoint-0`.
+pub(crate) fn update(in_flight: u32, request_counts: RequestCounts) -> ShardUpdate {
+    endpoint_update("endpoint-0", in_flight, request_counts)
 }
 
-/// Returns what a VM tells of an endpoint.
-pub(crate) fn news_of(
+/// Returns another VM's update on an endpoint.
+pub(crate) fn endpoint_update(
     endpoint: &str,
     in_flight: u32,
     request_counts: RequestCounts,
@@ -130,7 +130,8 @@
     }
 }
 
-/// Has a request answered with `status` and returns what the VM tells.
+/// Sends a booking, answers it with `status` and returns its endpoint and the updates that the VM
+/// broadcasts.
 pub(crate) fn answer(
     shard: &mut Shard,
     now: Time,
@@ -141,10 +142,14 @@
     let outcome = Outcome::Answered { status, fresh_connection: true };
     let mut actions = shard.on_outcome(now, dispatch.attempt, outcome, Report::default());
     actions.extend(shard.on_body_end(now, dispatch.attempt, BodyEnd::Complete));
-    (dispatch.endpoint, told(&actions))
+    (dispatch.endpoint, broadcasts(&actions))
 }
 
-pub(crate) fn pass_on(to: &mut Shard, now: Time, news: &[ShardUpdate]) -> Vec<ShardAction> {
+pub(crate) fn apply_updates(
+    to: &mut Shard,
+    now: Time,
+    updates: &[ShardUpdate],
+) -> Vec<ShardAction> {
     let from = Name::from("vm-02");
-    news.iter().flat_map(|news| to.on_update(now, &from, news)).collect()
+    updates.iter().flat_map(|update| to.on_update(now, &from, update)).collect()
 }
