--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -126,17 +126,17 @@
     pending: FxHashMap<RequestId, PendingRequest>,
     attempts: FxHashMap<AttemptId, AttemptState>,
     /// Waiting requests by the latest time at which they can still be dispatched.
-    deadlines: BTreeSet<(Time, RequestId)>,
+    dispatch_deadlines: BTreeSet<(Time, RequestId)>,
     /// Requests in flight by the time at which a hedge is due.
-    hedges: BTreeSet<(Time, RequestId)>,
+    hedge_times: BTreeSet<(Time, RequestId)>,
     /// Attempts by the time at which they are given up in favour of a retry.
-    give_ups: BTreeSet<(Time, AttemptId)>,
+    give_up_times: BTreeSet<(Time, AttemptId)>,
     /// For each endpoint that only this VM can't reach, the VMs that can relay requests to it.
     relays: FxHashMap<Name, Vec<Name>>,
     keys: KeyTable,
     retry_budget: ShardRetryBudget,
     latency: RecentLatency,
-    service_time: UsualTime,
+    slot_time: UsualTime,
     next_attempt: u64,
     /// Whether other VMs dispatch to the endpoints as well.
     is_shared: bool,
@@ -169,8 +169,8 @@
             health_settings.ranks_failures = service.is_shared();
         }
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
-        let candidates = pool.candidates();
-        let health = Health::new(now, health_settings, &candidates, floor, settings.seed);
+        let configured_endpoints = pool.configured_endpoints();
+        let health = Health::new(now, health_settings, &configured_endpoints, floor, settings.seed);
         let retry_budget = ShardRetryBudget::new(now, &settings, config, &id.service);
         let mut shard = Shard {
             id,
@@ -182,14 +182,14 @@
             takeover_grace: MAX_TAKEOVER_GRACE,
             pending: FxHashMap::default(),
             attempts: FxHashMap::default(),
-            deadlines: BTreeSet::new(),
-            hedges: BTreeSet::new(),
-            give_ups: BTreeSet::new(),
+            dispatch_deadlines: BTreeSet::new(),
+            hedge_times: BTreeSet::new(),
+            give_up_times: BTreeSet::new(),
             relays: FxHashMap::default(),
             keys: KeyTable::new(KeySettings::default()),
             retry_budget,
             latency: RecentLatency::default(),
-            service_time: UsualTime::default(),
+            slot_time: UsualTime::default(),
             next_attempt: 1,
             is_shared: service.is_some_and(Service::is_shared),
             dispatchers: 1,
@@ -217,7 +217,7 @@
         self.set_service(now, config);
         self.remove_unused_relays();
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
-        let actions = self.health.on_config(now, &self.pool.candidates(), floor);
+        let actions = self.health.on_config(now, &self.pool.configured_endpoints(), floor);
         self.on_health_actions(now, actions);
         self.pool.refresh(now, &self.health);
         self.advance(now)
@@ -367,7 +367,7 @@
     /// this call, and after a long pause the limits are halved as after a takeover.
     pub fn on_pause(&mut self, now: Time, gap: Duration) -> Vec<ShardAction> {
         self.health.on_pause(now, gap);
-        self.hedges.clear();
+        self.hedge_times.clear();
         self.refuse_expired(now);
         if gap >= MIN_TAKEOVER_PAUSE {
             self.pool.halve_limits_until(now + self.takeover_grace);
--- a/crates/pistachiotrack-core/src/shard/completion.rs
+++ b/crates/pistachiotrack-core/src/shard/completion.rs
@@ -17,9 +17,9 @@
 /// Bounds of the time for which the slot of an attempt that ended without an answer is kept.
 const SLOT_RELEASE_DELAY_RANGE: (Duration, Duration) =
     (Duration::from_millis(10), Duration::from_secs(1));
-/// That time while the usual service time is unknown.
+/// That time while the average slot time is unknown.
 const DEFAULT_SLOT_RELEASE_DELAY: Duration = Duration::from_millis(100);
-/// Upper bound, in usual service times, of the duration recorded for a timed-out attempt.
+/// Upper bound, in average slot times, of the duration recorded for a timed-out attempt.
 const MAX_TIMEOUT_FACTOR: u32 = 4;
 
 impl Shard {
@@ -66,7 +66,7 @@
     ) {
         let Some(id) = state.request else { return };
         let Some(pending) = self.pending.get_mut(&id) else {
-            return self.settle_key(now, id, outcome.certainly_not_run());
+            return self.resolve_key(now, id, outcome.certainly_not_run());
         };
         pending.in_flight.retain(|other| *other != attempt);
         pending.may_have_run |= !outcome.certainly_not_run();
@@ -76,7 +76,7 @@
         if !pending.in_flight.is_empty() {
             return;
         }
-        pending.needs_fresh |= matches!(
+        pending.needs_fresh_connection |= matches!(
             outcome,
             Outcome::Broken { fresh_connection: false }
                 | Outcome::TimedOut { fresh_connection: false }
@@ -99,14 +99,14 @@
             _ => Reason::AnswerLost,
         };
         let retry_after_ms = match execution {
-            Execution::NotRun => self.retry_hint(self.queue_wait(now)),
+            Execution::NotRun => self.jittered_retry_after_ms(self.queue_wait(now)),
             Execution::Unknown => None,
         };
         self.refuse(now, id, reason, retry_after_ms);
     }
 
     /// Updates the idempotency key of a request whose caller has been refused or is gone.
-    fn settle_key(&mut self, now: Time, id: RequestId, not_run: bool) {
+    fn resolve_key(&mut self, now: Time, id: RequestId, not_run: bool) {
         if not_run {
             let waiters = self.keys.on_not_run(id);
             self.reprocess_requests(now, waiters);
@@ -142,7 +142,7 @@
             return true;
         }
         if state.kind == AttemptKind::Trial {
-            self.retry_budget.spend(now);
+            self.retry_budget.record_retry(now);
             return true;
         }
         self.retry_budget.take(now)
@@ -159,8 +159,8 @@
             }
             Outcome::Shed => self.pool.on_shed(now, &state.endpoint, self.slot_release_delay()),
             Outcome::TimedOut { .. } => {
-                if let Some(service_time) = self.service_time.value() {
-                    self.service_time.record(age.min(service_time * MAX_TIMEOUT_FACTOR));
+                if let Some(slot_time) = self.slot_time.value() {
+                    self.slot_time.record(age.min(slot_time * MAX_TIMEOUT_FACTOR));
                 }
             }
             _ => {}
@@ -180,17 +180,17 @@
         }
     }
 
-    /// Records a complete answer in the retry budget and the service time.
+    /// Records a complete answer in the retry budget and the average slot time.
     pub(super) fn on_complete(&mut self, now: Time, state: &AttemptState) {
         if state.kind == AttemptKind::Probe {
             return;
         }
-        let held = now.since(state.dispatched_at);
-        self.service_time.record(held);
+        let elapsed = now.since(state.dispatched_at);
+        self.slot_time.record(elapsed);
         self.retry_budget.on_success();
         self.pool.on_success(&state.endpoint);
-        if let (Some(customer), Some(service_time)) = (&state.customer, self.service_time.value()) {
-            let relative = held.as_secs_f64() / service_time.as_secs_f64().max(f64::MIN_POSITIVE);
+        if let (Some(customer), Some(slot_time)) = (&state.customer, self.slot_time.value()) {
+            let relative = elapsed.as_secs_f64() / slot_time.as_secs_f64().max(f64::MIN_POSITIVE);
             self.queue.on_held(customer, relative);
         }
     }
@@ -205,7 +205,7 @@
     }
 
     fn slot_release_delay(&self) -> Duration {
-        self.service_time
+        self.slot_time
             .value()
             .unwrap_or(DEFAULT_SLOT_RELEASE_DELAY)
             .clamp(SLOT_RELEASE_DELAY_RANGE.0, SLOT_RELEASE_DELAY_RANGE.1)
@@ -213,12 +213,12 @@
 
     /// Refuses requests that can no longer be dispatched in time.
     pub(super) fn refuse_expired(&mut self, now: Time) {
-        while let Some((not_after, id)) = self.deadlines.first().copied() {
+        while let Some((not_after, id)) = self.dispatch_deadlines.first().copied() {
             if not_after > now {
                 return;
             }
             self.refuse(now, id, Reason::DeadlinePassed, None);
-            self.deadlines.remove(&(not_after, id));
+            self.dispatch_deadlines.remove(&(not_after, id));
         }
     }
 
@@ -238,7 +238,7 @@
         let refusal = Verdict { execution, reason, retry_after_ms };
         self.pending_actions.push(ShardAction::Refuse { request: id, refusal });
         if owns_key {
-            self.settle_key(now, id, execution == Execution::NotRun);
+            self.resolve_key(now, id, execution == Execution::NotRun);
         }
     }
 
@@ -257,15 +257,15 @@
         match pending.phase {
             Phase::New | Phase::Running => {}
             Phase::Queued => {
-                let ticket = Ticket { deadline: request.deadline, request: id };
-                self.queue.remove(&request.customer, request.class, ticket);
-                self.deadlines.remove(&(pending.not_after, id));
+                let queue_entry = Ticket { deadline: request.deadline, request: id };
+                self.queue.remove(&request.customer, request.class, queue_entry);
+                self.dispatch_deadlines.remove(&(pending.not_after, id));
             }
             Phase::AwaitingOriginal => {
                 if let Some(key) = &request.key {
                     self.keys.leave(&request.customer, key, id);
                 }
-                self.deadlines.remove(&(pending.not_after, id));
+                self.dispatch_deadlines.remove(&(pending.not_after, id));
             }
         }
         Some(pending.owns_key)
@@ -283,7 +283,7 @@
         for waiter in waiters {
             let Some(pending) = self.pending.get_mut(&waiter) else { continue };
             pending.phase = Phase::New;
-            self.deadlines.remove(&(pending.not_after, waiter));
+            self.dispatch_deadlines.remove(&(pending.not_after, waiter));
             self.process_request(now, waiter);
         }
     }
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -23,10 +23,10 @@
 const ANSWER_RESERVE_P95_FACTOR: f64 = 1.5;
 /// The same at admission. It is higher because the expected wait is a mean.
 const ADMISSION_RESERVE_P95_FACTOR: u32 = 2;
-/// Multiple of the usual service time that a request must have left to be sent to an endpoint
+/// Multiple of the average slot time that a request must have left to be sent to an endpoint
 /// under trial, so that there is time for a retry if it fails.
-const TRIAL_SERVICE_TIME_FACTOR: u32 = 4;
-/// Time that it must have left while the usual service time is unknown.
+const TRIAL_SLOT_TIME_FACTOR: u32 = 4;
+/// Time that it must have left while the average slot time is unknown.
 const DEFAULT_TRIAL_TIME_LEFT: Duration = Duration::from_millis(500);
 /// Multiple of the 95th percentile of the answer time after which an attempt that can be retried
 /// is given up.
@@ -38,7 +38,7 @@
 /// if it must not. The first can be sent once more after a failure, the second is lost.
 const LOW_RISK_WAIT_SHARES: (f64, f64) = (0.5, 0.85);
 /// Queue length up to which requests always wait for a low-risk endpoint.
-const MIN_LOW_RISK_QUEUE_LEN: usize = 8;
+const LOW_RISK_WAIT_QUEUE_LEN: usize = 8;
 /// Interval at which an attempt without an answer is checked again if it couldn't be given up.
 const GIVE_UP_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Minimum age of an attempt at which a hedge is sent.
@@ -79,7 +79,7 @@
                     pending.phase = Phase::AwaitingOriginal;
                     pending.not_after = deadline;
                 }
-                self.deadlines.insert((deadline, id));
+                self.dispatch_deadlines.insert((deadline, id));
             }
             Claim::Replay(answer) => {
                 self.pending.remove(&id);
@@ -97,27 +97,27 @@
         if left.is_zero() {
             return self.refuse(now, id, Reason::DeadlinePassed, None);
         }
-        let answer_time = self.latency.p95().or(self.service_time.value()).unwrap_or_default();
+        let answer_time = self.latency.p95().or(self.slot_time.value()).unwrap_or_default();
         pending.not_after =
             now + (left - (answer_time.mul_f64(ANSWER_RESERVE_P95_FACTOR)).min(left / 2));
         let (customer, class) = (pending.request.customer.clone(), pending.request.class);
         if self.pool.usable_endpoints(pending.request.idempotent) == 0 {
-            let hint = self.retry_hint(NO_ENDPOINT_RETRY_AFTER);
-            return self.refuse(now, id, Reason::NoEndpoint, hint);
+            let retry_after_ms = self.jittered_retry_after_ms(NO_ENDPOINT_RETRY_AFTER);
+            return self.refuse(now, id, Reason::NoEndpoint, retry_after_ms);
         }
         let wait = self.expected_wait(now, &customer, class);
         let needed = wait + (answer_time * ADMISSION_RESERVE_P95_FACTOR).min(left / 2);
         if !wait.is_zero() && needed > left {
-            let hint = self.retry_hint(needed - left);
-            return self.refuse(now, id, Reason::WaitTooLong, hint);
+            let retry_after_ms = self.jittered_retry_after_ms(needed - left);
+            return self.refuse(now, id, Reason::WaitTooLong, retry_after_ms);
         }
         let is_full = self.queue.len() >= self.queue_limit;
         if is_full && (!self.queue.is_empty() || !self.pool.has_free_slot(now)) {
-            let hint = self.retry_hint(self.queue_wait(now));
-            let Some(victim) = self.queue.victim(&customer, class) else {
-                return self.refuse(now, id, Reason::QueueFull, hint);
+            let retry_after_ms = self.jittered_retry_after_ms(self.queue_wait(now));
+            let Some(evicted) = self.queue.victim(&customer, class) else {
+                return self.refuse(now, id, Reason::QueueFull, retry_after_ms);
             };
-            self.refuse(now, victim, Reason::QueueFull, hint);
+            self.refuse(now, evicted, Reason::QueueFull, retry_after_ms);
         }
         self.enqueue(id);
     }
@@ -126,9 +126,9 @@
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         pending.phase = Phase::Queued;
-        let ticket = Ticket { deadline: pending.request.deadline, request: id };
-        self.queue.push(&pending.request.customer, pending.request.class, ticket);
-        self.deadlines.insert((pending.not_after, id));
+        let queue_entry = Ticket { deadline: pending.request.deadline, request: id };
+        self.queue.push(&pending.request.customer, pending.request.class, queue_entry);
+        self.dispatch_deadlines.insert((pending.not_after, id));
     }
 
     /// Returns the expected queueing time of a customer's new request.
@@ -141,16 +141,16 @@
 
     /// Returns the time in which `requests` requests leave the queue.
     pub(super) fn drain_time(&self, requests: f64) -> Duration {
-        let service_time = self.service_time.value().unwrap_or_default();
-        let limited = self.pool.limited_per_second() / f64::from(self.dispatchers);
+        let slot_time = self.slot_time.value().unwrap_or_default();
+        let limited = self.pool.rate_limited_per_second() / f64::from(self.dispatchers);
         let capacity = self.pool.capacity();
         match (capacity, limited > 0.0) {
-            (_, false) => service_time.mul_f64(requests / f64::from(capacity.max(1))),
+            (_, false) => slot_time.mul_f64(requests / f64::from(capacity.max(1))),
             (0, true) => Duration::from_secs_f64(requests / limited),
-            // Within one service time, endpoints with a rate limit take requests in addition to
+            // Within one average slot time, endpoints with a rate limit take requests in addition to
             // the slots.
-            (_, true) => service_time
-                .mul_f64(requests / (f64::from(capacity) + service_time.as_secs_f64() * limited)),
+            (_, true) => slot_time
+                .mul_f64(requests / (f64::from(capacity) + slot_time.as_secs_f64() * limited)),
         }
     }
 
@@ -165,14 +165,14 @@
                 continue;
             };
             if self.pool.usable_endpoints(pending.request.idempotent) == 0 {
-                let hint = self.retry_hint(NO_ENDPOINT_RETRY_AFTER);
-                self.refuse(now, id, Reason::NoEndpoint, hint);
+                let retry_after_ms = self.jittered_retry_after_ms(NO_ENDPOINT_RETRY_AFTER);
+                self.refuse(now, id, Reason::NoEndpoint, retry_after_ms);
                 continue;
             }
             let Some(pick) = self.pick(now, id, true) else { return };
             self.queue.pop();
             if let Some(pending) = self.pending.get(&id) {
-                self.deadlines.remove(&(pending.not_after, id));
+                self.dispatch_deadlines.remove(&(pending.not_after, id));
             }
             self.dispatch(now, id, pick);
         }
@@ -183,11 +183,11 @@
     /// Only idle slots are used: while requests are queued, a hedge would displace a request that
     /// has not had its first attempt.
     pub(super) fn dispatch_hedges(&mut self, now: Time) {
-        while let Some((at, id)) = self.hedges.first().copied() {
+        while let Some((at, id)) = self.hedge_times.first().copied() {
             if at > now {
                 return;
             }
-            self.hedges.pop_first();
+            self.hedge_times.pop_first();
             let is_due = self.pending.get(&id).is_some_and(|pending| {
                 pending.phase == Phase::Running
                     && pending.in_flight.len() == 1
@@ -198,7 +198,7 @@
                 continue;
             }
             let Some(pick) = self.pick(now, id, false) else { continue };
-            if pick.health_status != Standing::Trial && self.retry_budget.take_spare(now) {
+            if pick.health_status != Standing::Trial && self.retry_budget.take_for_hedge(now) {
                 self.dispatch(now, id, pick);
             }
         }
@@ -207,9 +207,10 @@
     fn pick(&mut self, now: Time, id: RequestId, allow_already_tried: bool) -> Option<Pick> {
         let pending = self.pending.get(&id)?;
         let left = remaining(pending.request.deadline, now);
-        let needed = self.service_time.value().map_or(DEFAULT_TRIAL_TIME_LEFT, |service_time| {
-            service_time * TRIAL_SERVICE_TIME_FACTOR
-        });
+        let needed = self
+            .slot_time
+            .value()
+            .map_or(DEFAULT_TRIAL_TIME_LEFT, |slot_time| slot_time * TRIAL_SLOT_TIME_FACTOR);
         let allow_trial =
             pending.tried.is_empty() && left >= needed && self.pool.usable_endpoints(true) > 1;
         self.pool.pick(PickCriteria {
@@ -230,17 +231,17 @@
     /// their turn within it; beyond that, all slots are needed. An endpoint that fails
     /// immediately always has free slots and would otherwise attract all waiting requests.
     fn max_risk(&self, now: Time, pending: &PendingRequest) -> f64 {
-        let part = if pending.request.idempotent {
+        let share = if pending.request.idempotent {
             LOW_RISK_WAIT_SHARES.0
         } else {
             LOW_RISK_WAIT_SHARES.1
         };
-        let patience = pending.not_after.since(pending.arrived).mul_f64(part);
-        let is_patient = self.mechanisms.patience
-            && now.since(pending.arrived) < patience
-            && (self.queue.len() <= MIN_LOW_RISK_QUEUE_LEN
-                || self.low_risk_drain_time() <= patience);
-        if is_patient { MAX_RISK_WHILE_WAITING } else { 1.0 }
+        let low_risk_wait = pending.not_after.since(pending.arrived).mul_f64(share);
+        let waits_for_low_risk = self.mechanisms.patience
+            && now.since(pending.arrived) < low_risk_wait
+            && (self.queue.len() <= LOW_RISK_WAIT_QUEUE_LEN
+                || self.low_risk_drain_time() <= low_risk_wait);
+        if waits_for_low_risk { MAX_RISK_WHILE_WAITING } else { 1.0 }
     }
 
     /// Returns the time in which the queue drains into this VM's share of the slots of low-risk
@@ -251,11 +252,11 @@
     fn low_risk_drain_time(&self) -> Duration {
         let slots = f64::from(self.pool.slots_at_risk_up_to(MAX_RISK_WHILE_WAITING))
             / f64::from(self.dispatchers);
-        let service_time = self.service_time.value().unwrap_or_default();
+        let slot_time = self.slot_time.value().unwrap_or_default();
         if slots == 0.0 {
             Duration::MAX
         } else {
-            service_time.mul_f64(self.queue.len() as f64 / slots)
+            slot_time.mul_f64(self.queue.len() as f64 / slots)
         }
     }
 
@@ -274,13 +275,13 @@
         let deadline = pending.request.deadline;
         let time_limit = give_up_at.filter(|_| via.is_some()).unwrap_or(deadline);
         if let (Some(at), None) = (give_up_at, &via) {
-            self.give_ups.insert((at, attempt));
+            self.give_up_times.insert((at, attempt));
         }
         let wants_fresh = self.health.wants_fresh_connection(&pick.name);
         let connection = if wants_fresh {
             ConnectionChoice::Fresh
         } else {
-            connection(pending, pick.health_status)
+            connection_choice(pending, pick.health_status)
         };
         if pending.tried.is_empty() {
             self.retry_budget.on_request(now);
@@ -296,7 +297,7 @@
             && pending.in_flight.len() == 1
             && let Some(age) = self.latency.p95()
         {
-            self.hedges.insert((now + age.max(MIN_HEDGE_AGE), id));
+            self.hedge_times.insert((now + age.max(MIN_HEDGE_AGE), id));
         }
         self.attempts.insert(
             attempt,
@@ -349,11 +350,11 @@
     /// left for another, and the caller would get "unknown" long before the deadline while the
     /// endpoint is still working.
     pub(super) fn give_up_due(&mut self, now: Time) {
-        while let Some((at, attempt)) = self.give_ups.first().copied() {
+        while let Some((at, attempt)) = self.give_up_times.first().copied() {
             if at > now {
                 return;
             }
-            self.give_ups.pop_first();
+            self.give_up_times.pop_first();
             let Some(request) = self.unanswered_request(now, attempt) else { continue };
             if self.pool.usable_endpoints(true) > 1 && self.retry_budget.take(now) {
                 if let Some(state) = self.attempts.get_mut(&attempt) {
@@ -361,7 +362,7 @@
                 }
                 self.pending_actions.push(ShardAction::GiveUp { request, attempt });
             } else {
-                self.give_ups.insert((now + GIVE_UP_RECHECK_INTERVAL, attempt));
+                self.give_up_times.insert((now + GIVE_UP_RECHECK_INTERVAL, attempt));
             }
         }
     }
@@ -383,7 +384,7 @@
     /// A hanging endpoint sends nothing until the deadline, when it is too late for a retry. An
     /// idempotent request that has another endpoint left is therefore given up halfway, unless
     /// half of its time is within the usual latencies.
-    fn give_up_at(&self, now: Time, id: RequestId, standing: Standing) -> Option<Time> {
+    fn give_up_at(&self, now: Time, id: RequestId, health_status: Standing) -> Option<Time> {
         let pending = self.pending.get(&id)?;
         let deadline = pending.request.deadline;
         let can_retry = self.mechanisms.give_ups
@@ -394,10 +395,10 @@
             return None;
         }
         let half = remaining(deadline, now) / 2;
-        let patience = self.latency.p95().map(|p95| p95 * GIVE_UP_P95_FACTOR);
-        let allowed = match patience {
-            Some(patience) if standing == Standing::Trial => half.min(patience),
-            Some(patience) => half.max(patience),
+        let p95_limit = self.latency.p95().map(|p95| p95 * GIVE_UP_P95_FACTOR);
+        let allowed = match p95_limit {
+            Some(p95_limit) if health_status == Standing::Trial => half.min(p95_limit),
+            Some(p95_limit) => half.max(p95_limit),
             None => half,
         };
         let give_up_at = now + allowed;
@@ -407,7 +408,7 @@
     /// Sends a health check if a slot is free for it.
     pub(super) fn start_probe(&mut self, now: Time, endpoint: Name) {
         let Some(address) = self.pool.address(&endpoint) else { return };
-        if !self.pool.may_probe(&endpoint) {
+        if !self.pool.has_slot_for_probe(&endpoint) {
             return;
         }
         let attempt = self.next_attempt_id();
@@ -438,7 +439,7 @@
     }
 
     /// Returns a retry delay with random jitter, to spread the callers that receive it.
-    pub(super) fn retry_hint(&mut self, wait: Duration) -> Option<u64> {
+    pub(super) fn jittered_retry_after_ms(&mut self, wait: Duration) -> Option<u64> {
         let wait_ms = wait.max(MIN_RETRY_AFTER).as_millis() as u64;
         Some(wait_ms + self.pool.random_below(wait_ms / 2))
     }
@@ -456,13 +457,14 @@
 /// repeated would be lost on it with an unknown outcome, so it gets a connection that has
 /// answered recently, or a new one if the endpoint is suspect. A retry after a failure on a
 /// pooled connection gets a new one, which distinguishes the two causes.
-fn connection(pending: &PendingRequest, standing: Standing) -> ConnectionChoice {
-    let in_doubt = matches!(standing, Standing::Suspect | Standing::HeldByFloor | Standing::Trial);
-    if pending.needs_fresh || standing == Standing::Trial {
+fn connection_choice(pending: &PendingRequest, health_status: Standing) -> ConnectionChoice {
+    let is_suspect =
+        matches!(health_status, Standing::Suspect | Standing::HeldByFloor | Standing::Trial);
+    if pending.needs_fresh_connection || health_status == Standing::Trial {
         ConnectionChoice::Fresh
     } else if pending.request.idempotent {
         ConnectionChoice::Any
-    } else if in_doubt {
+    } else if is_suspect {
         ConnectionChoice::Fresh
     } else {
         ConnectionChoice::Lively
--- a/crates/pistachiotrack-core/src/shard/hand_over.rs
+++ b/crates/pistachiotrack-core/src/shard/hand_over.rs
@@ -9,9 +9,9 @@
     health::HealthHandOver, idempotency::KeyHandOver, name::Name, ownership::ShardId, time::Time,
 };
 
-/// Multiple of the usual service time for which a predecessor's requests count against their
+/// Multiple of the average slot time for which a predecessor's requests count against their
 /// endpoints.
-const PREDECESSOR_SERVICE_TIME_FACTOR: u32 = 2;
+const PREDECESSOR_SLOT_TIME_FACTOR: u32 = 2;
 
 /// State that an owner transfers to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -22,9 +22,9 @@
     pub health: Vec<HealthHandOver>,
     /// Requests still in flight by endpoint.
     pub in_flight: Vec<(Name, u32)>,
-    /// Usual time for which a request occupies its slot, if known.
+    /// Average time for which a request occupies its slot, if known.
     #[serde(default)]
-    pub usual_service_us: Option<u64>,
+    pub average_slot_time_us: Option<u64>,
     /// Idempotency keys on record, newest first, up to a maximum size.
     #[serde(default)]
     pub keys: Vec<KeyHandOver>,
@@ -36,18 +36,22 @@
         ShardHandOver {
             shard: self.id.clone(),
             health: self.health.hand_over(now),
-            in_flight: self.pool.in_use().map(|(name, count)| (name.clone(), count)).collect(),
-            usual_service_us: self
-                .service_time
+            in_flight: self
+                .pool
+                .in_flight_by_endpoint()
+                .map(|(name, count)| (name.clone(), count))
+                .collect(),
+            average_slot_time_us: self
+                .slot_time
                 .value()
-                .map(|service_time| service_time.as_micros() as u64),
+                .map(|slot_time| slot_time.as_micros() as u64),
             keys: self.keys.hand_over(now),
         }
     }
 
     /// Applies the state of a predecessor.
     ///
-    /// Its requests in flight count against their endpoints until about twice the usual service
+    /// Its requests in flight count against their endpoints until about twice the average slot
     /// time has passed.
     pub fn on_hand_over(&mut self, now: Time, from: &ShardHandOver) -> Vec<ShardAction> {
         if from.shard != self.id {
@@ -56,12 +60,13 @@
         let actions = self.health.on_hand_over(now, &from.health);
         self.on_health_actions(now, actions);
         self.keys.on_hand_over(now, &from.keys);
-        if let (None, Some(service_time_us)) = (self.service_time.value(), from.usual_service_us) {
-            self.service_time.seed(Duration::from_micros(service_time_us));
+        if let (None, Some(slot_time_us)) = (self.slot_time.value(), from.average_slot_time_us) {
+            self.slot_time.seed(Duration::from_micros(slot_time_us));
         }
-        let allowance = self.service_time.value().map_or(self.takeover_grace, |service_time| {
-            service_time * PREDECESSOR_SERVICE_TIME_FACTOR
-        });
+        let allowance = self
+            .slot_time
+            .value()
+            .map_or(self.takeover_grace, |slot_time| slot_time * PREDECESSOR_SLOT_TIME_FACTOR);
         let until = now + allowance.min(self.takeover_grace);
         for (endpoint, in_flight) in &from.in_flight {
             self.pool.set_predecessor_in_flight(endpoint, *in_flight, until);
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -41,17 +41,17 @@
     pub(super) health_status: Standing,
     pub(super) in_flight: u32,
     /// Share of its slots that may be used, as the health checker sets it.
-    share: f64,
+    slot_share: f64,
     /// Maximum number of requests of this VM in flight.
     pub(super) limit: u32,
     is_configured: bool,
-    adaptive: AdaptiveLimit,
+    adaptive_limit: AdaptiveLimit,
     predecessor_in_flight: u32,
     predecessor_until: Time,
     /// Estimated probability that the next request fails for a reason that another endpoint would
     /// avoid, and the time of the last observed answer.
     risk: f64,
-    last_seen: Option<Time>,
+    last_observed_at: Option<Time>,
     /// Time of the last request that any VM is known to have sent.
     last_sent: Time,
     /// Whether it was added while this VM was running, and no VM has tried it yet.
@@ -73,7 +73,7 @@
     /// Returns whether it accepts requests and has a slot for one more now.
     fn is_free(&self, now: Time, share: RateShare) -> bool {
         let may_send = self.rate.as_ref().is_none_or(|rate| rate.may_send(now, share));
-        may_send && self.accepts_work() && self.in_flight < self.limit
+        may_send && self.accepts_requests() && self.in_flight < self.limit
     }
 
     /// Returns the rate limit that the endpoint announces.
@@ -81,11 +81,11 @@
         self.rate.as_ref().and_then(SharedRate::limit)
     }
 
-    fn accepts_work(&self) -> bool {
+    fn accepts_requests(&self) -> bool {
         self.is_configured
             && !self.is_reserved_for_peers
             && !self.endpoint.leaving
-            && self.share > 0.0
+            && self.slot_share > 0.0
             && !matches!(self.health_status, Standing::Ejected | Standing::Draining)
     }
 }
@@ -105,13 +105,13 @@
     in_flight_limit: u32,
     capacity: u32,
     /// Requests per second that endpoints with a rate limit accept from all VMs in view.
-    limited_per_second: f64,
+    rate_limited_per_second: f64,
     rate_share: RateShare,
     /// Slots of attempts that ended without an answer, by the time at which they are released.
     delayed_releases: BTreeSet<(Time, u64, Name)>,
     next_serial: u64,
     /// Endpoints whose number of requests in flight has changed.
-    changed: Vec<Name>,
+    changed_endpoints: Vec<Name>,
     /// Whether endpoints are ranked by their risk.
     is_ranked_by_risk: bool,
     mechanisms: Mechanisms,
@@ -130,11 +130,11 @@
             in_flight: 0,
             in_flight_limit: 0,
             capacity: 0,
-            limited_per_second: 0.0,
+            rate_limited_per_second: 0.0,
             rate_share: RateShare::default(),
             delayed_releases: BTreeSet::new(),
             next_serial: 0,
-            changed: Vec::new(),
+            changed_endpoints: Vec::new(),
             is_ranked_by_risk: false,
             mechanisms,
             local_data_centre: None,
@@ -177,14 +177,14 @@
                 endpoint: endpoint.clone(),
                 health_status: Standing::Healthy,
                 in_flight: 0,
-                share: 1.0,
+                slot_share: 1.0,
                 limit: 0,
                 is_configured: true,
-                adaptive: AdaptiveLimit::new(endpoint.slots),
+                adaptive_limit: AdaptiveLimit::new(endpoint.slots),
                 predecessor_in_flight: 0,
                 predecessor_until: Time::ZERO,
                 risk: 0.0,
-                last_seen: None,
+                last_observed_at: None,
                 last_sent: Time::ZERO,
                 is_untried: self.mechanisms.joiners_first,
                 rate: None,
@@ -192,7 +192,7 @@
                 peer_counts: Vec::new(),
             });
             entry.is_configured = true;
-            entry.adaptive.set_max(endpoint.slots);
+            entry.adaptive_limit.set_max(endpoint.slots);
             entry.endpoint = endpoint.clone();
         }
         self.endpoints.retain(|_, entry| entry.is_configured || entry.in_flight > 0);
@@ -205,7 +205,7 @@
         self.by_key.get(&key).cloned()
     }
 
-    pub(super) fn candidates(&self) -> Vec<Candidate> {
+    pub(super) fn configured_endpoints(&self) -> Vec<Candidate> {
         self.configured()
             .map(|entry| Candidate {
                 name: entry.endpoint.name.clone(),
@@ -219,7 +219,7 @@
         let are_limits_halved = now < self.limits_halved_until;
         let mut all_slots = 0;
         self.capacity = 0;
-        self.limited_per_second = 0.0;
+        self.rate_limited_per_second = 0.0;
         let share = self.rate_share;
         for (name, entry) in &mut self.endpoints {
             entry.health_status = health.standing(name);
@@ -228,16 +228,16 @@
             }
             entry.peer_counts.retain(|(_, _, until)| now < *until);
             entry.risk = health.avoidable_risk(now, name);
-            entry.last_seen = health.last_seen(name);
-            entry.last_sent = entry.last_sent.max(entry.last_seen.unwrap_or(Time::ZERO));
-            entry.is_untried &= entry.last_seen.is_none();
-            entry.share = health.share(now, name);
+            entry.last_observed_at = health.last_seen(name);
+            entry.last_sent = entry.last_sent.max(entry.last_observed_at.unwrap_or(Time::ZERO));
+            entry.is_untried &= entry.last_observed_at.is_none();
+            entry.slot_share = health.share(now, name);
             entry.limit = limit(entry, self.mode, are_limits_halved);
             let rate_limit = entry.rate_limit();
             entry.is_reserved_for_peers = rate_limit.is_some() && share.part == 0.0;
             match rate_limit {
-                _ if !entry.accepts_work() => {}
-                Some(limit) => self.limited_per_second += limit.used_per_second(share.part),
+                _ if !entry.accepts_requests() => {}
+                Some(limit) => self.rate_limited_per_second += limit.used_per_second(share.part),
                 None => self.capacity += entry.limit,
             }
             if entry.is_configured {
@@ -259,7 +259,7 @@
     /// Returns the slots of the endpoints that accept requests and whose risk is at most
     /// `max_risk`.
     pub(super) fn slots_at_risk_up_to(&self, max_risk: f64) -> u32 {
-        let within = |entry: &&PoolEntry| entry.accepts_work() && entry.risk <= max_risk;
+        let within = |entry: &&PoolEntry| entry.accepts_requests() && entry.risk <= max_risk;
         self.endpoints.values().filter(within).map(|entry| entry.endpoint.slots).sum()
     }
 
@@ -267,7 +267,7 @@
     pub(super) fn usable_endpoints(&self, idempotent: bool) -> usize {
         self.endpoints
             .values()
-            .filter(|entry| entry.accepts_work())
+            .filter(|entry| entry.accepts_requests())
             .filter(|entry| idempotent || entry.health_status != Standing::Trial)
             .count()
     }
@@ -334,7 +334,7 @@
     }
 
     /// Returns whether a health check would stay within the endpoint's slots.
-    pub(super) fn may_probe(&self, name: &str) -> bool {
+    pub(super) fn has_slot_for_probe(&self, name: &str) -> bool {
         self.endpoints.get(name).is_some_and(|entry| {
             entry.is_configured
                 && entry.in_flight + entry.predecessor_in_flight + entry.peer_in_flight()
@@ -350,7 +350,7 @@
             if let Some(rate) = &mut entry.rate {
                 rate.on_sent(now, self.rate_share, self.rng.random());
             }
-            self.changed.push(entry.endpoint.name.clone());
+            self.changed_endpoints.push(entry.endpoint.name.clone());
         }
     }
 
@@ -358,7 +358,7 @@
         let Some(entry) = self.endpoints.get_mut(name) else { return };
         entry.in_flight -= 1;
         self.in_flight -= 1;
-        self.changed.push(entry.endpoint.name.clone());
+        self.changed_endpoints.push(entry.endpoint.name.clone());
         if !entry.is_configured && entry.in_flight == 0 {
             self.endpoints.remove(name);
         }
@@ -368,7 +368,7 @@
     ///
     /// When a connection breaks or an attempt is given up, the endpoint may still be processing
     /// it; reusing the slot immediately would give the endpoint more requests than it has slots.
-    /// Processing that continues ends within about the usual service time.
+    /// Processing that continues ends within about the average slot time.
     pub(super) fn release_later(&mut self, name: &Name, until: Time) {
         self.next_serial += 1;
         self.delayed_releases.insert((until, self.next_serial, name.clone()));
@@ -384,14 +384,14 @@
 
     pub(super) fn on_success(&mut self, name: &str) {
         if let Some(entry) = self.endpoints.get_mut(name) {
-            entry.adaptive.on_success();
+            entry.adaptive_limit.on_success();
         }
     }
 
     pub(super) fn on_shed(&mut self, now: Time, name: &str, round: Duration) {
         let adapts = self.mechanisms.adaptive_limits;
         if let Some(entry) = self.endpoints.get_mut(name).filter(|_| adapts) {
-            entry.adaptive.on_shed(now, round);
+            entry.adaptive_limit.on_shed(now, round);
         }
     }
 
@@ -429,8 +429,8 @@
     }
 
     /// Takes the endpoints whose number of requests in flight has changed, each once.
-    pub(super) fn take_changed(&mut self) -> Vec<Name> {
-        let mut changed = std::mem::take(&mut self.changed);
+    pub(super) fn take_changed_endpoints(&mut self) -> Vec<Name> {
+        let mut changed = std::mem::take(&mut self.changed_endpoints);
         changed.sort_unstable();
         changed.dedup();
         changed
@@ -445,7 +445,7 @@
         self.endpoints.values().filter(|entry| entry.is_configured)
     }
 
-    pub(super) fn in_use(&self) -> impl Iterator<Item = (&Name, u32)> {
+    pub(super) fn in_flight_by_endpoint(&self) -> impl Iterator<Item = (&Name, u32)> {
         self.endpoints
             .iter()
             .filter(|(_, entry)| entry.in_flight > 0)
@@ -454,12 +454,12 @@
 }
 
 fn limit(entry: &PoolEntry, mode: ShardMode, are_limits_halved: bool) -> u32 {
-    if !entry.accepts_work() || entry.endpoint.slots == 0 {
+    if !entry.accepts_requests() || entry.endpoint.slots == 0 {
         return 0;
     }
     let all = entry.endpoint.slots;
-    let mut limit = ((f64::from(all) * entry.share) as u32).clamp(1, all);
-    limit = limit.min(entry.adaptive.value().max(1));
+    let mut limit = ((f64::from(all) * entry.slot_share) as u32).clamp(1, all);
+    limit = limit.min(entry.adaptive_limit.value().max(1));
     if are_limits_halved {
         limit = limit.min((all / TAKEOVER_DIVISOR).max(1));
     }
--- a/crates/pistachiotrack-core/src/shard/pool/ranking.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/ranking.rs
@@ -40,7 +40,7 @@
     /// have answered recently meets fewer episodes than spreading them, since each episode is
     /// detected by a failure. Requests that may run again explore the other endpoints.
     pub(super) fn pick_by_risk(&mut self, criteria: PickCriteria<'_>) -> Option<Pick> {
-        let round = Round {
+        let context = SelectionContext {
             is_exploring: self.mechanisms.exploring
                 && criteria.idempotent
                 && criteria.tried.is_empty()
@@ -50,11 +50,11 @@
         let mut best: Option<(RiskOrder, &PoolEntry)> = None;
         for entry in self.endpoints.values() {
             let is_free = entry.is_free(criteria.now, self.rate_share);
-            if !is_free || !is_eligible(entry, &criteria, &round) {
+            if !is_free || !is_eligible(entry, &criteria, &context) {
                 continue;
             }
             let is_tried = criteria.tried.contains(&entry.endpoint.name);
-            let rank = self.rank(entry, &criteria, &round);
+            let rank = self.rank(entry, &criteria, &context);
             let busy = entry.in_flight + entry.peer_in_flight();
             let load = busy * 1000 / entry.endpoint.slots.max(1);
             let key = (is_tried, rank, load, self.rng.next_u32());
@@ -63,23 +63,28 @@
             }
         }
         let (_, entry) = best?;
-        Some(Pick::of(entry, reason(entry, &criteria, &round)))
+        Some(Pick::of(entry, reason(entry, &criteria, &context)))
     }
 
     /// Returns the rank of an endpoint; the least comes first: newly added endpoints, then
     /// overdue ones, then all others by risk. A request that explores takes the endpoint with an
     /// elevated risk that was observed longest ago.
-    fn rank(&self, entry: &PoolEntry, criteria: &PickCriteria<'_>, round: &Round) -> u64 {
+    fn rank(
+        &self,
+        entry: &PoolEntry,
+        criteria: &PickCriteria<'_>,
+        context: &SelectionContext,
+    ) -> u64 {
         let risk_rank = self.risk_rank(entry, criteria.idempotent);
-        if is_unused_newcomer(entry, criteria) {
+        if is_new_and_idle(entry, criteria) {
             return 0;
         }
-        if is_overdue(entry, criteria, round) {
+        if is_overdue(entry, criteria, context) {
             return 1 + risk_rank;
         }
         let is_trial = u64::from(entry.health_status == Standing::Trial);
-        match (round.is_exploring, entry.risk >= EXPLORE_MIN_RISK) {
-            (true, true) => MAX_OVERDUE_RANK + entry.last_seen.map_or(0, Time::as_millis),
+        match (context.is_exploring, entry.risk >= EXPLORE_MIN_RISK) {
+            (true, true) => MAX_OVERDUE_RANK + entry.last_observed_at.map_or(0, Time::as_millis),
             (true, false) => u64::MAX - 1 + is_trial,
             (false, _) => MAX_OVERDUE_RANK + risk_rank + is_trial,
         }
@@ -99,7 +104,7 @@
         }
         let after = if criteria.idempotent { OVERDUE_AFTER.0 } else { OVERDUE_AFTER.1 };
         let since = criteria.now.before(after);
-        let usable = self.endpoints.values().filter(|entry| entry.accepts_work());
+        let usable = self.endpoints.values().filter(|entry| entry.accepts_requests());
         let (mut all, mut covered) = (0, 0);
         for entry in usable {
             all += 1;
@@ -122,43 +127,47 @@
 }
 
 /// Parameters that are the same for all endpoints during one selection.
-struct Round {
+struct SelectionContext {
     /// Whether the request explores endpoints with an elevated risk.
     is_exploring: bool,
     /// Endpoints without a request since then are overdue.
     overdue_since: Option<Time>,
 }
 
-fn reason(entry: &PoolEntry, criteria: &PickCriteria<'_>, round: &Round) -> SelectionReason {
-    if is_unused_newcomer(entry, criteria) {
+fn reason(
+    entry: &PoolEntry,
+    criteria: &PickCriteria<'_>,
+    context: &SelectionContext,
+) -> SelectionReason {
+    if is_new_and_idle(entry, criteria) {
         SelectionReason::Untried
-    } else if is_overdue(entry, criteria, round) {
+    } else if is_overdue(entry, criteria, context) {
         SelectionReason::Overdue
-    } else if round.is_exploring && entry.risk >= EXPLORE_MIN_RISK {
+    } else if context.is_exploring && entry.risk >= EXPLORE_MIN_RISK {
         SelectionReason::Explored
     } else {
         SelectionReason::Best
     }
 }
 
-fn is_eligible(entry: &PoolEntry, criteria: &PickCriteria<'_>, round: &Round) -> bool {
+fn is_eligible(entry: &PoolEntry, criteria: &PickCriteria<'_>, context: &SelectionContext) -> bool {
     let is_tried = criteria.tried.contains(&entry.endpoint.name);
     let is_trial = entry.health_status == Standing::Trial;
     let is_barred_trial = is_trial && (is_tried || !criteria.idempotent || !criteria.allow_trial);
-    let is_overdue_or_unused =
-        is_unused_newcomer(entry, criteria) || is_overdue(entry, criteria, round);
-    let is_risky = entry.risk > criteria.max_risk && !is_overdue_or_unused && !round.is_exploring;
+    let is_new_or_overdue =
+        is_new_and_idle(entry, criteria) || is_overdue(entry, criteria, context);
+    let is_risky = entry.risk > criteria.max_risk && !is_new_or_overdue && !context.is_exploring;
     (!is_tried || criteria.allow_already_tried) && !is_barred_trial && !is_risky
 }
 
 /// Returns whether an endpoint was added recently and no VM has tried it yet.
-fn is_unused_newcomer(entry: &PoolEntry, criteria: &PickCriteria<'_>) -> bool {
+fn is_new_and_idle(entry: &PoolEntry, criteria: &PickCriteria<'_>) -> bool {
     let is_idle = entry.in_flight + entry.peer_in_flight() == 0;
     entry.is_untried && is_idle && !criteria.tried.contains(&entry.endpoint.name)
 }
 
 /// Returns whether an endpoint is due to get a request.
-fn is_overdue(entry: &PoolEntry, criteria: &PickCriteria<'_>, round: &Round) -> bool {
-    round.overdue_since.is_some_and(|since| entry.last_sent < since)
+fn is_overdue(entry: &PoolEntry, criteria: &PickCriteria<'_>, context: &SelectionContext) -> bool {
+    context.overdue_since.is_some_and(|since| entry.last_sent < since)
         && !criteria.tried.contains(&entry.endpoint.name)
 }
--- a/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
@@ -18,8 +18,8 @@
 
     /// Returns the requests per second that all VMs in view can send to endpoints with a rate
     /// limit.
-    pub(in crate::shard) fn limited_per_second(&self) -> f64 {
-        self.limited_per_second
+    pub(in crate::shard) fn rate_limited_per_second(&self) -> f64 {
+        self.rate_limited_per_second
     }
 
     /// Sets the limit that an endpoint announces, or no longer announces, in its answer to a
--- a/crates/pistachiotrack-core/src/shard/retry_budget.rs
+++ b/crates/pistachiotrack-core/src/shard/retry_budget.rs
@@ -30,8 +30,8 @@
         if let (true, Some(limit)) = (service.is_shared(), service.retry_limit) {
             // A shard that this process starts again needs a new counter, so the id differs at
             // each start.
-            let begun = settings.seed ^ now.as_micros();
-            let count_id = hash::fnv(&begun.to_le_bytes()) as u32;
+            let start_seed = settings.seed ^ now.as_micros();
+            let count_id = hash::fnv(&start_seed.to_le_bytes()) as u32;
             let expected = expected_dispatchers(config, service);
             let mut budget = FleetBudget::new(now, limit, expected, count_id);
             budget.set_shares_out(settings.mechanisms.retry_shares);
@@ -68,7 +68,7 @@
     }
 
     /// Records a retry that is sent regardless of the limit.
-    pub(super) fn spend(&mut self, now: Time) {
+    pub(super) fn record_retry(&mut self, now: Time) {
         if let ShardRetryBudget::Fleet(budget) = self {
             budget.spend(now);
         }
@@ -83,7 +83,7 @@
     }
 
     /// Takes a retry that only reduces latency and returns whether one could be spared.
-    pub(super) fn take_spare(&mut self, now: Time) -> bool {
+    pub(super) fn take_for_hedge(&mut self, now: Time) -> bool {
         match self {
             ShardRetryBudget::Owner(budget) => budget.take_spare(now),
             ShardRetryBudget::Fleet(budget) => budget.take_spare(now),
--- a/crates/pistachiotrack-core/src/shard/state.rs
+++ b/crates/pistachiotrack-core/src/shard/state.rs
@@ -40,7 +40,7 @@
     /// Whether an ended attempt may have run.
     pub(super) may_have_run: bool,
     /// Whether the next attempt needs a new connection.
-    pub(super) needs_fresh: bool,
+    pub(super) needs_fresh_connection: bool,
     /// Whether a failure status has been retried.
     pub(super) failure_status_retried: bool,
     /// Whether it is the original request with its idempotency key.
@@ -58,7 +58,7 @@
             tried: Vec::new(),
             possible_runs: 0,
             may_have_run: false,
-            needs_fresh: false,
+            needs_fresh_connection: false,
             failure_status_retried: false,
             owns_key: false,
         }
--- a/crates/pistachiotrack-core/src/shard/subscribers.rs
+++ b/crates/pistachiotrack-core/src/shard/subscribers.rs
@@ -12,7 +12,7 @@
 /// Minimum number of messages within about that time for a VM to receive updates: two or three
 /// requests per second. A VM with fewer requests asks for a snapshot when one arrives, which
 /// takes less than all updates of a dispatcher.
-const MIN_MESSAGES: f64 = 10.0;
+const MIN_RECENT_MESSAGES: f64 = 10.0;
 /// Maximum number of recipients, so that a fleet whose members have not discovered each other yet
 /// doesn't flood itself.
 const MAX_RECIPIENTS: usize = 16;
@@ -48,7 +48,7 @@
     }
 
     fn is_recipient(&self) -> bool {
-        self.is_nearby && self.messages >= MIN_MESSAGES
+        self.is_nearby && self.messages >= MIN_RECENT_MESSAGES
     }
 }
 
--- a/crates/pistachiotrack-core/src/shard/updates.rs
+++ b/crates/pistachiotrack-core/src/shard/updates.rs
@@ -98,7 +98,7 @@
 }
 
 /// Unreported change of an endpoint: the end of an attempt there and its time, if one has ended.
-type Unreported = (Name, Option<(EndedAttempt, Time)>);
+type EndpointChange = (Name, Option<(EndedAttempt, Time)>);
 
 /// Result of an attempt at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -236,12 +236,12 @@
 
     /// Broadcasts the changes of the current event to the other VMs.
     pub(super) fn broadcast_updates(&mut self, now: Time) {
-        let changed = self.pool.take_changed();
+        let changed = self.pool.take_changed_endpoints();
         if !self.is_shared {
             return;
         }
         let ended = std::mem::take(&mut self.ended_attempts);
-        let mut changes: Vec<Unreported> =
+        let mut changes: Vec<EndpointChange> =
             ended.into_iter().map(|(endpoint, ended, at)| (endpoint, Some((ended, at)))).collect();
         for endpoint in changed {
             if changes.iter().all(|(name, _)| *name != endpoint) {
@@ -250,7 +250,7 @@
         }
         let sent = self.retry_budget.fleet().map(|budget| budget.total()).unwrap_or_default();
         for part in changes.chunks(MAX_ENDPOINTS_PER_UPDATE) {
-            let endpoint = |(name, ended): &Unreported| EndpointUpdate {
+            let endpoint = |(name, ended): &EndpointChange| EndpointUpdate {
                 endpoint: EndpointKey::of(name),
                 in_flight: self.pool.in_flight_at(name),
                 ended: ended.map(|(ended, at)| EndedAttempt {
--- a/crates/pistachiotrack-core/tests/shard.rs
+++ b/crates/pistachiotrack-core/tests/shard.rs
@@ -301,7 +301,7 @@
     old.on_outcome(settled, AttemptId(1), answered(200), Report::default());
     let mut handed = old.hand_over(settled);
     handed.in_flight[0].1 = 3;
-    handed.usual_service_us = Some(100_000);
+    handed.average_slot_time_us = Some(100_000);
     let mut shard = Shard::new(settled, shard_id(), &config, ShardSettings::default());
     shard.on_hand_over(settled, &handed);
     assert_eq!(fill(&mut shard, settled, 1), 1);
