--- a/crates/pistachiotrack-core/tests/dispatchers.rs
+++ b/crates/pistachiotrack-core/tests/dispatchers.rs
@@ -53,8 +53,8 @@
 /// Returns the numbers of the VMs that dispatch for any service.
 fn dispatchers(members: &[Member], services: usize) -> BTreeSet<usize> {
     let config = config(services);
-    let me = members[0].vm.clone();
-    let mut ownership = Ownership::new(me, OwnershipSettings::default());
+    let local_vm = members[0].vm.clone();
+    let mut ownership = Ownership::new(local_vm, OwnershipSettings::default());
     ownership.update(NOW, &config, members[1..].iter());
     let chosen = config.services.iter().flat_map(|it| ownership.dispatchers(&it.name));
     chosen.map(|vm| vm.name.strip_prefix("vm-").unwrap().parse().unwrap()).collect()
@@ -65,8 +65,8 @@
 #[test]
 fn the_highest_capacity_vms_of_each_data_centre_dispatch() {
     let mut capacities = [10; 36];
-    for strong in [3, 16, 11, 18, 22, 29] {
-        capacities[strong] = 50;
+    for index in [3, 16, 11, 18, 22, 29] {
+        capacities[index] = 50;
     }
     assert_eq!(dispatchers(&fleet(&capacities), 3), BTreeSet::from([3, 11, 16, 18, 22, 29]));
 }
@@ -76,8 +76,8 @@
 #[test]
 fn a_dead_dispatcher_is_replaced_by_the_vm_with_the_next_highest_capacity() {
     let mut capacities = [10; 36];
-    for strong in [3, 16, 11, 18, 22, 29] {
-        capacities[strong] = 50;
+    for index in [3, 16, 11, 18, 22, 29] {
+        capacities[index] = 50;
     }
     capacities[33] = 20;
     let mut members = fleet(&capacities);
@@ -99,8 +99,8 @@
 #[test]
 fn many_services_are_spread_over_low_capacity_vms_too() {
     let mut capacities = [10; 36];
-    for strong in [3, 16, 11, 18, 22, 29] {
-        capacities[strong] = 50;
+    for index in [3, 16, 11, 18, 22, 29] {
+        capacities[index] = 50;
     }
     let chosen = dispatchers(&fleet(&capacities), 200);
     assert!(chosen.len() > 24, "{chosen:?}");
--- a/crates/pistachiotrack-core/tests/relays.rs
+++ b/crates/pistachiotrack-core/tests/relays.rs
@@ -204,7 +204,7 @@
     let without = answers_in_10_s(&["e0", "e1"], false);
     let with = answers_in_10_s(&["e0", "e1"], true);
     println!("answers in 10 s: no cut {whole}, cut {without}, cut and relay {with}");
-    assert!(without * 100 < whole * 75, "the cut costs nothing: {without} of {whole}");
+    assert!(without * 100 < whole * 75, "the broken path costs no capacity: {without} of {whole}");
     assert!(with * 100 > whole * 97, "{with} of {whole}");
 }
 
@@ -223,10 +223,10 @@
         }
     }
     for unreachable in cut {
-        let worked = harness.attempts.values().filter(|record| {
+        let relayed = harness.attempts.values().filter(|record| {
             record.dispatch.endpoint == name(unreachable) && record.dispatch.via == Some(name("w1"))
         });
-        assert!(worked.count() > 20, "{unreachable}");
+        assert!(relayed.count() > 20, "{unreachable}");
         assert_eq!(&*state(&harness, unreachable), "healthy");
     }
     check(&harness);
@@ -312,8 +312,8 @@
     harness.outcome(harness.attempt(id), Outcome::WitnessFailed { sent: false });
     harness.answer(harness.attempt(id));
 
-    let nobody = PathAnswer::UnreachableByOthers;
-    let actions = harness.shard.on_path_answer(harness.now, &name("e0"), nobody);
+    let answer = PathAnswer::UnreachableByOthers;
+    let actions = harness.shard.on_path_answer(harness.now, &name("e0"), answer);
     harness.check(actions);
     for _ in 0..100 {
         serve(&mut harness, &["e0"]);
--- a/crates/pistachiotrack-core/tests/shard.rs
+++ b/crates/pistachiotrack-core/tests/shard.rs
@@ -96,7 +96,7 @@
     let second = harness.attempt(id);
     assert_ne!(endpoint(&harness, first), endpoint(&harness, second));
     harness.outcome(second, answered(503));
-    assert!(harness.is_delivered(id), "the second failure is passed on as it is");
+    assert!(harness.is_delivered(id), "the second failure is passed on unchanged");
 }
 
 // A booking answered with 500 may have been made. Its answer is passed on unchanged and nothing
@@ -315,7 +315,7 @@
     let mut harness = harness(3, 1);
     serve(&mut harness, 40, 10);
     let unreachable = Name::from("e0");
-    while !check_path_requested(&mut harness, &unreachable) {
+    while !requests_path_check(&mut harness, &unreachable) {
         harness.tick(20);
     }
     let answer = PathAnswer::ReachedByOthers;
@@ -332,8 +332,8 @@
 
 /// Sends a lookup and has `unreachable` refuse connections; returns whether the shard asks other
 /// VMs to check the path.
-fn check_path_requested(harness: &mut Harness, unreachable: &Name) -> bool {
-    let mut asked = false;
+fn requests_path_check(harness: &mut Harness, unreachable: &Name) -> bool {
+    let mut is_requested = false;
     let id = harness.send(1_000, |_| {});
     while let Some(attempt) = harness.in_flight().first().copied() {
         if endpoint(harness, attempt) != *unreachable {
@@ -342,12 +342,13 @@
         }
         let (now, failed) = (harness.now, Outcome::ConnectFailed);
         let actions = harness.shard.on_outcome(now, attempt, failed, Report::default());
-        asked |= actions.iter().any(|action| matches!(action, ShardAction::CheckPath { .. }));
+        is_requested |=
+            actions.iter().any(|action| matches!(action, ShardAction::CheckPath { .. }));
         harness.attempts.get_mut(&attempt).unwrap().state = State::NotRun;
         harness.check(actions);
     }
     assert!(harness.is_delivered(id), "{:?}", harness.refusal(id));
-    asked
+    is_requested
 }
 
 /// Sends lookups that one endpoint answers with failures until it is ejected.
@@ -385,8 +386,8 @@
     assert_eq!(&*state(&harness), "trial");
     let booking = harness.send(5_000, |request| request.idempotent = false);
     assert_ne!(endpoint(&harness, harness.attempt(booking)), faulty);
-    let hurried = harness.send(20, |_| {});
-    assert_ne!(endpoint(&harness, harness.attempt(hurried)), faulty);
+    let with_short_deadline = harness.send(20, |_| {});
+    assert_ne!(endpoint(&harness, harness.attempt(with_short_deadline)), faulty);
     let tried = harness.send(5_000, |_| {});
     let trial = harness.attempt(tried);
     assert_eq!(endpoint(&harness, trial), faulty);
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -172,8 +172,8 @@
             for checked in std::mem::take(&mut harness.path_checks) {
                 let actions = match relays.is_empty() {
                     true => {
-                        let nobody = PathAnswer::UnreachableByOthers;
-                        harness.shard.on_path_answer(harness.now, &checked, nobody)
+                        let answer = PathAnswer::UnreachableByOthers;
+                        harness.shard.on_path_answer(harness.now, &checked, answer)
                     }
                     false => harness.shard.on_relays(harness.now, &checked, relays.clone()),
                 };
--- a/crates/pistachiotrack-core/tests/shard_updates.rs
+++ b/crates/pistachiotrack-core/tests/shard_updates.rs
@@ -41,14 +41,14 @@
 fn a_late_report_of_an_earlier_success_clears_no_endpoint() {
     const LATENCY: Duration = Duration::from_millis(300);
     let (mut first, mut second) = (shard(1), shard(1));
-    let good = dispatched(&first.on_request(START, booking(1, START))).unwrap();
+    let earlier = dispatched(&first.on_request(START, booking(1, START))).unwrap();
     let found_at = START + Duration::from_millis(30);
     answer(&mut second, found_at, 2, 500);
 
     let answered = Outcome::Answered { status: 200, fresh_connection: true };
-    first.on_outcome(START + LATENCY, good.attempt, answered, Report::default());
+    first.on_outcome(START + LATENCY, earlier.attempt, answered, Report::default());
     let reported_at = START + LATENCY + Duration::from_millis(60);
-    let updates = broadcasts(&first.on_body_end(reported_at, good.attempt, BodyEnd::Complete));
+    let updates = broadcasts(&first.on_body_end(reported_at, earlier.attempt, BodyEnd::Complete));
     assert_eq!(updates.len(), 1);
     let mut uninformed = second.clone();
     apply_updates(&mut second, reported_at, &updates);
--- a/crates/pistachiotrack-core/tests/shared_shard.rs
+++ b/crates/pistachiotrack-core/tests/shared_shard.rs
@@ -28,14 +28,14 @@
     let all_slots = (0..2 * u64::from(SLOTS)).map(|id| first.on_request(START, booking(id, START)));
     let dispatches: Vec<Dispatch> =
         all_slots.collect::<Vec<_>>().iter().filter_map(|actions| dispatched(actions)).collect();
-    let proven_at = START + Duration::from_millis(100);
+    let answered_at = START + Duration::from_millis(100);
     for dispatch in &dispatches {
         let outcome = Outcome::Answered { status: 200, fresh_connection: true };
-        first.on_outcome(proven_at, dispatch.attempt, outcome, Report::default());
-        let ended = first.on_body_end(proven_at, dispatch.attempt, BodyEnd::Complete);
-        apply_updates(&mut second, proven_at, &broadcasts(&ended));
+        first.on_outcome(answered_at, dispatch.attempt, outcome, Report::default());
+        let ended = first.on_body_end(answered_at, dispatch.attempt, BodyEnd::Complete);
+        apply_updates(&mut second, answered_at, &broadcasts(&ended));
     }
-    let failed_at = proven_at + Duration::from_millis(300);
+    let failed_at = answered_at + Duration::from_millis(300);
     let (failing, updates) = answer(&mut first, failed_at, 10, 500);
     apply_updates(&mut second, failed_at, &updates);
     for id in 0..8 {
@@ -92,18 +92,18 @@
 fn a_booking_waits_for_an_endpoint_that_has_just_answered() {
     let mut shard = shard(2);
     let (failing, _) = answer(&mut shard, START, 1, 500);
-    let (proven, _) = answer(&mut shard, START, 2, 200);
-    assert_ne!(failing, proven);
+    let (healthy, _) = answer(&mut shard, START, 2, 200);
+    assert_ne!(failing, healthy);
     let busy: Vec<Dispatch> = (10..10 + u64::from(SLOTS))
         .map(|id| dispatched(&shard.on_request(START, booking(id, START))).unwrap())
         .collect();
-    assert!(busy.iter().all(|dispatch| dispatch.endpoint == proven));
+    assert!(busy.iter().all(|dispatch| dispatch.endpoint == healthy));
     assert_eq!(dispatched(&shard.on_request(START, booking(20, START))), None);
     let later = START + Duration::from_millis(100);
     let outcome = Outcome::Answered { status: 200, fresh_connection: true };
     shard.on_outcome(later, busy[0].attempt, outcome, Report::default());
     let freed = shard.on_body_end(later, busy[0].attempt, BodyEnd::Complete);
-    assert_eq!(dispatched(&freed).map(|dispatch| dispatch.endpoint), Some(proven));
+    assert_eq!(dispatched(&freed).map(|dispatch| dispatch.endpoint), Some(healthy));
 }
 
 /// All VMs lose power, and all callers return at once. A third of the endpoints fails grayly,
@@ -114,15 +114,15 @@
     let mut shard = shard(30);
     let is_failing = |endpoint: &Name| endpoint.as_str().ends_with(['0', '3', '6']);
     let (mut now, mut running, mut failures) = (START, Vec::new(), BTreeMap::new());
-    let mut commands: Vec<Dispatch> = Vec::new();
+    let mut dispatches: Vec<Dispatch> = Vec::new();
     for id in 0..76 {
-        commands.extend(all_dispatched(&shard.on_request(now, booking(id, now))));
+        dispatches.extend(all_dispatched(&shard.on_request(now, booking(id, now))));
     }
     for _ in 0..40 {
-        while let Some(dispatch) = commands.pop() {
+        while let Some(dispatch) = dispatches.pop() {
             if is_failing(&dispatch.endpoint) {
                 *failures.entry(dispatch.endpoint.clone()).or_insert(0) += 1;
-                commands.extend(end(&mut shard, now, &dispatch, 500));
+                dispatches.extend(end(&mut shard, now, &dispatch, 500));
             } else {
                 running.push((now + Duration::from_millis(150), dispatch));
             }
@@ -132,7 +132,7 @@
         running = later;
         let due: Vec<(Time, Dispatch)> = due;
         for (_, dispatch) in due {
-            commands.extend(end(&mut shard, now, &dispatch, 200));
+            dispatches.extend(end(&mut shard, now, &dispatch, 200));
         }
     }
     assert!(failures.values().all(|count| *count <= SLOTS), "{failures:?}");
@@ -255,7 +255,8 @@
             _ => RequestCounts { served: 4, failed: 1 },
         };
         let update = update(0, request_counts);
-        let vm = if id % 20 == 0 { format!("guest-{id}") } else { "dispatcher".to_owned() };
+        let vm =
+            if id % 20 == 0 { format!("non-dispatcher-{id}") } else { "dispatcher".to_owned() };
         shard.on_update(now, &Name::from(vm), &update);
         let (endpoint, _) = answer(&mut shard, now, id, 200);
         if id >= 200 {
@@ -287,7 +288,7 @@
     let actions = shard.on_config(START, &renamed(2_000));
     let new = dispatched(&actions).expect("the new incarnation has free slots");
     assert_ne!(new.endpoint, old[0].endpoint);
-    let fresh = new.selection;
+    let initial = new.selection;
     for one in &old {
         let broken = Outcome::Broken { fresh_connection: true };
         shard.on_outcome(START, one.attempt, broken, Report::default());
@@ -295,7 +296,11 @@
     end(&mut shard, START, &new, 200);
     let next = dispatched(&shard.on_request(START, booking(9, START))).unwrap();
     assert_eq!(next.endpoint, new.endpoint);
-    assert!(next.selection.risk_permille < fresh.risk_permille, "{:?} {fresh:?}", next.selection);
+    assert!(
+        next.selection.risk_permille < initial.risk_permille,
+        "{:?} {initial:?}",
+        next.selection
+    );
 }
 
 /// An endpoint resets connections for some seconds, and one VM loses a booking there. If it
@@ -395,7 +400,7 @@
     let mut shard = shard(8);
     shard.set_dispatchers(START, DispatchersInView { count: 1, is_member: true });
     let mut now = START + Duration::from_secs(20);
-    let (mut again, mut not_run) = (0, 0);
+    let (mut retries, mut not_run) = (0, 0);
     for id in 1..=200 {
         now += Duration::from_millis(10);
         let first = dispatched(&shard.on_request(now, booking(id, now)));
@@ -403,7 +408,7 @@
         let misdirected = Outcome::Misdirected;
         let actions = shard.on_outcome(now, first.attempt, misdirected, Report::default());
         if let Some(second) = dispatched(&actions) {
-            again += 1;
+            retries += 1;
             end(&mut shard, now, &second, 200);
         }
         not_run += actions
@@ -414,6 +419,6 @@
             })
             .count();
     }
-    assert!(again <= 62 + 200 / 5, "{again} retries");
+    assert!(retries <= 62 + 200 / 5, "{retries} retries");
     assert!(not_run > 0);
 }
