--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -1,34 +1,36 @@
-//! The owner of a shard: decides which request goes to which endpoint when.
+//! Scheduling for one shard: decides when each request is dispatched and to which endpoint.
 
 mod action;
-mod ending;
-mod flow;
-mod guests;
+mod completion;
+mod dispatch;
+mod failure_rate;
 mod hand_over;
-mod news;
 mod pool;
-mod rates;
-mod retries;
+mod rate_limits;
+mod relay;
+mod retry_budget;
 mod state;
-mod strain;
-mod via;
+mod subscribers;
+mod updates;
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use rustc_hash::FxHashMap;
 
 pub use self::{
-    action::{Choice, Dispatch, Grounds, ShardAction},
-    guests::Guests,
+    action::{Dispatch, SelectionDetails, SelectionReason, ShardAction},
+    failure_rate::RequestCounts,
     hand_over::ShardHandOver,
-    news::{EndedAttempt, Ending, EndpointKey, EndpointNews, ShardNews, ShardPicture},
-    strain::Served,
+    subscribers::Subscribers,
+    updates::{
+        AttemptResult, EndedAttempt, EndpointKey, EndpointUpdate, ShardSnapshot, ShardUpdate,
+    },
 };
 use self::{
+    failure_rate::ServiceFailureRate,
     pool::Pool,
-    retries::Retries,
-    state::{Attempt, Live, Phase},
-    strain::Strain,
+    retry_budget::ShardRetryBudget,
+    state::{AttemptState, PendingRequest, Phase},
 };
 use crate::{
     admin::EndpointStatus,
@@ -47,33 +49,33 @@
     time::Time,
 };
 
-/// Longest time for which a new owner allows for its predecessor's work.
-const MAX_SETTLE: Duration = Duration::from_millis(500);
-/// Pause after which another VM may have taken the shard over and back.
-const TAKEOVER_PAUSE: Duration = Duration::from_secs(1);
-/// Time after which a health check without any report is forgotten.
-const LOST_PROBE_AGE: Duration = Duration::from_secs(5);
+/// Longest grace period of a new owner, in which its predecessor's requests may still run.
+const MAX_TAKEOVER_GRACE: Duration = Duration::from_millis(500);
+/// Length of a pause of this process after which another VM may have taken the shard over and
+/// handed it back.
+const MIN_TAKEOVER_PAUSE: Duration = Duration::from_secs(1);
+/// Time after its time limit at which a health check whose outcome was never reported is dropped.
+const LOST_PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How far this VM may go with the shard's endpoints.
+/// Share of the endpoints' slots that this VM may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardMode {
     /// This VM owns the shard and may use all slots.
     Owner,
-    /// This VM is one of several that dispatch side by side; each counts the
-    /// requests that the others have in flight against the slots.
+    /// This VM is one of several dispatchers; each counts the requests that the others have in
+    /// flight against the slots.
     Shared,
-    /// The owner can't be reached: a small share of each endpoint's slots.
+    /// The owner can't be reached; this VM uses a small share of each endpoint's slots.
     Careful,
 }
 
 impl ShardMode {
-    /// Returns how far a VM may go that doesn't own a service's shard.
+    /// Returns the mode of a VM that doesn't own a service's shard.
     ///
-    /// Failure guarded against: a VM takes a shared shard over for a moment, as VMs
-    /// find each other after a restart of all, and goes on carefully while the others
-    /// fill the slots. It shows as one dispatcher with a queue and refusals for as long
-    /// as it runs, while slots are free. The guard holds because whoever starts such a
-    /// shard takes the mode from here.
+    /// Every caller that starts a shard without owning it must take the mode from here. A VM can
+    /// take over a shared shard for a moment while the VMs discover each other after a restart of
+    /// the whole fleet. If it stayed in careful mode while the others fill the slots, it would
+    /// queue and refuse requests for as long as it runs although slots are free.
     pub fn without_ownership(service: Option<&Service>) -> ShardMode {
         match service.is_some_and(Service::is_shared) {
             true => ShardMode::Shared,
@@ -94,13 +96,13 @@
 /// Settings of a shard.
 #[derive(Clone, Debug)]
 pub struct ShardSettings {
-    /// Mode at the start.
+    /// Initial mode.
     pub mode: ShardMode,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Data centre of this VM; endpoints there are preferred.
     pub data_centre: Option<Name>,
-    /// Mechanisms at work.
+    /// Mechanisms that are switched on.
     pub mechanisms: FeatureFlags,
 }
 
@@ -111,7 +113,7 @@
     }
 }
 
-/// The decisions about one shard.
+/// State of one shard.
 #[derive(Clone, Debug)]
 pub struct Shard {
     id: ShardId,
@@ -120,41 +122,41 @@
     queue: AdmissionQueue,
     queue_limit: usize,
     probe_path: Name,
-    settle: Duration,
-    live: FxHashMap<RequestId, Live>,
-    attempts: FxHashMap<AttemptId, Attempt>,
-    /// Waiting requests by the moment at which they have no time left.
-    expiry: BTreeSet<(Time, RequestId)>,
-    /// Requests in flight by the moment at which a hedge is due.
-    hedges: BTreeSet<(Time, RequestId)>,
-    /// Attempts by the moment from which on they are better given up.
-    give_ups: BTreeSet<(Time, AttemptId)>,
-    /// VMs through which endpoints work that only this VM can't reach.
-    witnesses: FxHashMap<Name, Vec<Name>>,
+    takeover_grace: Duration,
+    pending: FxHashMap<RequestId, PendingRequest>,
+    attempts: FxHashMap<AttemptId, AttemptState>,
+    /// Waiting requests by the latest time at which they can still be dispatched.
+    dispatch_deadlines: BTreeSet<(Time, RequestId)>,
+    /// Requests in flight by the time at which a hedge is due.
+    hedge_times: BTreeSet<(Time, RequestId)>,
+    /// Attempts by the time at which they are given up in favour of a retry.
+    give_up_times: BTreeSet<(Time, AttemptId)>,
+    /// For each endpoint that only this VM can't reach, the VMs that can relay requests to it.
+    relays: FxHashMap<Name, Vec<Name>>,
     keys: KeyTable,
-    retries: Retries,
+    retry_budget: ShardRetryBudget,
     latency: RecentLatency,
-    usual: SlotTimeAverage,
+    slot_time: SlotTimeAverage,
     next_attempt: u64,
-    /// Whether other VMs dispatch to the endpoints too.
+    /// Whether other VMs dispatch to the endpoints as well.
     is_shared: bool,
-    /// VMs that dispatch to them, this one included.
+    /// Number of VMs that dispatch to them, including this one.
     dispatchers: u32,
-    /// How much of the service's work is lost.
-    strain: Strain,
-    /// Attempts that ended and the other VMs don't know of.
-    ended: Vec<(Name, EndedAttempt, Time)>,
-    /// Until then requests wait for a picture that other VMs were asked for.
-    picture_due: Option<Time>,
+    /// Failure rate of the service.
+    failure_rate: ServiceFailureRate,
+    /// Attempts that have ended and have not been reported to the other VMs yet.
+    ended_attempts: Vec<(Name, EndedAttempt, Time)>,
+    /// While set and not reached, requests wait for a snapshot that was requested from other VMs.
+    snapshot_deadline: Option<Time>,
     mechanisms: FeatureFlags,
-    out: Vec<ShardAction>,
+    pending_actions: Vec<ShardAction>,
 }
 
 impl Shard {
     /// Creates a shard from the configuration.
     ///
-    /// For a short time only half of the slots are used, as a predecessor's
-    /// work may still run; [`Shard::on_hand_over`] ends that time.
+    /// For a short time only half of the slots are used because requests of a predecessor may
+    /// still be running; [`Shard::on_hand_over`] ends that time.
     pub fn new(now: Time, id: ShardId, config: &Config, settings: ShardSettings) -> Shard {
         let service = config.service(&id.service);
         let endpoints = service.map(|service| endpoints(service, &id)).unwrap_or_default();
@@ -167,9 +169,9 @@
             health_settings.failures_only_lower_rank = service.is_shared();
         }
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
-        let candidates = pool.candidates();
-        let health = Health::new(now, health_settings, &candidates, floor, settings.seed);
-        let retries = Retries::new(now, &settings, config, &id.service);
+        let configured_endpoints = pool.configured_endpoints();
+        let health = Health::new(now, health_settings, &configured_endpoints, floor, settings.seed);
+        let retry_budget = ShardRetryBudget::new(now, &settings, config, &id.service);
         let mut shard = Shard {
             id,
             pool,
@@ -177,75 +179,75 @@
             queue: AdmissionQueue::default(),
             queue_limit: 0,
             probe_path: Name::from(DEFAULT_PROBE_PATH),
-            settle: MAX_SETTLE,
-            live: FxHashMap::default(),
+            takeover_grace: MAX_TAKEOVER_GRACE,
+            pending: FxHashMap::default(),
             attempts: FxHashMap::default(),
-            expiry: BTreeSet::new(),
-            hedges: BTreeSet::new(),
-            give_ups: BTreeSet::new(),
-            witnesses: FxHashMap::default(),
+            dispatch_deadlines: BTreeSet::new(),
+            hedge_times: BTreeSet::new(),
+            give_up_times: BTreeSet::new(),
+            relays: FxHashMap::default(),
             keys: KeyTable::new(KeySettings::default()),
-            retries,
+            retry_budget,
             latency: RecentLatency::default(),
-            usual: SlotTimeAverage::default(),
+            slot_time: SlotTimeAverage::default(),
             next_attempt: 1,
             is_shared: service.is_some_and(Service::is_shared),
             dispatchers: 1,
-            strain: Strain::default(),
-            ended: Vec::new(),
-            picture_due: None,
+            failure_rate: ServiceFailureRate::default(),
+            ended_attempts: Vec::new(),
+            snapshot_deadline: None,
             mechanisms: settings.mechanisms,
-            out: Vec::new(),
+            pending_actions: Vec::new(),
         };
         shard.set_service(now, config);
         if shard.is_shared {
             shard.pool.rank_by_risk(settings.data_centre);
         } else {
-            shard.pool.settle_until(now + shard.settle);
+            shard.pool.halve_limits_until(now + shard.takeover_grace);
         }
         shard.pool.refresh(now, &shard.health);
         shard
     }
 
-    /// Takes a new configuration.
+    /// Applies a new configuration.
     pub fn on_config(&mut self, now: Time, config: &Config) -> Vec<ShardAction> {
         let service = config.service(&self.id.service);
         let endpoints = service.map(|service| endpoints(service, &self.id)).unwrap_or_default();
         self.pool.set_endpoints(endpoints.iter().copied());
         self.set_service(now, config);
-        self.forget_witnesses();
+        self.remove_unused_relays();
         let floor = service.map_or(0, |service| shard_floor(service, endpoints.len()));
-        let actions = self.health.on_config(now, &self.pool.candidates(), floor);
+        let actions = self.health.on_config(now, &self.pool.configured_endpoints(), floor);
         self.on_health_actions(now, actions);
         self.pool.refresh(now, &self.health);
         self.advance(now)
     }
 
-    /// Changes how far this VM may go.
+    /// Changes the mode of this VM.
     pub fn set_mode(&mut self, now: Time, mode: ShardMode) -> Vec<ShardAction> {
         if mode == ShardMode::Owner && self.pool.mode() == ShardMode::Careful && !self.is_shared {
-            self.pool.settle_until(now + self.settle);
+            self.pool.halve_limits_until(now + self.takeover_grace);
         }
         self.pool.set_mode(mode);
         self.pool.refresh(now, &self.health);
         self.advance(now)
     }
 
-    /// Takes a request.
+    /// Accepts a request.
     pub fn on_request(&mut self, now: Time, request: Request) -> Vec<ShardAction> {
         let id = request.id;
         self.pool.release_due(now);
-        self.expire(now);
-        self.live.insert(id, Live::new(now, request));
-        self.intake(now, id);
+        self.refuse_expired(now);
+        self.pending.insert(id, PendingRequest::new(now, request));
+        self.process_request(now, id);
         self.advance(now)
     }
 
-    /// Takes how an attempt ended or how its answer began.
+    /// Records the outcome of an attempt: how it ended, or that the head of its answer has
+    /// arrived.
     ///
-    /// After [`Outcome::Answered`], and only then, [`Shard::on_body_end`]
-    /// follows; any other outcome of an attempt whose answer has begun counts
-    /// as the end of its body.
+    /// After [`Outcome::Answered`], and only then, [`Shard::on_body_end`] follows; any other
+    /// outcome of an attempt whose answer has begun counts as the end of its body.
     pub fn on_outcome(
         &mut self,
         now: Time,
@@ -253,56 +255,56 @@
         outcome: Outcome,
         report: EndpointReport,
     ) -> Vec<ShardAction> {
-        let Some(of) = self.attempts.get_mut(&attempt) else { return Vec::new() };
-        if of.answered {
+        let Some(state) = self.attempts.get_mut(&attempt) else { return Vec::new() };
+        if state.answered {
             return self.on_body_end(now, attempt, BodyEnd::CallerGone);
         }
-        of.answered = matches!(outcome, Outcome::Answered { .. });
-        of.untold = match outcome {
-            Outcome::Answered { status, .. } => Some((Ending::Answered { status }, now)),
-            Outcome::Broken { .. } => Some((Ending::Broken, now)),
-            Outcome::Misdirected => Some((Ending::Misdirected, now)),
+        state.answered = matches!(outcome, Outcome::Answered { .. });
+        state.unreported = match outcome {
+            Outcome::Answered { status, .. } => Some((AttemptResult::Answered { status }, now)),
+            Outcome::Broken { .. } => Some((AttemptResult::Broken, now)),
+            Outcome::Misdirected => Some((AttemptResult::Misdirected, now)),
             _ => None,
         };
-        let of = of.clone();
+        let state = state.clone();
         let mut actions = self.health.on_outcome(now, attempt, outcome);
-        if of.answered || outcome == Outcome::Shed {
-            actions.extend(self.health.on_report(now, &of.endpoint, report));
-            self.on_answered_limit(now, &of, outcome, report.rate_limit);
+        if state.answered || outcome == Outcome::Shed {
+            actions.extend(self.health.on_report(now, &state.endpoint, report));
+            self.record_answered_limit(now, &state, outcome, report.rate_limit);
         }
         self.on_health_actions(now, actions);
-        self.on_evidence(now, &of, outcome);
-        self.on_witness_outcome(now, &of, outcome);
+        self.record_evidence(now, &state, outcome);
+        self.on_relay_outcome(now, &state, outcome);
         self.pool.refresh(now, &self.health);
         if let Outcome::Answered { status, .. } = outcome {
-            self.tell_failure(attempt);
-            if let Some(request) = of.request {
+            self.queue_failure_report(attempt);
+            if let Some(request) = state.request {
                 self.on_answer(now, attempt, request, status);
             }
         } else {
             self.end_attempt(now, attempt, outcome.certainly_not_run());
-            self.on_failure(now, attempt, &of, outcome);
+            self.on_failure(now, attempt, &state, outcome);
         }
         self.advance(now)
     }
 
-    /// Takes the end of an answer's body.
+    /// Records the end of an answer's body.
     pub fn on_body_end(&mut self, now: Time, attempt: AttemptId, end: BodyEnd) -> Vec<ShardAction> {
-        let Some(of) = self.attempts.get(&attempt).cloned() else { return Vec::new() };
+        let Some(state) = self.attempts.get(&attempt).cloned() else { return Vec::new() };
         let actions = self.health.on_body_end(now, attempt, end);
         self.on_health_actions(now, actions);
         if end == BodyEnd::Complete {
-            self.on_complete(now, &of);
+            self.on_complete(now, &state);
         }
         self.end_attempt(now, attempt, end == BodyEnd::Complete);
-        if let Some(request) = of.request {
+        if let Some(request) = state.request {
             self.on_key_body_end(now, request, end);
         }
         self.pool.refresh(now, &self.health);
         self.advance(now)
     }
 
-    /// Keeps a small whole answer for duplicates of its request.
+    /// Stores a small complete answer for duplicates of its request.
     pub fn on_stored_answer(
         &mut self,
         now: Time,
@@ -311,32 +313,32 @@
     ) -> Vec<ShardAction> {
         let answer = Arc::new(answer);
         for waiter in self.keys.on_stored(request, &answer) {
-            if self.forget(waiter).is_some() {
+            if self.remove_request(waiter).is_some() {
                 let answer = answer.clone();
-                self.out.push(ShardAction::Replay { request: waiter, answer });
+                self.pending_actions.push(ShardAction::Replay { request: waiter, answer });
             }
         }
         self.advance(now)
     }
 
-    /// Notes that the caller went away before its answer began.
+    /// Records that the caller disconnected before its answer began.
     ///
-    /// Attempts in flight are cancelled. A key stays on record until the
-    /// outcome of its attempt is known.
+    /// Attempts in flight are cancelled. An idempotency key stays on record until the outcome of
+    /// its attempt is known.
     pub fn on_cancel(&mut self, now: Time, request: RequestId) -> Vec<ShardAction> {
-        let Some(live) = self.live.get(&request) else { return Vec::new() };
-        let was_running = live.phase == Phase::Running;
-        for attempt in &live.in_flight {
-            self.out.push(ShardAction::Cancel { request, attempt: *attempt });
+        let Some(pending) = self.pending.get(&request) else { return Vec::new() };
+        let was_running = pending.phase == Phase::Running;
+        for attempt in &pending.in_flight {
+            self.pending_actions.push(ShardAction::Cancel { request, attempt: *attempt });
         }
-        if self.forget(request) == Some(true) && !was_running {
+        if self.remove_request(request) == Some(true) && !was_running {
             let waiters = self.keys.on_not_run(request);
-            self.intake_again(now, waiters);
+            self.reprocess_requests(now, waiters);
         }
         self.advance(now)
     }
 
-    /// Takes the answer to [`ShardAction::CheckPath`].
+    /// Processes the result of [`ShardAction::CheckPath`].
     pub fn on_path_answer(
         &mut self,
         now: Time,
@@ -349,33 +351,32 @@
         self.advance(now)
     }
 
-    /// Does what is due.
+    /// Performs all work that is due.
     pub fn on_tick(&mut self, now: Time) -> Vec<ShardAction> {
-        self.forget_lost_probes(now);
+        self.remove_lost_probes(now);
         let actions = self.health.on_tick(now);
         self.on_health_actions(now, actions);
         self.pool.refresh(now, &self.health);
         self.advance(now)
     }
 
-    /// Notes that this process was paused for `gap`.
+    /// Records that this process was paused for `gap`.
     ///
-    /// A paused process wakes up with requests whose callers have given up
-    /// and may believe that it owns what another VM has taken over. Requests
-    /// out of time are refused first, nothing is dispatched in this call, and
-    /// after a long pause the limits are halved as after a takeover.
+    /// After a pause, callers of queued requests may have timed out, and another VM may have
+    /// taken the shard over. Requests out of time are refused first, nothing is dispatched in
+    /// this call, and after a long pause the limits are halved as after a takeover.
     pub fn on_pause(&mut self, now: Time, gap: Duration) -> Vec<ShardAction> {
         self.health.on_pause(now, gap);
-        self.hedges.clear();
-        self.expire(now);
-        if gap >= TAKEOVER_PAUSE {
-            self.pool.settle_until(now + self.settle);
+        self.hedge_times.clear();
+        self.refuse_expired(now);
+        if gap >= MIN_TAKEOVER_PAUSE {
+            self.pool.halve_limits_until(now + self.takeover_grace);
         }
         self.pool.refresh(now, &self.health);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.pending_actions)
     }
 
-    /// Returns the expected wait of a new request.
+    /// Returns the expected queueing time of a new request.
     pub fn queue_wait(&self, now: Time) -> Duration {
         if self.queue.is_empty() && self.pool.has_free_slot(now) {
             return Duration::ZERO;
@@ -383,36 +384,36 @@
         self.drain_time(self.queue.len() as f64 + 1.0)
     }
 
-    /// Returns whether other VMs dispatch to the endpoints too.
+    /// Returns whether other VMs dispatch to the endpoints as well.
     pub fn is_shared(&self) -> bool {
         self.is_shared
     }
 
-    /// Returns whether further ejections are held back.
+    /// Returns whether further ejections are held back by the floor.
     pub fn at_floor(&self) -> bool {
         self.health.at_floor()
     }
 
-    /// Returns whether nothing is lost if the shard is forgotten: no request and
-    /// no attempt is under way and no idempotency key is on record.
+    /// Returns whether the shard can be dropped without losing anything: there are no requests,
+    /// no attempts and no idempotency keys on record.
     pub fn is_idle(&self) -> bool {
-        self.live.is_empty() && self.attempts.is_empty() && self.keys.is_empty()
+        self.pending.is_empty() && self.attempts.is_empty() && self.keys.is_empty()
     }
 
-    /// Returns the endpoints for the admin port.
+    /// Returns the status of the endpoints for the admin port.
     pub fn endpoints(&self, _now: Time) -> Vec<EndpointStatus> {
         let mode = self.pool.mode();
         self.pool
             .configured()
-            .map(|slots| {
-                let name = &slots.endpoint.name;
+            .map(|entry| {
+                let name = &entry.endpoint.name;
                 EndpointStatus {
                     service: self.id.service.clone(),
                     endpoint: name.clone(),
                     state: Name::from(state_name(self.health.state(name))),
-                    in_flight: slots.in_flight,
-                    limit: slots.limit,
-                    rate_limit: slots.rate_limit().map(RateLimit::per_second),
+                    in_flight: entry.in_flight,
+                    limit: entry.limit,
+                    rate_limit: entry.rate_limit().map(RateLimit::per_second),
                     evidence: self.health.evidence(name),
                     mode: Name::from(mode.as_str()),
                     reason: self
@@ -425,17 +426,17 @@
             .collect()
     }
 
-    /// Does what has become possible, and returns all actions of the event.
+    /// Performs the work that has become possible and returns all actions of the event.
     fn advance(&mut self, now: Time) -> Vec<ShardAction> {
         self.pool.release_due(now);
         let waiters = self.keys.on_tick(now);
         self.refuse_waiters(now, waiters);
-        self.expire(now);
+        self.refuse_expired(now);
         self.dispatch_queue(now);
         self.dispatch_hedges(now);
         self.give_up_due(now);
-        self.tell_news(now);
-        std::mem::take(&mut self.out)
+        self.broadcast_updates(now);
+        std::mem::take(&mut self.pending_actions)
     }
 
     fn set_service(&mut self, now: Time, config: &Config) {
@@ -446,8 +447,8 @@
         self.queue_limit = service.queue_limit.div_ceil(shard_count(service)) as usize;
         self.probe_path = service.probe_path.clone();
         self.is_shared = service.is_shared();
-        self.retries.configure(now, config, service);
-        self.settle = Duration::from_millis(service.timeout_ms).min(MAX_SETTLE);
+        self.retry_budget.configure(now, config, service);
+        self.takeover_grace = Duration::from_millis(service.timeout_ms).min(MAX_TAKEOVER_GRACE);
         let weights = config
             .customers
             .iter()
@@ -460,13 +461,13 @@
         self.queue.set_weights(weights);
     }
 
-    /// Releases the slots of health checks whose end was never reported.
-    fn forget_lost_probes(&mut self, now: Time) {
+    /// Releases the slots of health checks whose outcome was never reported.
+    fn remove_lost_probes(&mut self, now: Time) {
         let lost: Vec<AttemptId> = self
             .attempts
             .iter()
-            .filter(|(_, of)| of.kind == AttemptKind::Probe)
-            .filter(|(_, of)| now >= of.time_limit + LOST_PROBE_AGE)
+            .filter(|(_, state)| state.kind == AttemptKind::Probe)
+            .filter(|(_, state)| now >= state.time_limit + LOST_PROBE_TIMEOUT)
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in lost {
@@ -479,7 +480,7 @@
     shard_endpoints(service, id.index)
 }
 
-/// Returns the shard's part of the service's floor, rounded up.
+/// Returns the shard's share of the service's floor, rounded up.
 fn shard_floor(service: &Service, shard_endpoints: usize) -> u32 {
     let all = service.endpoints.len().max(1) as u64;
     (u64::from(service.floor) * shard_endpoints as u64).div_ceil(all) as u32
--- /dev/null
+++ b/crates/pistachiotrack-core/src/shard/completion.rs
@@ -0,0 +1,307 @@
+//! Request completion: from the outcome of an attempt to the final answer.
+
+use std::time::Duration;
+
+use super::{
+    Shard, ShardAction, ShardMode,
+    state::{AttemptState, Phase},
+};
+use crate::{
+    admission::QueueEntry,
+    health::{AttemptKind, HealthAction},
+    refusal::{Execution, Reason, RefusalDecision},
+    request::{AttemptId, BodyEnd, FIRST_FAILURE_STATUS, Outcome, RequestId},
+    time::Time,
+};
+
+/// Bounds of the time for which the slot of an attempt that ended without an answer is kept.
+const SLOT_RELEASE_DELAY_RANGE: (Duration, Duration) =
+    (Duration::from_millis(10), Duration::from_secs(1));
+/// That time while the average slot time is unknown.
+const DEFAULT_SLOT_RELEASE_DELAY: Duration = Duration::from_millis(100);
+/// Upper bound, in average slot times, of the duration recorded for a timed-out attempt.
+const MAX_TIMEOUT_FACTOR: u32 = 4;
+
+impl Shard {
+    /// Processes the head of an answer.
+    ///
+    /// A failure status of an idempotent request is retried on another endpoint because a
+    /// gray-failing endpoint answers that way. It is passed on unchanged if there is no other
+    /// attempt to wait for and no retry left.
+    pub(super) fn on_answer(&mut self, now: Time, attempt: AttemptId, id: RequestId, status: u16) {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let is_failure = status >= FIRST_FAILURE_STATUS && pending.request.idempotent;
+        if is_failure && pending.in_flight.len() > 1 {
+            pending.in_flight.retain(|other| *other != attempt);
+            pending.may_have_run = true;
+            self.pending_actions.push(ShardAction::Cancel { request: id, attempt });
+            return;
+        }
+        if is_failure && !pending.failure_status_retried {
+            pending.may_have_run = true;
+            if self.can_retry(now, id, 2) && self.retry_budget.take(now) {
+                self.pending_actions.push(ShardAction::Cancel { request: id, attempt });
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.failure_status_retried = true;
+                    pending.in_flight.clear();
+                }
+                return self.enqueue(id);
+            }
+        }
+        self.failure_rate.record(status < FIRST_FAILURE_STATUS);
+        self.pending_actions.push(ShardAction::Deliver { request: id, attempt });
+        let Some(pending) = self.pending.remove(&id) else { return };
+        for other in pending.in_flight.into_iter().filter(|other| *other != attempt) {
+            self.pending_actions.push(ShardAction::Cancel { request: id, attempt: other });
+        }
+    }
+
+    /// Processes the end of an attempt that produced no answer.
+    pub(super) fn on_failure(
+        &mut self,
+        now: Time,
+        attempt: AttemptId,
+        state: &AttemptState,
+        outcome: Outcome,
+    ) {
+        let Some(id) = state.request else { return };
+        let Some(pending) = self.pending.get_mut(&id) else {
+            return self.resolve_key(now, id, outcome.certainly_not_run());
+        };
+        pending.in_flight.retain(|other| *other != attempt);
+        pending.may_have_run |= !outcome.certainly_not_run();
+        if outcome.certainly_not_run() {
+            pending.possible_runs -= 1;
+        }
+        if !pending.in_flight.is_empty() {
+            return;
+        }
+        pending.needs_fresh_connection |= matches!(
+            outcome,
+            Outcome::Broken { fresh_connection: false }
+                | Outcome::TimedOut { fresh_connection: false }
+        );
+        let execution = pending.execution();
+        let is_late = now >= pending.not_after;
+        if outcome != Outcome::Cancelled
+            && self.can_retry(now, id, 1)
+            && self.try_take_retry(now, state, outcome)
+        {
+            return self.enqueue(id);
+        }
+        let reason = match outcome {
+            Outcome::Shed => Reason::QueueFull,
+            Outcome::NotSent | Outcome::TimedOut { .. } if is_late => Reason::DeadlinePassed,
+            Outcome::NotSent => Reason::Paused,
+            Outcome::ConnectFailed
+            | Outcome::Misdirected
+            | Outcome::RelayFailed { sent: false } => Reason::NoEndpoint,
+            _ => Reason::AnswerLost,
+        };
+        let retry_after_ms = match execution {
+            Execution::NotRun => self.jittered_retry_after_ms(self.queue_wait(now)),
+            Execution::Unknown => None,
+        };
+        self.refuse(now, id, reason, retry_after_ms);
+    }
+
+    /// Updates the idempotency key of a request whose caller has been refused or is gone.
+    fn resolve_key(&mut self, now: Time, id: RequestId, not_run: bool) {
+        if not_run {
+            let waiters = self.keys.on_not_run(id);
+            self.reprocess_requests(now, waiters);
+        } else {
+            let waiters = self.keys.on_answer_lost(id);
+            self.refuse_waiters(now, waiters);
+        }
+    }
+
+    fn can_retry(&self, now: Time, id: RequestId, min_usable: usize) -> bool {
+        self.pending.get(&id).is_some_and(|pending| {
+            pending.may_run_again()
+                && pending.can_be_dispatched()
+                && now < pending.not_after
+                && self.pool.usable_endpoints(pending.request.idempotent) >= min_usable
+        })
+    }
+
+    /// Takes a retry from the budget if the failed attempt reached an endpoint, even one that it
+    /// wasn't meant for. A trial is started by the fleet itself and never counts against the
+    /// caller.
+    ///
+    /// Requests that another endpoint turned away count as well: when endpoints restart under
+    /// other names and the VMs have not been informed yet, a hundred requests in ten seconds can
+    /// be turned away at the old addresses, and resending them all would exceed the service's
+    /// retry limit.
+    fn try_take_retry(&mut self, now: Time, state: &AttemptState, outcome: Outcome) -> bool {
+        let never_arrived = matches!(
+            outcome,
+            Outcome::ConnectFailed | Outcome::NotSent | Outcome::RelayFailed { sent: false }
+        );
+        if never_arrived || state.is_given_up {
+            return true;
+        }
+        if state.kind == AttemptKind::Trial {
+            self.retry_budget.record_retry(now);
+            return true;
+        }
+        self.retry_budget.take(now)
+    }
+
+    /// Records what an outcome shows about load and latency.
+    pub(super) fn record_evidence(&mut self, now: Time, state: &AttemptState, outcome: Outcome) {
+        let age = now.since(state.dispatched_at);
+        match outcome {
+            Outcome::Answered { status, .. }
+                if status < FIRST_FAILURE_STATUS && state.kind != AttemptKind::Probe =>
+            {
+                self.latency.record(age);
+            }
+            Outcome::Shed => self.pool.on_shed(now, &state.endpoint, self.slot_release_delay()),
+            Outcome::TimedOut { .. } => {
+                if let Some(slot_time) = self.slot_time.value() {
+                    self.slot_time.record(age.min(slot_time * MAX_TIMEOUT_FACTOR));
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Ends an attempt and releases its slot, immediately only if the endpoint has certainly
+    /// finished with it.
+    pub(super) fn end_attempt(&mut self, now: Time, attempt: AttemptId, is_done: bool) {
+        let Some(ended) = self.attempts.remove(&attempt) else { return };
+        self.queue_attempt_end(&ended);
+        if is_done {
+            self.pool.release(&ended.endpoint);
+        } else {
+            let until = now + self.slot_release_delay();
+            self.pool.release_later(&ended.endpoint, until);
+        }
+    }
+
+    /// Records a complete answer in the retry budget and the average slot time.
+    pub(super) fn on_complete(&mut self, now: Time, state: &AttemptState) {
+        if state.kind == AttemptKind::Probe {
+            return;
+        }
+        let elapsed = now.since(state.dispatched_at);
+        self.slot_time.record(elapsed);
+        self.retry_budget.on_success();
+        self.pool.on_success(&state.endpoint);
+        if let (Some(customer), Some(slot_time)) = (&state.customer, self.slot_time.value()) {
+            let relative = elapsed.as_secs_f64() / slot_time.as_secs_f64().max(f64::MIN_POSITIVE);
+            self.queue.record_slot_time(customer, relative);
+        }
+    }
+
+    /// Records in the idempotency key how the answer ended.
+    pub(super) fn on_key_body_end(&mut self, now: Time, id: RequestId, end: BodyEnd) {
+        if end == BodyEnd::Complete {
+            return self.keys.on_answered(now, id);
+        }
+        let waiters = self.keys.on_answer_lost(id);
+        self.refuse_waiters(now, waiters);
+    }
+
+    fn slot_release_delay(&self) -> Duration {
+        self.slot_time
+            .value()
+            .unwrap_or(DEFAULT_SLOT_RELEASE_DELAY)
+            .clamp(SLOT_RELEASE_DELAY_RANGE.0, SLOT_RELEASE_DELAY_RANGE.1)
+    }
+
+    /// Refuses requests that can no longer be dispatched in time.
+    pub(super) fn refuse_expired(&mut self, now: Time) {
+        while let Some((not_after, id)) = self.dispatch_deadlines.first().copied() {
+            if not_after > now {
+                return;
+            }
+            self.refuse(now, id, Reason::DeadlinePassed, None);
+            self.dispatch_deadlines.remove(&(not_after, id));
+        }
+    }
+
+    /// Refuses a request; no other action for it follows.
+    pub(super) fn refuse(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        reason: Reason,
+        retry_after_ms: Option<u64>,
+    ) {
+        let Some(pending) = self.pending.get(&id) else { return };
+        let execution = pending.execution();
+        let retry_after_ms = retry_after_ms.filter(|_| execution == Execution::NotRun);
+        let Some(owns_key) = self.remove_request(id) else { return };
+        self.failure_rate.record(false);
+        let refusal = RefusalDecision { execution, reason, retry_after_ms };
+        self.pending_actions.push(ShardAction::Refuse { request: id, refusal });
+        if owns_key {
+            self.resolve_key(now, id, execution == Execution::NotRun);
+        }
+    }
+
+    /// Refuses a request whose earlier copy may have run.
+    pub(super) fn refuse_as_maybe_run(&mut self, now: Time, id: RequestId, reason: Reason) {
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.may_have_run = true;
+        }
+        self.refuse(now, id, reason, None);
+    }
+
+    /// Removes a request from all collections; returns whether it owned its idempotency key.
+    pub(super) fn remove_request(&mut self, id: RequestId) -> Option<bool> {
+        let pending = self.pending.remove(&id)?;
+        let request = &pending.request;
+        match pending.phase {
+            Phase::New | Phase::Running => {}
+            Phase::Queued => {
+                let queue_entry = QueueEntry { deadline: request.deadline, request: id };
+                self.queue.remove(&request.customer, request.class, queue_entry);
+                self.dispatch_deadlines.remove(&(pending.not_after, id));
+            }
+            Phase::AwaitingOriginal => {
+                if let Some(key) = &request.key {
+                    self.keys.remove_waiter(&request.customer, key, id);
+                }
+                self.dispatch_deadlines.remove(&(pending.not_after, id));
+            }
+        }
+        Some(pending.owns_key)
+    }
+
+    /// Refuses duplicates of a request that may have run and has no answer to replay.
+    pub(super) fn refuse_waiters(&mut self, now: Time, waiters: Vec<RequestId>) {
+        for waiter in waiters {
+            self.refuse_as_maybe_run(now, waiter, Reason::Duplicate);
+        }
+    }
+
+    /// Processes duplicates of a request anew after it was certainly not run.
+    pub(super) fn reprocess_requests(&mut self, now: Time, waiters: Vec<RequestId>) {
+        for waiter in waiters {
+            let Some(pending) = self.pending.get_mut(&waiter) else { continue };
+            pending.phase = Phase::New;
+            self.dispatch_deadlines.remove(&(pending.not_after, waiter));
+            self.process_request(now, waiter);
+        }
+    }
+
+    /// Performs the actions that the health checker returned.
+    pub(super) fn on_health_actions(&mut self, now: Time, actions: Vec<HealthAction>) {
+        for action in actions {
+            match action {
+                // Health checks of one VM are enough for all dispatchers.
+                HealthAction::Probe { .. } if self.pool.mode() == ShardMode::Shared => {}
+                HealthAction::Probe { endpoint } => self.start_probe(now, endpoint),
+                HealthAction::CheckPath { endpoint } => {
+                    if let Some(address) = self.pool.address(&endpoint) {
+                        self.pending_actions.push(ShardAction::CheckPath { endpoint, address });
+                    }
+                }
+                other => self.pending_actions.push(ShardAction::Health(other)),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -0,0 +1,472 @@
+//! Request dispatch: from the arrival of a request to its attempts.
+
+use std::time::Duration;
+
+use super::{
+    Dispatch, SelectionDetails, Shard, ShardAction,
+    pool::{Pick, PickCriteria},
+    state::{AttemptState, PendingRequest, Phase},
+};
+use crate::{
+    admission::QueueEntry,
+    health::{AttemptKind, HealthState},
+    idempotency::Claim,
+    name::Name,
+    refusal::Reason,
+    request::{AttemptId, Class, ConnectionChoice, RequestId, remaining},
+    time::Time,
+};
+
+/// Multiple of the 95th percentile of the answer time that must be left to a request when it is
+/// dispatched, up to half of its time. A request that ends at its deadline has occupied a slot
+/// for nothing.
+const ANSWER_RESERVE_P95_FACTOR: f64 = 1.5;
+/// The same at admission. It is higher because the expected wait is a mean.
+const ADMISSION_RESERVE_P95_FACTOR: u32 = 2;
+/// Multiple of the average slot time that a request must have left to be sent to an endpoint
+/// under trial, so that there is time for a retry if it fails.
+const TRIAL_SLOT_TIME_FACTOR: u32 = 4;
+/// Time that it must have left while the average slot time is unknown.
+const DEFAULT_TRIAL_TIME_LEFT: Duration = Duration::from_millis(500);
+/// Multiple of the 95th percentile of the answer time after which an attempt that can be retried
+/// is given up.
+const GIVE_UP_P95_FACTOR: u32 = 4;
+/// Highest risk that a request accepts while it can wait; an endpoint without any observations is
+/// below it.
+const MAX_RISK_WHILE_WAITING: f64 = 0.25;
+/// Share of its time for which a request waits for a low-risk endpoint: if it may run again, and
+/// if it must not. The first can be sent once more after a failure, the second is lost.
+const LOW_RISK_WAIT_SHARES: (f64, f64) = (0.5, 0.85);
+/// Queue length up to which requests always wait for a low-risk endpoint.
+const LOW_RISK_WAIT_QUEUE_LEN: usize = 8;
+/// Interval at which an attempt without an answer is checked again if it couldn't be given up.
+const GIVE_UP_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum age of an attempt at which a hedge is sent.
+const MIN_HEDGE_AGE: Duration = Duration::from_millis(2);
+/// Minimum time that a refused caller is asked to wait.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// Time that a caller is asked to wait while no endpoint accepts requests.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Timeout of a health check.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+
+impl Shard {
+    /// Processes a new request: checks its idempotency key and admits, joins, replays or refuses
+    /// it.
+    pub(super) fn process_request(&mut self, now: Time, id: RequestId) {
+        let Some(pending) = self.pending.get(&id) else { return };
+        let request = &pending.request;
+        if request.idempotent {
+            return self.admit(now, id);
+        }
+        let Some(key) = request.key.clone() else {
+            if request.repeat {
+                return self.refuse_as_maybe_run(now, id, Reason::NoRecord);
+            }
+            return self.admit(now, id);
+        };
+        let (customer, repeat, deadline) =
+            (request.customer.clone(), request.repeat, request.deadline);
+        match self.keys.claim(now, &customer, &key, id, repeat) {
+            Claim::Run => {
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.owns_key = true;
+                }
+                self.admit(now, id);
+            }
+            Claim::Join => {
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.phase = Phase::AwaitingOriginal;
+                    pending.not_after = deadline;
+                }
+                self.dispatch_deadlines.insert((deadline, id));
+            }
+            Claim::Replay(answer) => {
+                self.pending.remove(&id);
+                self.pending_actions.push(ShardAction::Replay { request: id, answer });
+            }
+            Claim::OutcomeUnknown => self.refuse_as_maybe_run(now, id, Reason::Duplicate),
+            Claim::NoRecord => self.refuse_as_maybe_run(now, id, Reason::NoRecord),
+            Claim::TableFull => self.refuse(now, id, Reason::QueueFull, None),
+        }
+    }
+
+    fn admit(&mut self, now: Time, id: RequestId) {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let left = remaining(pending.request.deadline, now);
+        if left.is_zero() {
+            return self.refuse(now, id, Reason::DeadlinePassed, None);
+        }
+        let answer_time = self.latency.p95().or(self.slot_time.value()).unwrap_or_default();
+        pending.not_after =
+            now + (left - (answer_time.mul_f64(ANSWER_RESERVE_P95_FACTOR)).min(left / 2));
+        let (customer, class) = (pending.request.customer.clone(), pending.request.class);
+        if self.pool.usable_endpoints(pending.request.idempotent) == 0 {
+            let retry_after_ms = self.jittered_retry_after_ms(NO_ENDPOINT_RETRY_AFTER);
+            return self.refuse(now, id, Reason::NoEndpoint, retry_after_ms);
+        }
+        let wait = self.expected_wait(now, &customer, class);
+        let needed = wait + (answer_time * ADMISSION_RESERVE_P95_FACTOR).min(left / 2);
+        if !wait.is_zero() && needed > left {
+            let retry_after_ms = self.jittered_retry_after_ms(needed - left);
+            return self.refuse(now, id, Reason::WaitTooLong, retry_after_ms);
+        }
+        let is_full = self.queue.len() >= self.queue_limit;
+        if is_full && (!self.queue.is_empty() || !self.pool.has_free_slot(now)) {
+            let retry_after_ms = self.jittered_retry_after_ms(self.queue_wait(now));
+            let Some(evicted) = self.queue.eviction_candidate(&customer, class) else {
+                return self.refuse(now, id, Reason::QueueFull, retry_after_ms);
+            };
+            self.refuse(now, evicted, Reason::QueueFull, retry_after_ms);
+        }
+        self.enqueue(id);
+    }
+
+    /// Puts a request into the queue regardless of the queue's limit.
+    pub(super) fn enqueue(&mut self, id: RequestId) {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        pending.phase = Phase::Queued;
+        let queue_entry = QueueEntry { deadline: pending.request.deadline, request: id };
+        self.queue.push(&pending.request.customer, pending.request.class, queue_entry);
+        self.dispatch_deadlines.insert((pending.not_after, id));
+    }
+
+    /// Returns the expected queueing time of a customer's new request.
+    pub(super) fn expected_wait(&self, now: Time, customer: &Name, class: Class) -> Duration {
+        if self.queue.is_empty() && self.pool.has_free_slot(now) {
+            return Duration::ZERO;
+        }
+        self.drain_time(self.queue.requests_ahead(customer, class))
+    }
+
+    /// Returns the time in which `requests` requests leave the queue.
+    pub(super) fn drain_time(&self, requests: f64) -> Duration {
+        let slot_time = self.slot_time.value().unwrap_or_default();
+        let limited = self.pool.rate_limited_per_second() / f64::from(self.dispatchers);
+        let capacity = self.pool.capacity();
+        match (capacity, limited > 0.0) {
+            (_, false) => slot_time.mul_f64(requests / f64::from(capacity.max(1))),
+            (0, true) => Duration::from_secs_f64(requests / limited),
+            // Within one average slot time, endpoints with a rate limit take requests in addition to
+            // the slots.
+            (_, true) => slot_time
+                .mul_f64(requests / (f64::from(capacity) + slot_time.as_secs_f64() * limited)),
+        }
+    }
+
+    /// Dispatches queued requests as long as there are free slots.
+    pub(super) fn dispatch_queue(&mut self, now: Time) {
+        if self.awaits_snapshot(now) {
+            return;
+        }
+        while let Some(id) = self.queue.peek() {
+            let Some(pending) = self.pending.get(&id) else {
+                self.queue.pop();
+                continue;
+            };
+            if self.pool.usable_endpoints(pending.request.idempotent) == 0 {
+                let retry_after_ms = self.jittered_retry_after_ms(NO_ENDPOINT_RETRY_AFTER);
+                self.refuse(now, id, Reason::NoEndpoint, retry_after_ms);
+                continue;
+            }
+            let Some(pick) = self.pick(now, id, true) else { return };
+            self.queue.pop();
+            if let Some(pending) = self.pending.get(&id) {
+                self.dispatch_deadlines.remove(&(pending.not_after, id));
+            }
+            self.dispatch(now, id, pick);
+        }
+    }
+
+    /// Sends a second attempt for requests whose first is slow.
+    ///
+    /// Only idle slots are used: while requests are queued, a hedge would displace a request that
+    /// has not had its first attempt.
+    pub(super) fn dispatch_hedges(&mut self, now: Time) {
+        while let Some((at, id)) = self.hedge_times.first().copied() {
+            if at > now {
+                return;
+            }
+            self.hedge_times.pop_first();
+            let is_due = self.pending.get(&id).is_some_and(|pending| {
+                pending.phase == Phase::Running
+                    && pending.in_flight.len() == 1
+                    && pending.can_be_dispatched()
+                    && now < pending.not_after
+            });
+            if !is_due || !self.queue.is_empty() {
+                continue;
+            }
+            let Some(pick) = self.pick(now, id, false) else { continue };
+            if pick.health_status != HealthState::Trial && self.retry_budget.take_for_hedge(now) {
+                self.dispatch(now, id, pick);
+            }
+        }
+    }
+
+    fn pick(&mut self, now: Time, id: RequestId, allow_already_tried: bool) -> Option<Pick> {
+        let pending = self.pending.get(&id)?;
+        let left = remaining(pending.request.deadline, now);
+        let needed = self
+            .slot_time
+            .value()
+            .map_or(DEFAULT_TRIAL_TIME_LEFT, |slot_time| slot_time * TRIAL_SLOT_TIME_FACTOR);
+        let allow_trial =
+            pending.tried.is_empty() && left >= needed && self.pool.usable_endpoints(true) > 1;
+        self.pool.pick(PickCriteria {
+            idempotent: pending.request.idempotent,
+            allow_trial,
+            tried: &pending.tried,
+            max_risk: self.max_risk(now, pending),
+            now,
+            is_failure_rate_high: self.mechanisms.coverage_on_failures && self.failure_rate.is_high(),
+            allow_already_tried,
+        })
+    }
+
+    /// Returns the highest risk that a request accepts.
+    ///
+    /// A request that fails without an attempt left is lost. It therefore waits for an endpoint
+    /// that has answered recently, for a share of its time, as long as all waiting requests get
+    /// their turn within it; beyond that, all slots are needed. An endpoint that fails
+    /// immediately always has free slots and would otherwise attract all waiting requests.
+    fn max_risk(&self, now: Time, pending: &PendingRequest) -> f64 {
+        let share = if pending.request.idempotent {
+            LOW_RISK_WAIT_SHARES.0
+        } else {
+            LOW_RISK_WAIT_SHARES.1
+        };
+        let low_risk_wait = pending.not_after.since(pending.arrived).mul_f64(share);
+        let waits_for_low_risk = self.mechanisms.wait_for_proven_endpoints
+            && now.since(pending.arrived) < low_risk_wait
+            && (self.queue.len() <= LOW_RISK_WAIT_QUEUE_LEN
+                || self.low_risk_drain_time() <= low_risk_wait);
+        if waits_for_low_risk { MAX_RISK_WHILE_WAITING } else { 1.0 }
+    }
+
+    /// Returns the time in which the queue drains into this VM's share of the slots of low-risk
+    /// endpoints.
+    ///
+    /// This matters when all callers return at once after the loss of all VMs: dozens of requests
+    /// wait at each VM while a third of the endpoints fails immediately.
+    fn low_risk_drain_time(&self) -> Duration {
+        let slots = f64::from(self.pool.slots_at_risk_up_to(MAX_RISK_WHILE_WAITING))
+            / f64::from(self.dispatchers);
+        let slot_time = self.slot_time.value().unwrap_or_default();
+        if slots == 0.0 {
+            Duration::MAX
+        } else {
+            slot_time.mul_f64(self.queue.len() as f64 / slots)
+        }
+    }
+
+    fn dispatch(&mut self, now: Time, id: RequestId, pick: Pick) {
+        let attempt = self.next_attempt_id();
+        let give_up_at = self.give_up_at(now, id, pick.health_status);
+        let via = self.relay_for(&pick.name);
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let kind = if pick.health_status == HealthState::Trial {
+            AttemptKind::Trial
+        } else {
+            AttemptKind::Request
+        };
+        // A relay enforces the time limit itself, so that the timeout it reports counts as the
+        // endpoint's.
+        let deadline = pending.request.deadline;
+        let time_limit = give_up_at.filter(|_| via.is_some()).unwrap_or(deadline);
+        if let (Some(at), None) = (give_up_at, &via) {
+            self.give_up_times.insert((at, attempt));
+        }
+        let wants_fresh = self.health.wants_fresh_connection(&pick.name);
+        let connection = if wants_fresh {
+            ConnectionChoice::Fresh
+        } else {
+            connection_choice(pending, pick.health_status)
+        };
+        if pending.tried.is_empty() {
+            self.retry_budget.on_request(now);
+        }
+        pending.phase = Phase::Running;
+        pending.in_flight.push(attempt);
+        pending.tried.push(pick.name.clone());
+        pending.possible_runs += 1;
+        let class = pending.request.class;
+        if pending.request.idempotent
+            && pending.request.hedge
+            && self.mechanisms.hedges
+            && pending.in_flight.len() == 1
+            && let Some(age) = self.latency.p95()
+        {
+            self.hedge_times.insert((now + age.max(MIN_HEDGE_AGE), id));
+        }
+        self.attempts.insert(
+            attempt,
+            AttemptState {
+                request: Some(id),
+                customer: Some(pending.request.customer.clone()),
+                endpoint: pick.name.clone(),
+                via: via.clone(),
+                kind,
+                dispatched_at: now,
+                time_limit,
+                answered: false,
+                is_given_up: false,
+                class,
+                unreported: None,
+            },
+        );
+        self.pending_actions.push(ShardAction::Dispatch(Dispatch {
+            request: id,
+            attempt,
+            endpoint: pick.name.clone(),
+            selection: SelectionDetails {
+                reason: pick.reason,
+                risk_permille: (self.health.risk(now, &pick.name) * 1_000.0) as u16,
+                last_seen_ms_ago: self
+                    .health
+                    .last_observed_at(&pick.name)
+                    .map(|seen| now.since(seen).as_millis() as u64),
+            },
+            address: pick.address,
+            via: via.clone(),
+            connection,
+            not_after: pending.not_after,
+            time_limit,
+        }));
+        self.pool.acquire(now, &pick.name);
+        self.health.on_dispatch(now, attempt, &pick.name, class, kind);
+        if connection == ConnectionChoice::Fresh {
+            self.health.on_fresh_connection(attempt);
+        }
+        if via.is_some() {
+            self.health.on_sent_via_relay(attempt);
+        }
+    }
+
+    /// Gives up attempts that have had no answer for long, if they can be retried.
+    ///
+    /// The retry is taken from the budget before the attempt is given up, and an attempt without
+    /// a retry continues. Otherwise an attempt could be aborted with no time, retry or endpoint
+    /// left for another, and the caller would get "unknown" long before the deadline while the
+    /// endpoint is still working.
+    pub(super) fn give_up_due(&mut self, now: Time) {
+        while let Some((at, attempt)) = self.give_up_times.first().copied() {
+            if at > now {
+                return;
+            }
+            self.give_up_times.pop_first();
+            let Some(request) = self.unanswered_request(now, attempt) else { continue };
+            if self.pool.usable_endpoints(true) > 1 && self.retry_budget.take(now) {
+                if let Some(state) = self.attempts.get_mut(&attempt) {
+                    state.is_given_up = true;
+                }
+                self.pending_actions.push(ShardAction::GiveUp { request, attempt });
+            } else {
+                self.give_up_times.insert((now + GIVE_UP_RECHECK_INTERVAL, attempt));
+            }
+        }
+    }
+
+    /// Returns the request of an attempt that is its only one and has no answer yet, if it may be
+    /// sent to another endpoint.
+    fn unanswered_request(&self, now: Time, attempt: AttemptId) -> Option<RequestId> {
+        let state = self.attempts.get(&attempt).filter(|state| !state.answered)?;
+        let request = state.request?;
+        let pending = self.pending.get(&request)?;
+        let may_follow = pending.in_flight == [attempt]
+            && pending.can_be_dispatched()
+            && now < pending.not_after;
+        may_follow.then_some(request)
+    }
+
+    /// Returns the time at which an attempt is given up, if it can be retried.
+    ///
+    /// A hanging endpoint sends nothing until the deadline, when it is too late for a retry. An
+    /// idempotent request that has another endpoint left is therefore given up halfway, unless
+    /// half of its time is within the usual latencies.
+    fn give_up_at(&self, now: Time, id: RequestId, health_status: HealthState) -> Option<Time> {
+        let pending = self.pending.get(&id)?;
+        let deadline = pending.request.deadline;
+        let can_retry = self.mechanisms.attempt_abandonment
+            && pending.request.idempotent
+            && pending.possible_runs + 1 < pending.request.max_attempts
+            && self.pool.usable_endpoints(true) > 1;
+        if !can_retry {
+            return None;
+        }
+        let half = remaining(deadline, now) / 2;
+        let p95_limit = self.latency.p95().map(|p95| p95 * GIVE_UP_P95_FACTOR);
+        let allowed = match p95_limit {
+            Some(p95_limit) if health_status == HealthState::Trial => half.min(p95_limit),
+            Some(p95_limit) => half.max(p95_limit),
+            None => half,
+        };
+        let give_up_at = now + allowed;
+        (give_up_at < pending.not_after).then_some(give_up_at)
+    }
+
+    /// Sends a health check if a slot is free for it.
+    pub(super) fn start_probe(&mut self, now: Time, endpoint: Name) {
+        let Some(address) = self.pool.address(&endpoint) else { return };
+        if !self.pool.has_slot_for_probe(&endpoint) {
+            return;
+        }
+        let attempt = self.next_attempt_id();
+        let time_limit = now + PROBE_TIMEOUT;
+        self.pool.acquire(now, &endpoint);
+        self.health.on_dispatch(now, attempt, &endpoint, Class::Batch, AttemptKind::Probe);
+        self.pending_actions.push(ShardAction::Probe {
+            attempt,
+            endpoint: endpoint.clone(),
+            address,
+            path: self.probe_path.clone(),
+            time_limit,
+        });
+        let probe = AttemptState {
+            request: None,
+            customer: None,
+            endpoint,
+            via: None,
+            kind: AttemptKind::Probe,
+            dispatched_at: now,
+            time_limit,
+            answered: false,
+            is_given_up: false,
+            class: Class::Batch,
+            unreported: None,
+        };
+        self.attempts.insert(attempt, probe);
+    }
+
+    /// Returns a retry delay with random jitter, to spread the callers that receive it.
+    pub(super) fn jittered_retry_after_ms(&mut self, wait: Duration) -> Option<u64> {
+        let wait_ms = wait.max(MIN_RETRY_AFTER).as_millis() as u64;
+        Some(wait_ms + self.pool.random_below(wait_ms / 2))
+    }
+
+    fn next_attempt_id(&mut self) -> AttemptId {
+        let attempt = AttemptId(self.next_attempt);
+        self.next_attempt += 1;
+        attempt
+    }
+}
+
+/// Returns the kind of connection for the next attempt.
+///
+/// A pooled connection can be dead while the endpoint is healthy. A request that must not be
+/// repeated would be lost on it with an unknown outcome, so it gets a connection that has
+/// answered recently, or a new one if the endpoint is suspect. A retry after a failure on a
+/// pooled connection gets a new one, which distinguishes the two causes.
+fn connection_choice(pending: &PendingRequest, health_status: HealthState) -> ConnectionChoice {
+    let is_suspect =
+        matches!(health_status, HealthState::Suspect | HealthState::HeldByFloor | HealthState::Trial);
+    if pending.needs_fresh_connection || health_status == HealthState::Trial {
+        ConnectionChoice::Fresh
+    } else if pending.request.idempotent {
+        ConnectionChoice::Any
+    } else if is_suspect {
+        ConnectionChoice::Fresh
+    } else {
+        ConnectionChoice::RecentlyUsed
+    }
+}
--- a/crates/pistachiotrack-core/src/shard/hand_over.rs
+++ b/crates/pistachiotrack-core/src/shard/hand_over.rs
@@ -1,4 +1,4 @@
-//! What a shard's owner tells its successor.
+//! State transfer from a shard's owner to its successor.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
     health::HealthHandOver, idempotency::KeyHandOver, name::Name, ownership::ShardId, time::Time,
 };
 
-/// Multiple of the usual service time for which a predecessor's requests are
-/// counted against their endpoints.
-const FOREIGN_TIMES_USUAL: u32 = 2;
+/// Multiple of the average slot time for which a predecessor's requests count against their
+/// endpoints.
+const PREDECESSOR_SLOT_TIME_FACTOR: u32 = 2;
 
-/// What an owner tells its successor.
+/// State that an owner transfers to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardHandOver {
     /// The shard.
@@ -22,30 +22,37 @@
     pub health: Vec<HealthHandOver>,
     /// Requests still in flight by endpoint.
     pub in_flight: Vec<(Name, u32)>,
-    /// Usual time for which a request holds its slot, if known.
+    /// Average time for which a request occupies its slot, if known.
     #[serde(default)]
-    pub usual_service_us: Option<u64>,
-    /// Idempotency keys on record, the newest first, within bounds.
+    pub average_slot_time_us: Option<u64>,
+    /// Idempotency keys on record, newest first, up to a maximum size.
     #[serde(default)]
     pub keys: Vec<KeyHandOver>,
 }
 
 impl Shard {
-    /// Returns what a successor needs to know.
+    /// Returns the state for a successor.
     pub fn hand_over(&self, now: Time) -> ShardHandOver {
         ShardHandOver {
             shard: self.id.clone(),
             health: self.health.hand_over(now),
-            in_flight: self.pool.in_use().map(|(name, count)| (name.clone(), count)).collect(),
-            usual_service_us: self.usual.value().map(|usual| usual.as_micros() as u64),
+            in_flight: self
+                .pool
+                .in_flight_by_endpoint()
+                .map(|(name, count)| (name.clone(), count))
+                .collect(),
+            average_slot_time_us: self
+                .slot_time
+                .value()
+                .map(|slot_time| slot_time.as_micros() as u64),
             keys: self.keys.hand_over(now),
         }
     }
 
-    /// Takes what a predecessor knew.
+    /// Applies the state of a predecessor.
     ///
-    /// Its requests in flight count against their endpoints until about twice
-    /// the usual service time has passed.
+    /// Its requests in flight count against their endpoints until about twice the average slot
+    /// time has passed.
     pub fn on_hand_over(&mut self, now: Time, from: &ShardHandOver) -> Vec<ShardAction> {
         if from.shard != self.id {
             return Vec::new();
@@ -53,15 +60,18 @@
         let actions = self.health.on_hand_over(now, &from.health);
         self.on_health_actions(now, actions);
         self.keys.on_hand_over(now, &from.keys);
-        if let (None, Some(usual_us)) = (self.usual.value(), from.usual_service_us) {
-            self.usual.seed(Duration::from_micros(usual_us));
+        if let (None, Some(slot_time_us)) = (self.slot_time.value(), from.average_slot_time_us) {
+            self.slot_time.seed(Duration::from_micros(slot_time_us));
         }
-        let allowance = self.usual.value().map_or(self.settle, |usual| usual * FOREIGN_TIMES_USUAL);
-        let until = now + allowance.min(self.settle);
+        let allowance = self
+            .slot_time
+            .value()
+            .map_or(self.takeover_grace, |slot_time| slot_time * PREDECESSOR_SLOT_TIME_FACTOR);
+        let until = now + allowance.min(self.takeover_grace);
         for (endpoint, in_flight) in &from.in_flight {
-            self.pool.set_foreign(endpoint, *in_flight, until);
+            self.pool.set_predecessor_in_flight(endpoint, *in_flight, until);
         }
-        self.pool.settle_until(now);
+        self.pool.halve_limits_until(now);
         self.pool.refresh(now, &self.health);
         self.advance(now)
     }
--- /dev/null
+++ b/crates/pistachiotrack-core/src/shard/updates.rs
@@ -0,0 +1,272 @@
+//! State updates between the VMs that dispatch for one shard.
+//!
+//! Each VM maintains the view that a single owner would have: how many requests are in flight at
+//! each endpoint, and how those of the other VMs ended. A lost update leaves the view slightly
+//! stale until the next one.
+
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+
+use super::{RequestCounts, Shard, ShardAction, state::AttemptState};
+use crate::{
+    hash,
+    health::EndpointEstimate,
+    name::Name,
+    ownership::ShardId,
+    rate_limit::RateUpdate,
+    request::{AttemptId, Class, FIRST_FAILURE_STATUS},
+    retry::{CumulativeCounts, SendCounts},
+    time::Time,
+};
+
+/// Time after which another VM's count of requests in flight expires. A VM that has crashed sends
+/// no further update; few requests take longer than this.
+const PEER_COUNT_TTL: Duration = Duration::from_secs(3);
+
+/// Time for which requests wait for a snapshot: some round trips between data centres of one
+/// region. It bounds the cost of a snapshot that is lost or that no VM has.
+const SNAPSHOT_WAIT: Duration = Duration::from_millis(20);
+
+/// Maximum number of endpoints in one message: each takes about 20 bytes of the 1,200 that a
+/// message may have.
+const MAX_ENDPOINTS_PER_UPDATE: usize = 32;
+
+/// Hash of an endpoint's name. It replaces the longer name in messages between VMs that have the
+/// same configuration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct EndpointKey([u8; 8]);
+
+impl EndpointKey {
+    /// Returns the key of an endpoint.
+    pub fn of(endpoint: &str) -> EndpointKey {
+        EndpointKey(hash::mix(hash::fnv(endpoint.as_bytes())).to_le_bytes())
+    }
+}
+
+/// An update from one VM to the others that dispatch for the same shard.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ShardUpdate {
+    /// The shard.
+    pub shard: ShardId,
+    /// The sender's requests that have completed since its last update.
+    pub request_counts: RequestCounts,
+    /// Totals of what the sender has sent as a dispatcher.
+    pub sent: CumulativeCounts,
+    /// Endpoints whose state has changed.
+    pub endpoints: Vec<EndpointUpdate>,
+}
+
+/// An update on one endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EndpointUpdate {
+    /// The endpoint.
+    pub endpoint: EndpointKey,
+    /// Requests that the sender has in flight there.
+    pub in_flight: u32,
+    /// How one of them has just been answered, if one was.
+    pub ended: Option<EndedAttempt>,
+    /// The rate limit that the endpoint announces, if it does.
+    pub rate: Option<RateUpdate>,
+}
+
+/// A VM's view of a shard's endpoints, for a VM that has just started to dispatch.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ShardSnapshot {
+    /// The shard.
+    pub shard: ShardId,
+    /// Estimates of the endpoints that the VM has observed.
+    pub estimates: Vec<EndpointEstimate>,
+    /// What all dispatchers have sent in the last window of the retry limit, newest first; empty
+    /// if the sender has no such record.
+    pub sent: Vec<SendCounts>,
+    /// Endpoints that announce a rate limit.
+    pub rate_limits: Vec<(EndpointKey, RateUpdate)>,
+}
+
+/// The end of an attempt at an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EndedAttempt {
+    /// Class of the request.
+    pub class: Class,
+    /// What the endpoint did.
+    pub result: AttemptResult,
+    /// Time from the dispatch to the head of the answer, or to the broken connection.
+    pub latency_us: u64,
+    /// Time since then.
+    pub age_us: u64,
+}
+
+/// Unreported change of an endpoint: the end of an attempt there and its time, if one has ended.
+type EndpointChange = (Name, Option<(EndedAttempt, Time)>);
+
+/// Result of an attempt at an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum AttemptResult {
+    /// It answered.
+    Answered {
+        /// HTTP status.
+        status: u16,
+    },
+    /// It closed or reset the connection.
+    Broken,
+    /// Another endpoint answered at its address.
+    Misdirected,
+}
+
+impl AttemptResult {
+    /// Returns whether the endpoint failed the request.
+    pub fn is_failure(self) -> bool {
+        !matches!(self, AttemptResult::Answered { status } if status < FIRST_FAILURE_STATUS)
+    }
+}
+
+impl Shard {
+    /// Applies an update of another VM that dispatches for this shard.
+    ///
+    /// Answers and broken connections count as evidence. A missing answer does not because the
+    /// other VM's own network path may be at fault. Broken connections are included because
+    /// endpoints can have episodes in which they reset connections, and each VM would otherwise
+    /// detect each episode by a failed request of its own.
+    ///
+    /// An endpoint that is not in this VM's configuration is ignored.
+    pub fn on_update(&mut self, now: Time, from: &Name, update: &ShardUpdate) -> Vec<ShardAction> {
+        if update.shard != self.id {
+            return Vec::new();
+        }
+        self.failure_rate.on_peer_counts(update.request_counts);
+        if let Some(budget) = self.retry_budget.fleet() {
+            budget.on_peer_counts(now, from, update.sent);
+        }
+        for entry in &update.endpoints {
+            if let Some(endpoint) = self.pool.endpoint_by_key(entry.endpoint) {
+                self.on_endpoint_update(now, from, &endpoint, entry);
+            }
+        }
+        self.pool.refresh(now, &self.health);
+        self.advance(now)
+    }
+
+    fn on_endpoint_update(
+        &mut self,
+        now: Time,
+        from: &Name,
+        endpoint: &Name,
+        update: &EndpointUpdate,
+    ) {
+        let until = now + PEER_COUNT_TTL;
+        self.pool.set_peer_in_flight(now, endpoint, from, update.in_flight, until);
+        self.on_peer_rate_limit(now, from, endpoint, update);
+        let Some(ended) = update.ended else { return };
+        let actions = self.health.on_peer_attempt_ended(now, endpoint, ended);
+        self.on_health_actions(now, actions);
+        if !ended.result.is_failure() {
+            self.latency.record(Duration::from_micros(ended.latency_us));
+        }
+    }
+
+    /// Returns a snapshot of this VM's view of the endpoints.
+    pub fn snapshot(&mut self, now: Time) -> ShardSnapshot {
+        let sent = self.retry_budget.fleet().map(|budget| budget.history(now)).unwrap_or_default();
+        let (estimates, rate_limits) = (self.health.estimates(now), self.pool.rate_limits(now));
+        ShardSnapshot { shard: self.id.clone(), estimates, sent, rate_limits }
+    }
+
+    /// Records that a snapshot was requested from other VMs. Requests wait until one arrives, or
+    /// until none can be expected any more.
+    ///
+    /// A VM with few requests has no recent observations of the endpoints and would send a
+    /// request to any of them, so that many of these requests would fail. A snapshot arrives
+    /// within a round trip. It doesn't help in the first second after the loss of all VMs, when
+    /// no VM has observations.
+    pub fn on_snapshot_requested(&mut self, now: Time) {
+        self.snapshot_deadline = self.mechanisms.snapshot_wait.then(|| now + SNAPSHOT_WAIT);
+    }
+
+    pub(super) fn awaits_snapshot(&self, now: Time) -> bool {
+        self.snapshot_deadline.is_some_and(|due| now < due)
+    }
+
+    /// Applies another VM's snapshot.
+    pub fn on_snapshot(&mut self, now: Time, snapshot: &ShardSnapshot) -> Vec<ShardAction> {
+        if snapshot.shard != self.id {
+            return Vec::new();
+        }
+        self.snapshot_deadline = None;
+        let actions = self.health.on_estimates(now, &snapshot.estimates);
+        self.on_health_actions(now, actions);
+        if let Some(budget) = self.retry_budget.fleet() {
+            budget.on_history(now, &snapshot.sent);
+        }
+        self.on_snapshot_rate_limits(now, &snapshot.rate_limits);
+        self.pool.refresh(now, &self.health);
+        self.advance(now)
+    }
+
+    /// Queues a failure for the other VMs as soon as it is known, so that their next requests
+    /// avoid the endpoint.
+    pub(super) fn queue_failure_report(&mut self, attempt: AttemptId) {
+        let Some(state) = self.attempts.get_mut(&attempt) else { return };
+        if !state.unreported.is_some_and(|(result, _)| result.is_failure()) {
+            return;
+        }
+        let unreported = state.unreported.take();
+        let state = state.clone();
+        self.queue_ended_attempt(&state, unreported);
+    }
+
+    /// Queues the end of an attempt for the other VMs.
+    pub(super) fn queue_attempt_end(&mut self, state: &AttemptState) {
+        self.queue_ended_attempt(state, state.unreported);
+    }
+
+    fn queue_ended_attempt(
+        &mut self,
+        state: &AttemptState,
+        unreported: Option<(AttemptResult, Time)>,
+    ) {
+        let Some((result, ended_at)) = unreported.filter(|_| self.is_shared) else { return };
+        if state.request.is_none() {
+            return;
+        }
+        let latency_us = ended_at.since(state.dispatched_at).as_micros() as u64;
+        let ended = EndedAttempt { class: state.class, result, latency_us, age_us: 0 };
+        self.ended_attempts.push((state.endpoint.clone(), ended, ended_at));
+    }
+
+    /// Broadcasts the changes of the current event to the other VMs.
+    pub(super) fn broadcast_updates(&mut self, now: Time) {
+        let changed = self.pool.take_changed_endpoints();
+        if !self.is_shared {
+            return;
+        }
+        let ended = std::mem::take(&mut self.ended_attempts);
+        let mut changes: Vec<EndpointChange> =
+            ended.into_iter().map(|(endpoint, ended, at)| (endpoint, Some((ended, at)))).collect();
+        for endpoint in changed {
+            if changes.iter().all(|(name, _)| *name != endpoint) {
+                changes.push((endpoint, None));
+            }
+        }
+        let sent = self.retry_budget.fleet().map(|budget| budget.total()).unwrap_or_default();
+        for part in changes.chunks(MAX_ENDPOINTS_PER_UPDATE) {
+            let endpoint = |(name, ended): &EndpointChange| EndpointUpdate {
+                endpoint: EndpointKey::of(name),
+                in_flight: self.pool.in_flight_at(name),
+                ended: ended.map(|(ended, at)| EndedAttempt {
+                    age_us: now.since(at).as_micros() as u64,
+                    ..ended
+                }),
+                rate: self.pool.rate_update(now, name),
+            };
+            let endpoints = part.iter().map(endpoint).collect();
+            let (shard, request_counts) = (self.id.clone(), self.failure_rate.take_unreported());
+            self.pending_actions.push(ShardAction::Broadcast(ShardUpdate {
+                shard,
+                request_counts,
+                sent,
+                endpoints,
+            }));
+        }
+    }
+}
--- a/crates/pistachiotrack-core/tests/admission.rs
+++ b/crates/pistachiotrack-core/tests/admission.rs
@@ -13,7 +13,7 @@
     time::Time,
 };
 use quickcheck::{Gen, QuickCheck};
-use shard_support::{World, config};
+use shard_support::{Harness, config};
 
 fn queue(contracts: &[(&str, u32)]) -> AdmissionQueue {
     let mut queue = AdmissionQueue::default();
@@ -170,8 +170,8 @@
 }
 
 /// Returns a world whose only slot is occupied; requests usually take 100 ms.
-fn busy_world() -> World {
-    let mut world = World::new(config(1, 1, &[("a", 3), ("b", 1)]));
+fn busy_world() -> Harness {
+    let mut world = Harness::new(config(1, 1, &[("a", 3), ("b", 1)]));
     for _ in 0..40 {
         let id = world.send(10_000, |_| {});
         world.now += Duration::from_millis(100);
@@ -191,7 +191,8 @@
     }
     let id = world.send(300, |request| request.idempotent = false);
     assert_eq!(world.refusal(id), Some((Execution::NotRun, Reason::WaitTooLong)));
-    let Some(ShardAction::Refuse { refusal, .. }) = world.requests[&id].finals.first() else {
+    let Some(ShardAction::Refuse { refusal, .. }) = world.requests[&id].final_actions.first()
+    else {
         panic!("not refused");
     };
     assert!(refusal.retry_after_ms.is_some_and(|ms| (300..2_000).contains(&ms)), "{refusal:?}");
@@ -206,7 +207,7 @@
     let more = world.send(10_000, |_| {});
     assert_eq!(world.refusal(more), Some((Execution::NotRun, Reason::QueueFull)));
     let other = world.send(10_000, |request| request.customer = Name::from("b"));
-    assert!(world.requests[&other].finals.is_empty());
+    assert!(world.requests[&other].final_actions.is_empty());
     let refused = backlog.iter().filter(|id| world.refusal(**id).is_some()).count();
     assert_eq!(refused, 1);
 }
--- a/crates/pistachiotrack-core/tests/rate_limit.rs
+++ b/crates/pistachiotrack-core/tests/rate_limit.rs
@@ -9,12 +9,12 @@
     rate_limit::{RateLimit, RateShare, RateUpdate, SharedRateLimiter},
     request::{BodyEnd, EndpointReport, Outcome},
     retry::VisibleDispatchers,
-    shard::{EndpointNews, Shard, ShardAction, ShardNews},
+    shard::{EndpointUpdate, Shard, ShardAction, ShardUpdate},
     time::Time,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shared_support::{START, all_dispatched, booking, dispatched, news_of, shard};
+use shared_support::{START, all_dispatched, booking, dispatched, endpoint_update, shard};
 
 /// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -144,13 +144,13 @@
 }
 
 /// Sends a booking and answers it; returns the endpoint and the updates for other VMs.
-fn serve(shard: &mut Shard, now: Time, id: u64, limit: Option<&str>) -> (Name, Vec<ShardNews>) {
+fn serve(shard: &mut Shard, now: Time, id: u64, limit: Option<&str>) -> (Name, Vec<ShardUpdate>) {
     let mut actions = shard.on_request(now, booking(id, now));
     let sent = dispatched(&actions).expect("a slot is free");
     let outcome = Outcome::Answered { status: 200, fresh_connection: true };
     actions.extend(shard.on_outcome(now, sent.attempt, outcome, report(limit)));
     actions.extend(shard.on_body_end(now, sent.attempt, BodyEnd::Complete));
-    (sent.endpoint, shared_support::told(&actions))
+    (sent.endpoint, shared_support::broadcasts(&actions))
 }
 
 /// Returns a shard with one endpoint on a VM that sees `visible` dispatchers.
@@ -165,11 +165,11 @@
     let mut shard = dispatcher(2, true);
     serve(&mut shard, START, 1, Some("1"));
     let now = START + Duration::from_secs(5);
-    let mut update = news_of("endpoint-0", 0, Default::default());
+    let mut update = endpoint_update("endpoint-0", 0, Default::default());
     for sent in [3, 8] {
         let rate = Some(RateUpdate { limit: limit("1"), age_ms: 0, sent });
-        update.endpoints = vec![EndpointNews { rate, ..update.endpoints[0] }];
-        shard.on_news(now, &Name::from("vm-02"), &update);
+        update.endpoints = vec![EndpointUpdate { rate, ..update.endpoints[0] }];
+        shard.on_update(now, &Name::from("vm-02"), &update);
     }
     let soon = now + Duration::from_millis(500);
     assert_eq!(dispatched(&shard.on_request(soon, booking(2, soon))), None);
@@ -183,8 +183,8 @@
         updates.iter().flat_map(|update| &update.endpoints).find_map(|endpoint| endpoint.rate);
     assert_eq!(rate.unwrap().limit, limit("2.5"));
     let mut other = dispatcher(2, true);
-    let limit_change = |shard: &mut Shard, now, updates: &[ShardNews]| {
-        let actions = shared_support::pass_on(shard, now, updates);
+    let limit_change = |shard: &mut Shard, now, updates: &[ShardUpdate]| {
+        let actions = shared_support::apply_updates(shard, now, updates);
         actions.into_iter().find_map(|action| match action {
             ShardAction::RateLimit { limit, .. } => Some(limit),
             _ => None,
@@ -200,9 +200,9 @@
 fn new_dispatcher_learns_limits_from_the_snapshot() {
     let mut shard = dispatcher(2, true);
     serve(&mut shard, START, 1, Some("1"));
-    let snapshot = shard.picture(START);
+    let snapshot = shard.snapshot(START);
     let mut new_dispatcher = dispatcher(2, true);
-    new_dispatcher.on_picture(START, &snapshot);
+    new_dispatcher.on_snapshot(START, &snapshot);
     let status = new_dispatcher.endpoints(START);
     assert_eq!(status[0].rate_limit, Some(1.0));
 }
--- a/crates/pistachiotrack-core/tests/replaced_endpoint.rs
+++ b/crates/pistachiotrack-core/tests/replaced_endpoint.rs
@@ -20,7 +20,7 @@
     shard::{Dispatch, Shard, ShardAction},
     time::Time,
 };
-use shared_support::{START, booking, dispatched, end, pass_on, shard, told};
+use shared_support::{START, apply_updates, booking, broadcasts, dispatched, end, shard};
 
 /// Time between two requests.
 const STEP: Duration = Duration::from_millis(20);
@@ -92,7 +92,7 @@
 fn other_vms_learn_of_the_replacement() {
     let (mut first, mut second) = (shard(4), shard(4));
     let (replaced, actions) = reject_first(&mut first, START);
-    pass_on(&mut second, START, &told(&actions));
+    apply_updates(&mut second, START, &broadcasts(&actions));
     let mut now = START;
     let selected = send(&mut second, &mut now, START + REGISTRY_LAG, booking, &replaced);
     assert!(selected.iter().all(|name| *name != replaced));
@@ -106,7 +106,7 @@
     let (mut informed, mut rarely_used) = (shard(4), shard(4));
     let (replaced, _) = reject_first(&mut informed, START);
     let mut now = START + Duration::from_millis(500);
-    rarely_used.on_picture(now, &informed.picture(now));
+    rarely_used.on_snapshot(now, &informed.snapshot(now));
     let selected = send(&mut rarely_used, &mut now, START + REGISTRY_LAG, lookup, &replaced);
     assert!(selected.iter().all(|name| *name != replaced));
 }
@@ -120,7 +120,7 @@
     let later = START + Duration::from_secs(1);
     let dispatch = dispatched(&second.on_request(later, booking(1, later))).unwrap();
     end(&mut second, later, &dispatch, 200);
-    second.on_picture(later, &informed.picture(later));
+    second.on_snapshot(later, &informed.snapshot(later));
     assert!(dispatched(&second.on_request(later, booking(2, later))).is_some());
 }
 
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -29,10 +29,10 @@
         self.heard = now;
         let NewsDatagram { from, content, .. } = message.datagram;
         let actions = match content {
-            NewsContent::Told(news) => self.shard.on_news(now, &from, &news),
-            NewsContent::Picture(picture) => self.shard.on_picture(now, &picture),
+            NewsContent::Told(news) => self.shard.on_update(now, &from, &news),
+            NewsContent::Picture(picture) => self.shard.on_snapshot(now, &picture),
             NewsContent::Begun(_) => {
-                self.news.answer(message.address, self.shard.picture(now));
+                self.news.answer(message.address, self.shard.snapshot(now));
                 Vec::new()
             }
         };
@@ -65,7 +65,7 @@
         // Where several VMs dispatch, those that reach the endpoint use it.
         let actions = match message.witnesses.is_empty() || self.shard.is_shared() {
             true => self.shard.on_path_answer(now, &message.endpoint, message.answer),
-            false => self.shard.on_witnesses(now, &message.endpoint, message.witnesses),
+            false => self.shard.on_relays(now, &message.endpoint, message.witnesses),
         };
         self.apply(actions);
     }
