--- /dev/null
+++ b/crates/pistachiotrack-core/src/registry_view.rs
@@ -0,0 +1,421 @@
+//! This VM's view of the registry, and the configuration built from it: the registered
+//! endpoints combined with the operators' configuration.
+//!
+//! Registrations expire unless they are renewed. An endpoint that stops and an outage of
+//! the registry, in which no endpoint can renew, both end in expiry; [`RegistryView`] keeps
+//! endpoints for a grace period after an outage.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    net::SocketAddr,
+    time::Duration,
+};
+
+use crate::{
+    config::{Config, ConfigError},
+    endpoint::{self, Endpoint},
+    name::Name,
+    time::Time,
+};
+
+/// File name that errors in the operators' configuration give.
+const OPERATORS_FILE: &str = "operators";
+
+/// An endpoint's entry in the registry.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Registration {
+    /// Name of the entry; it stays the same when the endpoint restarts.
+    pub key: Name,
+    /// Service that it belongs to.
+    pub service: Name,
+    /// The endpoint, named by its incarnation; [`Endpoint::leaving`] is set if it reports
+    /// that it is draining.
+    pub endpoint: Endpoint,
+    /// Registry revision at which the entry was created; it increases with each new entry.
+    pub create_revision: u64,
+    /// Sequence number of the endpoint's report; it restarts with each incarnation.
+    pub sequence: u64,
+}
+
+impl Registration {
+    /// Returns whether the endpoint wrote this registration before `other`; `false` if
+    /// either doesn't state its incarnation.
+    fn precedes(&self, other: &Registration) -> bool {
+        let age = |one: &Registration| {
+            endpoint::started_unix_ms(&one.endpoint.name).map(|started| (started, one.sequence))
+        };
+        age(self).zip(age(other)).is_some_and(|(this, other)| this < other)
+    }
+}
+
+/// The operators' part of the configuration, validated.
+///
+/// If it were validated only together with the endpoints, an invalid one would block every
+/// endpoint change, and requests would be sent to endpoints that have left. An invalid part
+/// can't be constructed, so the previous one stays active.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OperatorConfig {
+    /// Services and rules, without endpoints.
+    config: Config,
+    /// Maximum connections for each endpoint of a service, where configured.
+    connections: BTreeMap<Name, u32>,
+}
+
+impl OperatorConfig {
+    /// Validates services and rules, which have no endpoints yet, and the maximum
+    /// connections for each endpoint of a service.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first problem found, with the field and its value.
+    pub fn new(
+        config: Config,
+        connections: BTreeMap<Name, u32>,
+    ) -> Result<OperatorConfig, ConfigError> {
+        if let Some(error) = config.check(OPERATORS_FILE).into_iter().next() {
+            return Err(error);
+        }
+        if let Some((service, _)) = connections.iter().find(|(_, count)| **count == 0) {
+            return Err(ConfigError {
+                file: Name::from(OPERATORS_FILE),
+                field: format!("connections of {service}"),
+                problem: "0 is not above 0".to_owned(),
+            });
+        }
+        Ok(OperatorConfig { config, connections })
+    }
+
+    /// Returns the services and rules, without endpoints.
+    pub fn config(&self) -> &Config {
+        &self.config
+    }
+
+    /// Returns the maximum connections for each endpoint of a service, where configured.
+    pub fn connections(&self) -> &BTreeMap<Name, u32> {
+        &self.connections
+    }
+
+    /// Extracts the operators' part of a configuration.
+    ///
+    /// A configuration holds the maximum connections only in a service's endpoints; for a
+    /// service without endpoints the value of `previous` is used.
+    fn from_config(config: &Config, previous: Option<OperatorConfig>) -> OperatorConfig {
+        let mut config = config.clone();
+        let mut connections = previous.map(|previous| previous.connections).unwrap_or_default();
+        for service in &mut config.services {
+            if let Some(endpoint) = service.endpoints.first() {
+                connections.insert(service.name.clone(), endpoint.connections);
+            }
+            service.endpoints.clear();
+        }
+        OperatorConfig { config, connections }
+    }
+}
+
+/// A change in the registry.
+#[derive(Clone, Debug)]
+pub enum RegistryChange {
+    /// The operators' configuration changed.
+    Operators(Box<OperatorConfig>),
+    /// An endpoint registered or changed its registration.
+    Registered(Registration),
+    /// An endpoint's registration was removed.
+    Deregistered(Name),
+    /// The entry of this name isn't a valid registration.
+    Invalid(Name),
+}
+
+/// The content of the registry at one revision.
+#[derive(Clone, Debug, Default)]
+pub struct RegistrySnapshot {
+    /// Revision up to which the snapshot is complete.
+    pub revision: u64,
+    /// Revision of its newest entry. Entries that are read one after the other may have
+    /// changed since `revision`.
+    pub newest_revision: u64,
+    /// The operators' configuration; `None` before there is one.
+    pub operators: Option<OperatorConfig>,
+    /// The valid registrations.
+    pub registrations: Vec<Registration>,
+    /// Names of entries that aren't valid registrations.
+    pub invalid_keys: Vec<Name>,
+}
+
+/// Settings of a [`RegistryView`].
+#[derive(Clone, Debug)]
+pub struct RegistryViewSettings {
+    /// Time after an outage of the registry for which missing endpoints are retained.
+    /// Their registrations expired while they couldn't be renewed; a live endpoint
+    /// registers again within about two seconds.
+    pub recovery_grace_ms: u64,
+    /// Percentage of a service's endpoints that stay in rotation whatever their health.
+    pub floor_percent: u32,
+}
+
+impl Default for RegistryViewSettings {
+    fn default() -> RegistryViewSettings {
+        RegistryViewSettings { recovery_grace_ms: 2_200, floor_percent: 50 }
+    }
+}
+
+/// Configuration versions for each registry revision. The version within a revision is
+/// higher the fewer endpoints are retained.
+const VERSIONS_PER_REVISION: u64 = 256;
+
+#[derive(Clone, Debug)]
+struct Entry {
+    registration: Registration,
+    /// Set if the registry no longer contains the registration.
+    retained: Option<Retained>,
+}
+
+/// Retention of a registration that the registry no longer contains.
+#[derive(Clone, Copy, Debug)]
+struct Retained {
+    until: Time,
+    /// Revision at which its removal was seen.
+    revision: u64,
+}
+
+/// The registered endpoints and the operators' configuration.
+#[derive(Clone, Debug)]
+pub struct RegistryView {
+    settings: RegistryViewSettings,
+    operators: Option<OperatorConfig>,
+    entries: BTreeMap<Name, Entry>,
+    revision: u64,
+    /// Revision of the newest entry of the last snapshot, until all changes up to it are known.
+    incomplete_until: Option<u64>,
+    is_unreachable: bool,
+    recovered_at: Option<Time>,
+}
+
+impl RegistryView {
+    /// Creates an empty view.
+    pub fn new(settings: RegistryViewSettings) -> RegistryView {
+        RegistryView {
+            settings,
+            operators: None,
+            entries: BTreeMap::new(),
+            revision: 0,
+            incomplete_until: None,
+            is_unreachable: false,
+            recovered_at: None,
+        }
+    }
+
+    /// Records that the registry doesn't respond; returns whether it responded before.
+    pub fn on_unreachable(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_unreachable, true)
+    }
+
+    /// Returns whether the last request to the registry failed.
+    pub fn is_unreachable(&self) -> bool {
+        self.is_unreachable
+    }
+
+    /// Records a response of the registry; returns whether it was unreachable before.
+    pub fn on_response(&mut self, now: Time) -> bool {
+        let was_unreachable = std::mem::replace(&mut self.is_unreachable, false);
+        if was_unreachable {
+            self.recovered_at = Some(now);
+        }
+        was_unreachable
+    }
+
+    /// Replaces the content with a snapshot of the registry.
+    pub fn on_snapshot(&mut self, now: Time, snapshot: RegistrySnapshot) {
+        let RegistrySnapshot { revision, newest_revision, operators, registrations, invalid_keys } =
+            snapshot;
+        for key in invalid_keys {
+            self.entries.remove(&key);
+        }
+        let listed: BTreeMap<Name, Registration> = registrations
+            .into_iter()
+            .map(|registration| (registration.key.clone(), registration))
+            .collect();
+        let missing: Vec<Name> =
+            self.entries.keys().filter(|name| !listed.contains_key(*name)).cloned().collect();
+        for name in missing {
+            self.deregister(now, revision, &name);
+        }
+        for registration in listed.into_values() {
+            self.register(registration);
+        }
+        if let Some(operators) = operators {
+            self.operators = Some(operators);
+        }
+        self.revision = self.revision.max(revision);
+        self.incomplete_until = Some(newest_revision);
+        self.on_complete_up_to(revision);
+    }
+
+    /// Records that all changes up to `revision` are known.
+    pub fn on_complete_up_to(&mut self, revision: u64) {
+        self.incomplete_until.take_if(|newest| *newest <= revision);
+    }
+
+    /// Applies a change that the registry made at `revision`.
+    pub fn on_change(&mut self, now: Time, revision: u64, change: RegistryChange) {
+        match change {
+            RegistryChange::Operators(operators) => self.operators = Some(*operators),
+            RegistryChange::Registered(registration) => self.register(registration),
+            RegistryChange::Deregistered(name) => self.deregister(now, revision, &name),
+            RegistryChange::Invalid(name) => {
+                self.entries.remove(&name);
+            }
+        }
+        self.revision = self.revision.max(revision);
+    }
+
+    /// Removes endpoints whose retention has ended; returns when the next one ends.
+    pub fn remove_expired(&mut self, now: Time) -> Option<Time> {
+        self.entries.retain(|_, entry| entry.retained.is_none_or(|retained| now < retained.until));
+        self.entries.values().filter_map(|entry| Some(entry.retained?.until)).min()
+    }
+
+    /// Applies the active configuration, which may come from another VM. If it is newer
+    /// than this view, returns the registry revision up to which the view is now complete.
+    ///
+    /// A VM that alone lost the registry, or that hasn't watched it for a while, still has
+    /// endpoints that have left, and its next version would add them again on all VMs, so
+    /// that requests reach endpoints after they left. A version without retained endpoints
+    /// was made by a VM that saw each removal as it happened, so it replaces this view.
+    pub fn on_active_config(&mut self, config: &Config) -> Option<u64> {
+        if config.version % VERSIONS_PER_REVISION != VERSIONS_PER_REVISION - 1 {
+            return None;
+        }
+        let revision = config.version / VERSIONS_PER_REVISION;
+        self.entries
+            .retain(|_, entry| entry.retained.is_none_or(|retained| retained.revision > revision));
+        if revision <= self.revision {
+            return None;
+        }
+        self.replace_from_config(config);
+        self.revision = revision;
+        self.on_complete_up_to(revision);
+        Some(revision)
+    }
+
+    /// Replaces the content with that of a newer configuration. This includes the operators'
+    /// part, since changes to it up to that revision aren't read again.
+    fn replace_from_config(&mut self, config: &Config) {
+        self.operators = Some(OperatorConfig::from_config(config, self.operators.take()));
+        let known = std::mem::take(&mut self.entries);
+        for service in &config.services {
+            for endpoint in &service.endpoints {
+                let key = Name::from(endpoint::registered_name(&endpoint.name));
+                let known = known.get(&key).map(|entry| &entry.registration);
+                let registration = Registration {
+                    key: key.clone(),
+                    service: service.name.clone(),
+                    endpoint: endpoint.clone(),
+                    create_revision: known.map_or(0, |known| known.create_revision),
+                    sequence: 0,
+                };
+                self.entries.insert(key, Entry { registration, retained: None });
+            }
+        }
+    }
+
+    /// Builds the configuration. Returns `None` before there is an operators' configuration,
+    /// and while the last snapshot has an entry newer than its revision: under that revision's
+    /// version, another VM's older configuration could replace it.
+    ///
+    /// The version is derived from the registry's revision, so it never decreases. At one
+    /// revision two VMs may retain different endpoints; the one that retains fewer saw more
+    /// removals, so its version is the higher one.
+    pub fn config(&self) -> Option<Config> {
+        if self.incomplete_until.is_some() {
+            return None;
+        }
+        let OperatorConfig { mut config, connections } = self.operators.clone()?;
+        let retained = self.entries.values().filter(|entry| entry.retained.is_some()).count();
+        let rank = (VERSIONS_PER_REVISION - 1).saturating_sub(retained as u64);
+        config.version = self.revision * VERSIONS_PER_REVISION + rank;
+        let mut endpoints = self.endpoints_by_service(&config);
+        for service in &mut config.services {
+            service.endpoints = endpoints.remove(&service.name).unwrap_or_default();
+            if let Some(connections) = connections.get(&service.name) {
+                for endpoint in &mut service.endpoints {
+                    endpoint.connections = *connections;
+                }
+            }
+            let staying = service.endpoints.iter().filter(|endpoint| !endpoint.leaving).count();
+            service.floor = (staying as u32 * self.settings.floor_percent) / 100;
+        }
+        Some(config)
+    }
+
+    /// Returns the registrations for services that the operators' configuration doesn't have.
+    pub fn unassigned(&self) -> impl Iterator<Item = &Registration> {
+        let services = self.operators.iter().flat_map(|operators| &operators.config.services);
+        let configured: BTreeSet<&Name> = services.map(|service| &service.name).collect();
+        let registrations = self.entries.values().map(|entry| &entry.registration);
+        registrations.filter(move |registration| !configured.contains(&registration.service))
+    }
+
+    /// Adds or replaces a registration unless it is older than the known one.
+    ///
+    /// A write from before the endpoint restarted or began to drain may reach the registry
+    /// late; requests would then go to an endpoint that has left or to an ended incarnation.
+    /// Endpoints number their reports within each incarnation, which gives the order.
+    fn register(&mut self, registration: Registration) {
+        let known = self.entries.get(&registration.key).map(|entry| &entry.registration);
+        if known.is_some_and(|known| registration.precedes(known)) {
+            return;
+        }
+        self.entries.insert(registration.key.clone(), Entry { registration, retained: None });
+    }
+
+    /// Removes an endpoint, at once or after the grace period.
+    ///
+    /// During an outage of the registry all registrations expire, and right after it the
+    /// removals would leave a service without endpoints though all are healthy. Every live
+    /// endpoint registers again within the grace period; a draining one is removed at once.
+    fn deregister(&mut self, now: Time, revision: u64, name: &Name) {
+        let grace = Duration::from_millis(self.settings.recovery_grace_ms);
+        let until = match (self.is_unreachable, self.recovered_at) {
+            (true, _) => Some(now + grace),
+            (false, Some(regained)) if now < regained + grace => Some(regained + grace),
+            _ => None,
+        };
+        let Some(entry) = self.entries.get_mut(name) else { return };
+        match until {
+            Some(until) if !entry.registration.endpoint.leaving => {
+                entry.retained.get_or_insert(Retained { until, revision });
+            }
+            _ => {
+                self.entries.remove(name);
+            }
+        }
+    }
+
+    /// Returns the endpoints of each configured service.
+    ///
+    /// If two registrations have the same address, the newer one holds it: an address may be
+    /// reused before the registration of an ended endpoint expires. Registrations for unknown
+    /// services hold no address; otherwise anyone who can write to the registry could take
+    /// the address of a live endpoint.
+    fn endpoints_by_service(&self, config: &Config) -> BTreeMap<Name, Vec<Endpoint>> {
+        let configured: BTreeSet<&Name> =
+            config.services.iter().map(|service| &service.name).collect();
+        let mut holders: BTreeMap<SocketAddr, &Registration> = BTreeMap::new();
+        for Entry { registration, .. } in self.entries.values() {
+            if !configured.contains(&registration.service) {
+                continue;
+            }
+            let holder = holders.entry(registration.endpoint.address).or_insert(registration);
+            if registration.create_revision > holder.create_revision {
+                *holder = registration;
+            }
+        }
+        let mut holders: Vec<&Registration> = holders.into_values().collect();
+        holders.sort_unstable_by(|a, b| a.key.cmp(&b.key));
+        let mut endpoints: BTreeMap<Name, Vec<Endpoint>> = BTreeMap::new();
+        for holder in holders {
+            endpoints.entry(holder.service.clone()).or_default().push(holder.endpoint.clone());
+        }
+        endpoints
+    }
+}
--- /dev/null
+++ b/crates/pistachiotrack-core/tests/registry_view.rs
@@ -0,0 +1,323 @@
+//! The view of the registry: registrations, outages of the registry and late updates.
+
+use std::time::Duration;
+
+use pistachiotrack_core::{
+    config::Config,
+    data_centre::DataCentre,
+    endpoint::{Endpoint, incarnation_name, registered_name, started_unix_ms},
+    name::Name,
+    registry_view::{
+        OperatorConfig, Registration, RegistryChange, RegistrySnapshot, RegistryView,
+        RegistryViewSettings,
+    },
+    service::Service,
+    time::Time,
+};
+
+const START: Time = Time::from_millis(10_000);
+const SERVICE: &str = "booking";
+
+fn operators() -> OperatorConfig {
+    let service = Service {
+        name: Name::from(SERVICE),
+        floor: 0,
+        sensitivity: 1.0,
+        timeout_ms: 1_000,
+        queue_limit: 16,
+        shard_endpoints: 64,
+        dispatchers_per_data_centre: 2,
+        retry_limit: None,
+        probe_path: Name::from("/healthz"),
+        endpoints: Vec::new(),
+    };
+    let config = Config {
+        version: 0,
+        deployment: Name::from("timeliten"),
+        entry_lifetime_ms: 1_000,
+        data_centres: vec![DataCentre { name: Name::from("oslo-1"), region: Name::from("oslo") }],
+        services: vec![service],
+        customers: Vec::new(),
+        rules: Vec::new(),
+    };
+    OperatorConfig::new(config, [(Name::from(SERVICE), 90)].into()).unwrap()
+}
+
+fn registration(name: &str, port: u16, create_revision: u64, leaving: bool) -> Registration {
+    let endpoint = Endpoint {
+        name: Name::from(name),
+        address: ([10, 0, 0, 1], port).into(),
+        data_centre: Name::from("oslo-1"),
+        slots: 2,
+        connections: 400,
+        leaving,
+    };
+    let (key, service) = (Name::from(name), Name::from(SERVICE));
+    Registration { key, service, endpoint, create_revision, sequence: 0 }
+}
+
+fn snapshot(
+    revision: u64,
+    operators: Option<OperatorConfig>,
+    endpoints: Vec<Registration>,
+) -> RegistrySnapshot {
+    RegistrySnapshot {
+        revision,
+        operators,
+        registrations: endpoints,
+        ..RegistrySnapshot::default()
+    }
+}
+
+fn view() -> RegistryView {
+    let mut view = RegistryView::new(RegistryViewSettings::default());
+    let endpoints = vec![registration("a", 1, 1, false), registration("b", 2, 2, false)];
+    view.on_snapshot(START, snapshot(10, Some(operators()), endpoints));
+    view
+}
+
+fn names(view: &RegistryView) -> Vec<String> {
+    let config = view.config().unwrap();
+    config.services[0].endpoints.iter().map(|endpoint| endpoint.name.to_string()).collect()
+}
+
+fn version(view: &RegistryView) -> u64 {
+    view.config().unwrap().version
+}
+
+#[test]
+fn there_is_no_configuration_without_operators_part() {
+    let mut view = RegistryView::new(RegistryViewSettings::default());
+    view.on_snapshot(START, snapshot(3, None, vec![registration("a", 1, 1, false)]));
+    assert!(view.config().is_none());
+}
+
+#[test]
+fn a_deregistered_endpoint_is_removed_at_once() {
+    let mut view = view();
+    let before = version(&view);
+    view.on_change(START, 11, RegistryChange::Deregistered(Name::from("a")));
+    assert_eq!(names(&view), ["b"]);
+    assert!(version(&view) > before);
+}
+
+/// All registrations expire during an outage of the registry of some seconds, and the
+/// removals are seen first after it. The service would have no endpoints though all are
+/// healthy.
+#[test]
+fn endpoints_that_expire_in_an_outage_are_retained_for_the_grace_period() {
+    let mut view = view();
+    assert!(view.on_unreachable());
+    assert!(view.on_response(START));
+    view.on_change(START, 11, RegistryChange::Deregistered(Name::from("a")));
+    view.on_change(START, 12, RegistryChange::Deregistered(Name::from("b")));
+    assert_eq!(names(&view), ["a", "b"]);
+    let back = START + Duration::from_secs(1);
+    view.on_change(back, 13, RegistryChange::Registered(registration("a", 1, 13, false)));
+    let due = view.remove_expired(back).unwrap();
+    assert!(due.since(START) <= Duration::from_millis(2_500));
+    assert_eq!(view.remove_expired(due), None);
+    assert_eq!(names(&view), ["a"]);
+}
+
+#[test]
+fn a_draining_endpoint_is_not_retained() {
+    let mut view = view();
+    view.on_change(START, 11, RegistryChange::Registered(registration("a", 1, 1, true)));
+    view.on_unreachable();
+    view.on_response(START);
+    view.on_change(START, 12, RegistryChange::Deregistered(Name::from("a")));
+    assert_eq!(names(&view), ["b"]);
+}
+
+/// One VM loses the registry while an endpoint deregisters; the others see the removal.
+/// The VM reconnects and retains the endpoint for the grace period, and its next version
+/// would contain it. Requests sent to the endpoint are lost when it exits.
+#[test]
+fn a_vm_that_alone_lost_the_registry_restores_no_endpoint() {
+    let (mut disconnected, mut connected) = (view(), view());
+    connected.on_change(START, 11, RegistryChange::Deregistered(Name::from("a")));
+    disconnected.on_unreachable();
+    disconnected.on_response(START);
+    disconnected.on_change(START, 11, RegistryChange::Deregistered(Name::from("a")));
+    assert!(version(&disconnected) < version(&connected), "the view that retains fewer is newer");
+    disconnected.on_active_config(&connected.config().unwrap());
+    disconnected.on_change(START, 12, RegistryChange::Registered(registration("c", 3, 12, false)));
+    assert_eq!(names(&disconnected), ["b", "c"]);
+}
+
+/// Two VMs both lost the registry; neither has seen the removals, so a version that one of
+/// them published must not remove endpoints that the other retains.
+#[test]
+fn a_version_with_retained_endpoints_removes_none() {
+    let mut view = view();
+    view.on_unreachable();
+    view.on_response(START);
+    view.on_change(START, 11, RegistryChange::Deregistered(Name::from("a")));
+    let config = view.config().unwrap();
+    view.on_active_config(&config);
+    assert_eq!(names(&view), ["a", "b"]);
+}
+
+/// An endpoint crashes, and a new endpoint gets its address before the old registration
+/// expires. Both registrations have the address; only the later one is valid.
+#[test]
+fn an_address_belongs_to_the_endpoint_that_registered_last() {
+    let mut view = view();
+    view.on_change(START, 20, RegistryChange::Registered(registration("c", 1, 20, false)));
+    assert_eq!(names(&view), ["b", "c"]);
+    let config = view.config().unwrap();
+    assert!(config.check("test").is_empty());
+    assert!(config.services[0].endpoints.iter().all(|endpoint| endpoint.connections == 90));
+}
+
+/// A VM read the registry at its start and has taken configurations from peers since, and an
+/// endpoint left in that time. When the VM watches again right after an outage and the
+/// history is compacted, it would retain the endpoint for the grace period.
+#[test]
+fn a_stale_view_restores_no_endpoint() {
+    let (mut stale, mut current) = (view(), view());
+    current.on_change(START, 11, RegistryChange::Registered(registration("a", 1, 1, true)));
+    current.on_change(START, 12, RegistryChange::Deregistered(Name::from("a")));
+    stale.on_unreachable();
+    stale.on_response(START);
+    assert_eq!(stale.on_active_config(&current.config().unwrap()), Some(12));
+    stale.on_snapshot(START, snapshot(14, None, vec![registration("b", 2, 2, false)]));
+    assert_eq!(names(&stale), ["b"]);
+}
+
+/// All endpoints of a service are being replaced, and a VM with a stale view receives the
+/// configuration without them from a peer. It must still have the maximum connections for
+/// the new endpoints: they reset connections above it.
+#[test]
+fn a_stale_view_keeps_the_connections_of_a_service_without_endpoints() {
+    let (mut stale, mut current) = (view(), view());
+    for (revision, name) in (11..).zip(["a", "b", "c"]) {
+        current.on_change(START, revision, RegistryChange::Deregistered(Name::from(name)));
+    }
+    assert!(names(&current).is_empty());
+    assert_eq!(stale.on_active_config(&current.config().unwrap()), Some(13));
+    stale.on_change(START, 14, RegistryChange::Registered(registration("d", 4, 14, false)));
+    assert_eq!(stale.config().unwrap().services[0].endpoints[0].connections, 90);
+}
+
+/// As above, and the operators' part changed in the meantime. The VM must not return to the
+/// older one.
+#[test]
+fn a_stale_view_takes_the_newer_operators_part() {
+    let (mut stale, mut current) = (view(), view());
+    let mut config = operators().config().clone();
+    config.services[0].timeout_ms = 4_321;
+    let written = OperatorConfig::new(config, operators().connections().clone()).unwrap();
+    current.on_change(START, 11, RegistryChange::Operators(Box::new(written)));
+    assert_eq!(stale.on_active_config(&current.config().unwrap()), Some(11));
+    stale.on_change(START, 12, RegistryChange::Deregistered(Name::from("a")));
+    let config = stale.config().unwrap();
+    assert_eq!(config.services[0].timeout_ms, 4_321);
+    assert_eq!(config.services[0].endpoints[0].connections, 90);
+}
+
+/// Report number `sequence` of the endpoint's incarnation that started at `started`.
+fn reported(started: u64, sequence: u64, leaving: bool) -> RegistryChange {
+    let mut registration = registration("a", 1, 1, leaving);
+    registration.endpoint.name = incarnation_name("a", Some(started));
+    RegistryChange::Registered(Registration { sequence, ..registration })
+}
+
+#[test]
+fn incarnation_name_round_trips() {
+    for registered in ["i-1", "a#b", "a#", "#", ""] {
+        for started in [None, Some(0), Some(1_775_000_000_123), Some(u64::MAX)] {
+            let name = incarnation_name(registered, started);
+            assert_eq!((registered_name(&name), started_unix_ms(&name)), (registered, started));
+        }
+    }
+}
+
+/// An endpoint crashes and restarts under the same key. If it were treated as the same
+/// endpoint, requests in flight and failures of the previous one would count against it.
+#[test]
+fn a_restarted_endpoint_is_another_endpoint_with_the_same_key() {
+    let mut view = view();
+    view.on_change(START, 11, reported(1_000, 40, false));
+    let before = names(&view);
+    view.on_change(START, 12, reported(2_000, 1, false));
+    let after = names(&view);
+    assert_eq!(before.len(), 2);
+    assert_eq!(after.len(), 2, "{after:?}");
+    assert!(!after.contains(&before[0]) && registered_name(&after[0]) == "a", "{after:?}");
+    view.on_change(START, 13, RegistryChange::Deregistered(Name::from("a")));
+    assert_eq!(names(&view), ["b"]);
+}
+
+/// A write from before an endpoint restarted or began to drain reaches the registry last.
+/// If it were applied, requests would go to an ended incarnation or to a draining endpoint.
+#[test]
+fn an_older_report_that_arrives_late_changes_nothing() {
+    let mut view = view();
+    view.on_change(START, 11, reported(2_000, 3, true));
+    let before = view.config().unwrap().services[0].endpoints.clone();
+    view.on_change(START, 12, reported(2_000, 2, false));
+    view.on_change(START, 13, reported(1_000, 90, false));
+    assert_eq!(view.config().unwrap().services[0].endpoints, before);
+    view.on_change(START, 14, reported(2_000, 4, false));
+    assert!(!view.config().unwrap().services[0].endpoints[0].leaving);
+}
+
+/// The view is replaced from a peer's configuration, which contains incarnations but not
+/// their sequence numbers.
+#[test]
+fn a_replaced_view_still_distinguishes_incarnations() {
+    let (mut stale, mut current) = (view(), view());
+    current.on_change(START, 11, reported(2_000, 7, false));
+    assert_eq!(stale.on_active_config(&current.config().unwrap()), Some(11));
+    let before = names(&stale);
+    stale.on_change(START, 12, reported(1_000, 90, false));
+    assert_eq!(names(&stale), before);
+    stale.on_change(START, 13, reported(2_000, 8, true));
+    assert!(stale.config().unwrap().services[0].endpoints[0].leaving);
+}
+
+/// A registration for an unknown service has the address of a live endpoint, which must keep
+/// its address.
+#[test]
+fn a_registration_for_an_unknown_service_takes_no_address() {
+    let mut view = view();
+    let mut unknown = registration("c", 1, 30, false);
+    unknown.service = Name::from("nowhere");
+    view.on_change(START, 11, RegistryChange::Registered(unknown));
+    assert_eq!(names(&view), ["a", "b"]);
+    let unassigned: Vec<&str> = view.unassigned().map(|unknown| unknown.key.as_str()).collect();
+    assert_eq!(unassigned, ["c"]);
+}
+
+/// An entry becomes invalid right after an outage of the registry, and is valid again later.
+#[test]
+fn an_invalid_entry_is_removed_at_once_and_returns_when_valid() {
+    let mut view = view();
+    view.on_unreachable();
+    view.on_response(START);
+    view.on_change(START, 11, RegistryChange::Invalid(Name::from("a")));
+    assert_eq!(names(&view), ["b"]);
+    view.on_change(START, 12, RegistryChange::Registered(registration("a", 1, 1, false)));
+    assert_eq!(names(&view), ["a", "b"]);
+    let invalid_keys = vec![Name::from("b")];
+    let newer = snapshot(13, None, vec![registration("a", 1, 1, false)]);
+    view.on_snapshot(START, RegistrySnapshot { invalid_keys, ..newer });
+    assert_eq!(names(&view), ["a"]);
+}
+
+#[test]
+fn a_snapshot_with_a_newer_entry_waits_for_the_changes_between() {
+    let mut view = RegistryView::new(RegistryViewSettings::default());
+    let endpoints = vec![registration("a", 1, 1, false)];
+    let newer = snapshot(10, Some(operators()), endpoints);
+    view.on_snapshot(START, RegistrySnapshot { newest_revision: 12, ..newer });
+    assert!(view.config().is_none());
+    view.on_change(START, 11, RegistryChange::Registered(registration("b", 2, 2, false)));
+    view.on_complete_up_to(11);
+    assert!(view.config().is_none());
+    view.on_change(START, 12, RegistryChange::Operators(Box::new(operators())));
+    view.on_complete_up_to(12);
+    assert_eq!(names(&view), ["a", "b"]);
+}
--- a/crates/pistachiotrackd/src/registry.rs
+++ b/crates/pistachiotrackd/src/registry.rs
@@ -8,7 +8,7 @@
     admin::Counter,
     config::Config,
     name::Name,
-    roster::{Change, Listing, Roster, RosterSettings},
+    registry_view::{RegistryChange, RegistrySnapshot, RegistryView, RegistryViewSettings},
     time::Time,
 };
 use tokio::sync::{Mutex, watch};
@@ -24,7 +24,7 @@
     /// Revision to go on from.
     pub revision: u64,
     /// The changes, each with its revision, in their order.
-    pub changes: Vec<(u64, Change)>,
+    pub changes: Vec<(u64, RegistryChange)>,
 }
 
 /// Why a registry gave no answer.
@@ -41,7 +41,7 @@
 /// A store in which operators write and endpoints register themselves; only read.
 pub trait Registry: fmt::Debug + Send + Sync + 'static {
     /// Reads everything.
-    fn list(&self) -> BoxFuture<'_, Result<Listing, RegistryError>>;
+    fn list(&self) -> BoxFuture<'_, Result<RegistrySnapshot, RegistryError>>;
 
     /// Returns how often it was called, by reason.
     fn calls(&self) -> Vec<Counter> {
@@ -64,7 +64,7 @@
 
 #[derive(Debug)]
 struct Mirror {
-    roster: Roster,
+    roster: RegistryView,
     /// Revision up to which the roster is complete; `None` before a listing.
     followed: Option<u64>,
     /// Registrations for services that nobody named, as far as they were logged.
@@ -73,9 +73,9 @@
 
 impl<R: Registry> RegistrySource<R> {
     /// Creates a source that has read nothing so far.
-    pub fn new(registry: R, settings: RosterSettings) -> RegistrySource<R> {
+    pub fn new(registry: R, settings: RegistryViewSettings) -> RegistrySource<R> {
         let mirror =
-            Mirror { roster: Roster::new(settings), followed: None, strays: BTreeSet::new() };
+            Mirror { roster: RegistryView::new(settings), followed: None, strays: BTreeSet::new() };
         let in_force = watch::Sender::new(None);
         RegistrySource { registry, clock: Clock::start(), mirror: Mutex::new(mirror), in_force }
     }
@@ -97,7 +97,7 @@
             let now = self.clock.now();
             let in_force = self.in_force.borrow().clone();
             mirror.take_in_force(in_force.as_deref());
-            let due = mirror.roster.drop_due(now);
+            let due = mirror.roster.remove_expired(now);
             if let Some(config) = mirror.roster.config()
                 && Some(config.version) > after
             {
@@ -108,7 +108,7 @@
             }
             // A registry that was away is asked for an answer at once: a wait that
             // begins while it is silent would end long after its return.
-            let give_up = if mirror.roster.is_lost() { now } else { give_up };
+            let give_up = if mirror.roster.is_unreachable() { now } else { give_up };
             let until = due.map_or(give_up, |due| due.min(give_up));
             let followed = mirror.followed.unwrap_or_default();
             let changes = self.registry.changes(followed, until.since(now)).await;
@@ -119,7 +119,7 @@
 
 impl Mirror {
     fn take_in_force(&mut self, config: Option<&Config>) {
-        let complete = config.and_then(|config| self.roster.on_in_force(config));
+        let complete = config.and_then(|config| self.roster.on_active_config(config));
         if let (Some(complete), Some(followed)) = (complete, &mut self.followed) {
             *followed = complete.max(*followed);
         }
@@ -128,11 +128,11 @@
     fn take_listing(
         &mut self,
         now: Time,
-        listing: Result<Listing, RegistryError>,
+        listing: Result<RegistrySnapshot, RegistryError>,
     ) -> Result<(), RegistryError> {
         let listing = self.note_answer(now, listing)?;
         self.followed = Some(listing.revision);
-        self.roster.on_listing(now, listing);
+        self.roster.on_snapshot(now, listing);
         self.tell_strays();
         Ok(())
     }
@@ -152,7 +152,7 @@
         for (revision, change) in changes {
             self.roster.on_change(now, revision, change);
         }
-        self.roster.on_followed(revision);
+        self.roster.on_complete_up_to(revision);
         self.followed = Some(revision);
         self.tell_strays();
         Ok(())
@@ -162,7 +162,7 @@
     /// there.
     fn tell_strays(&mut self) {
         let mut strays = BTreeSet::new();
-        for stray in self.roster.strays() {
+        for stray in self.roster.unassigned() {
             if !self.strays.contains(&stray.key) {
                 log::warn!(
                     "event=registration_unused endpoint={} field=service value={:?} \
@@ -184,12 +184,12 @@
     ) -> Result<T, RegistryError> {
         match &answer {
             Err(RegistryError::Unavailable(error)) => {
-                if self.roster.on_lost() {
+                if self.roster.on_unreachable() {
                     log::warn!("event=registry_lost error={:?}", error.to_string());
                 }
             }
             _ => {
-                if self.roster.on_answer(now) {
+                if self.roster.on_response(now) {
                     log::info!("event=registry_regained");
                 }
             }
--- a/crates/pistachiotrackd/src/settings.rs
+++ b/crates/pistachiotrackd/src/settings.rs
@@ -9,7 +9,7 @@
 use pistachiotrack_core::{
     config::MAX_VALUE_BYTES, config_sync::ConfigSyncSettings, data_centre::DataCentre,
     mechanism::Mechanisms, membership::MembershipSettings, name::Name,
-    quarantine::QuarantineSettings, roster::RosterSettings, service::RetryLimit,
+    quarantine::QuarantineSettings, registry_view::RegistryViewSettings, service::RetryLimit,
 };
 use serde::Deserialize;
 
@@ -182,8 +182,11 @@
 
 impl RegistrySettings {
     /// Returns the settings of the roster.
-    pub fn roster(&self) -> RosterSettings {
-        RosterSettings { floor_percent: self.floor_percent, ..RosterSettings::default() }
+    pub fn roster(&self) -> RegistryViewSettings {
+        RegistryViewSettings {
+            floor_percent: self.floor_percent,
+            ..RegistryViewSettings::default()
+        }
     }
 
     /// Returns the limit of the retries of all VMs together.
