--- a/crates/pistachiotrack-core/src/ownership.rs
+++ b/crates/pistachiotrack-core/src/ownership.rs
@@ -164,7 +164,7 @@
 
     /// Returns a number that goes up whenever an update found news, so that a
     /// copy of the owners need only be renewed then. A member that becomes
-    /// suspected without any other news changes [`Ownership::is_owner_steady`]
+    /// suspected without any other news changes [`Ownership::is_owner_stable`]
     /// and not this number.
     pub fn revision(&self) -> u64 {
         self.revision
@@ -231,7 +231,7 @@
 
     /// Returns whether the owner has been alive for long enough and is not
     /// suspected, so that other VMs most likely see the same owner.
-    pub fn is_owner_steady(&self, shard: &ShardId) -> bool {
+    pub fn is_owner_stable(&self, shard: &ShardId) -> bool {
         let Some(owner) = self.shards.get(shard).and_then(|shard| shard.owner.as_ref()) else {
             return false;
         };
--- a/crates/pistachiotrack-core/src/steering.rs
+++ b/crates/pistachiotrack-core/src/steering.rs
@@ -1,8 +1,8 @@
-//! The answer to a caller that asks which addresses to use.
+//! Steering of callers: selects the entry addresses that a caller should use.
 //!
 //! The owners of the service come first, then alternates in other data centres.
-//! Alternates are chosen by hashing the customer and service, so that the load
-//! of a failed owner spreads over the fleet, and all VMs give the same ones.
+//! Alternates are selected by hashing the customer and service, so that the load
+//! of a failed owner spreads over the fleet and all VMs return the same ones.
 
 use std::net::SocketAddr;
 
@@ -18,16 +18,16 @@
     vm::Vm,
 };
 
-/// Addresses that a caller may use, the best first.
+/// Addresses that a caller may use, the preferred one first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryAnswer {
+pub struct EntryResponse {
     /// The addresses.
     pub entries: Vec<Entry>,
-    /// Time for which the caller may keep the answer.
+    /// Time for which the caller may cache the response.
     pub lifetime_ms: u64,
 }
 
-/// One address of the fleet.
+/// The entry address of one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Address to connect to.
@@ -36,64 +36,63 @@
     pub data_centre: Name,
 }
 
-/// Alternates given besides the owner.
-pub const ALTERNATES: usize = 3;
-/// Owners given at most; a service with more shards shares them out by customer.
+/// Maximum number of alternates returned besides the owners.
+pub const MAX_ALTERNATES: usize = 3;
+/// Maximum number of owners returned; for a service with more, the customer decides which.
 pub const MAX_OWNERS: usize = 4;
-/// Part of the usual lifetime while the owner may change soon.
-pub const UNSTEADY_LIFETIME_DIVISOR: u64 = 5;
+/// Divisor of the configured lifetime while an owner may change soon.
+pub const UNSTABLE_LIFETIME_DIVISOR: u64 = 5;
 
-/// A caller's question with what is needed to answer it.
+/// A caller's query for the entry addresses of a service, with the state needed to answer it.
 #[derive(Clone, Copy, Debug)]
-pub struct EntryQuestion<'a> {
-    /// Configuration in force.
+pub struct EntryQuery<'a> {
+    /// Active configuration.
     pub config: &'a Config,
-    /// Owners as this VM sees them.
+    /// Shard owners as this VM computes them.
     pub ownership: &'a Ownership,
     /// This VM.
     pub me: &'a Vm,
-    /// Service asked for.
+    /// Requested service.
     pub service: &'a str,
-    /// Customer that asks, if known.
+    /// Customer of the caller; empty if unknown.
     pub customer: &'a str,
 }
 
-/// Works out the answer for a service: the owners first, then alternates.
+/// Returns the entry addresses of a service for an unknown customer.
 pub fn entries<'a>(
     config: &Config,
     ownership: &Ownership,
     me: &'a Vm,
     members: impl Iterator<Item = &'a Member>,
     service: &str,
-) -> EntryAnswer {
-    entries_for(EntryQuestion { config, ownership, me, service, customer: "" }, members)
+) -> EntryResponse {
+    entries_for_query(EntryQuery { config, ownership, me, service, customer: "" }, members)
 }
 
-/// Works out the answer for a customer's question.
+/// Returns the entry addresses of a service: the owners first, then alternates.
 ///
-/// Only members that are alive and this VM are given. A VM that leaves leaves
-/// itself out, unless there is nobody else. While an owner is new or suspected the
-/// answer lives for a fifth of the usual time, since the owner may change soon.
-pub fn entries_for<'a>(
-    question: EntryQuestion<'_>,
+/// Only live members and this VM are returned. A leaving VM omits itself unless there is
+/// no other. While an owner is new or suspected, the response's lifetime is a fifth of the
+/// configured one, since the owner may change soon.
+pub fn entries_for_query<'a>(
+    query: EntryQuery<'_>,
     members: impl Iterator<Item = &'a Member>,
-) -> EntryAnswer {
-    let me = question.me;
+) -> EntryResponse {
+    let me = query.me;
     let alive = members.filter(|member| member.state == MemberState::Alive);
     let mut vms: Vec<&Vm> = alive.map(|member| &member.vm).collect();
-    if !question.ownership.is_leaving() || vms.is_empty() {
+    if !query.ownership.is_leaving() || vms.is_empty() {
         vms.push(me);
     }
-    let shards = shards(&question);
-    let key =
-        hash::pair(hash::fnv(question.service.as_bytes()), hash::fnv(question.customer.as_bytes()));
-    let mut chosen = owners(&question, &shards, &vms, key);
-    let home = chosen.first().map(|vm| &vm.data_centre);
-    let alternates = alternates(&vms, &chosen, home, key);
+    let shards = shards(&query);
+    let key = hash::pair(hash::fnv(query.service.as_bytes()), hash::fnv(query.customer.as_bytes()));
+    let mut chosen = owners(&query, &shards, &vms, key);
+    let owner_data_centre = chosen.first().map(|vm| &vm.data_centre);
+    let alternates = alternates(&vms, &chosen, owner_data_centre, key);
     chosen.extend(alternates);
-    EntryAnswer {
+    EntryResponse {
         entries: chosen.into_iter().map(entry).collect(),
-        lifetime_ms: lifetime_ms(&question, &shards),
+        lifetime_ms: lifetime_ms(&query, &shards),
     }
 }
 
@@ -101,23 +100,18 @@
     Entry { address: vm.caller_address, data_centre: vm.data_centre.clone() }
 }
 
-fn shards(question: &EntryQuestion<'_>) -> Vec<ShardId> {
-    let Some(service) = question.config.service(question.service) else { return Vec::new() };
+fn shards(query: &EntryQuery<'_>) -> Vec<ShardId> {
+    let Some(service) = query.config.service(query.service) else { return Vec::new() };
     (0..shard_count(service))
         .map(|index| ShardId { service: service.name.clone(), index })
         .collect()
 }
 
-/// Returns the service's owners among `vms`, each once, in the customer's order.
-fn owners<'a>(
-    question: &EntryQuestion<'_>,
-    shards: &[ShardId],
-    vms: &[&'a Vm],
-    key: u64,
-) -> Vec<&'a Vm> {
-    let names = shards.iter().filter_map(|shard| question.ownership.owner(shard));
+/// Returns the service's owners among `vms`, each once, ranked by their hash with `key`.
+fn owners<'a>(query: &EntryQuery<'_>, shards: &[ShardId], vms: &[&'a Vm], key: u64) -> Vec<&'a Vm> {
+    let owning = shards.iter().filter_map(|shard| query.ownership.owner(shard));
     let mut owners: Vec<&Vm> = Vec::new();
-    for owner in names {
+    for owner in owning {
         let Some(vm) = vms.iter().find(|vm| vm.name == owner.name) else { continue };
         if !owners.contains(vm) {
             owners.push(vm);
@@ -128,96 +122,100 @@
     owners
 }
 
-/// Returns VMs besides `chosen`, one of each other data centre first, then more
-/// of them, and those of the owner's data centre `home` last.
-fn alternates<'a>(vms: &[&'a Vm], chosen: &[&Vm], home: Option<&Name>, key: u64) -> Vec<&'a Vm> {
-    let mut rest: Vec<&Vm> =
+/// Returns VMs besides `chosen`: first one of each other data centre, then further ones of
+/// these, and those of the owner's data centre last.
+fn alternates<'a>(
+    vms: &[&'a Vm],
+    chosen: &[&Vm],
+    owner_data_centre: Option<&Name>,
+    key: u64,
+) -> Vec<&'a Vm> {
+    let mut candidates: Vec<&Vm> =
         vms.iter().copied().filter(|vm| chosen.iter().all(|one| one.name != vm.name)).collect();
-    rest.sort_by_key(|vm| std::cmp::Reverse(score(key, vm)));
+    candidates.sort_by_key(|vm| std::cmp::Reverse(score(key, vm)));
     let mut ranked: Vec<(bool, usize, &Vm)> = Vec::new();
-    for vm in rest {
+    for vm in candidates {
         let before = ranked.iter().filter(|(.., other)| other.data_centre == vm.data_centre);
-        // Data centres beyond the alternates wanted need no exact rank.
-        let rank = before.take(ALTERNATES).count();
-        ranked.push((Some(&vm.data_centre) == home, rank, vm));
+        // A rank beyond the number of alternates needn't be exact.
+        let rank = before.take(MAX_ALTERNATES).count();
+        ranked.push((Some(&vm.data_centre) == owner_data_centre, rank, vm));
     }
-    ranked.sort_by_key(|(at_home, rank, _)| (*at_home, *rank));
-    ranked.into_iter().take(ALTERNATES).map(|(.., vm)| vm).collect()
+    ranked.sort_by_key(|(is_owner_data_centre, rank, _)| (*is_owner_data_centre, *rank));
+    ranked.into_iter().take(MAX_ALTERNATES).map(|(.., vm)| vm).collect()
 }
 
 fn score(key: u64, vm: &Vm) -> u64 {
     hash::pair(key, hash::fnv(vm.name.as_bytes()))
 }
 
-fn lifetime_ms(question: &EntryQuestion<'_>, shards: &[ShardId]) -> u64 {
-    let usual_ms = question.config.entry_lifetime_ms;
-    if shards.iter().all(|shard| question.ownership.is_owner_steady(shard)) {
-        return usual_ms;
+fn lifetime_ms(query: &EntryQuery<'_>, shards: &[ShardId]) -> u64 {
+    let lifetime_ms = query.config.entry_lifetime_ms;
+    if shards.iter().all(|shard| query.ownership.is_owner_stable(shard)) {
+        return lifetime_ms;
     }
-    (usual_ms / UNSTEADY_LIFETIME_DIVISOR).max(1)
+    (lifetime_ms / UNSTABLE_LIFETIME_DIVISOR).max(1)
 }
 
-/// A caller's question for the addresses of a host, with what is needed to answer
-/// it.
+/// A caller's query for the entry addresses of a host, with the state needed to answer it.
 #[derive(Clone, Copy, Debug)]
-pub struct HostQuestion<'a> {
-    /// Configuration in force.
+pub struct HostQuery<'a> {
+    /// Active configuration.
     pub config: &'a Config,
-    /// Dispatchers as this VM sees them.
+    /// Dispatchers as this VM computes them.
     pub ownership: &'a Ownership,
     /// This VM.
     pub me: &'a Vm,
-    /// Host that the caller will name in its requests.
+    /// Host of the caller's requests.
     pub host: &'a str,
-    /// Data centre that the caller is in or next to, if known.
+    /// Data centre of the caller or the nearest one, if known.
     pub data_centre: Option<&'a str>,
 }
 
-/// Addresses given at least where there are so many: with a single one, callers
-/// would have no other to turn to when it fails.
+/// Minimum number of addresses returned if there are as many: with a single one, callers
+/// would have no alternative when it fails.
 const MIN_ENTRIES: usize = 2;
 
-/// Works out the answer for a host whose services are shared: the VMs that
-/// dispatch for them, those in the caller's data centre alone if they are enough.
+/// Returns the entry addresses of a host whose services are shared: their dispatchers, only
+/// those in the caller's data centre if there are enough.
 ///
-/// A VM that leaves, is suspected or has no configuration yet is left out unless
-/// there is nobody else.
-pub fn entries_of_host<'a>(
-    question: HostQuestion<'_>,
+/// A VM that is leaving, is suspected or has no configuration yet is omitted unless there is
+/// no other.
+pub fn entries_for_host<'a>(
+    query: HostQuery<'_>,
     members: impl Iterator<Item = &'a Member>,
-) -> EntryAnswer {
+) -> EntryResponse {
     let usable =
         |member: &&Member| member.state == MemberState::Alive && member.config_version.is_some();
     let mut vms: Vec<&Vm> = members.filter(usable).map(|member| &member.vm).collect();
-    if !question.ownership.is_leaving() || vms.is_empty() {
-        vms.push(question.me);
+    if !query.ownership.is_leaving() || vms.is_empty() {
+        vms.push(query.me);
     }
-    let mut chosen = dispatchers_of_host(&question, &vms);
+    let mut chosen = dispatchers_of_host(&query, &vms);
     if chosen.is_empty() {
         chosen = vms;
     }
-    let is_near = |vm: &&Vm| question.data_centre.is_none_or(|near| *vm.data_centre == *near);
+    let is_near = |vm: &&Vm| query.data_centre.is_none_or(|near| *vm.data_centre == *near);
     let near: Vec<&Vm> = chosen.iter().copied().filter(is_near).collect();
     if near.len() >= MIN_ENTRIES {
         chosen = near;
     }
-    EntryAnswer {
+    EntryResponse {
         entries: chosen.into_iter().map(entry).collect(),
-        lifetime_ms: question.config.entry_lifetime_ms,
+        lifetime_ms: query.config.entry_lifetime_ms,
     }
 }
 
-fn dispatchers_of_host<'a>(question: &HostQuestion<'_>, vms: &[&'a Vm]) -> Vec<&'a Vm> {
-    let of_host = question
+fn dispatchers_of_host<'a>(query: &HostQuery<'_>, vms: &[&'a Vm]) -> Vec<&'a Vm> {
+    let of_host = query
         .config
         .rules
         .iter()
-        .filter(|rule| rule.when.host.as_deref().is_some_and(|host| host == question.host));
+        .filter(|rule| rule.when.host.as_deref().is_some_and(|host| host == query.host));
     let mut chosen: Vec<&Vm> = Vec::new();
     for rule in of_host {
         let RuleAction::Route(route) = &rule.then else { continue };
         for service in route.services() {
-            for dispatcher in question.ownership.dispatchers(service) {
+            for dispatcher in query.ownership.dispatchers(service) {
                 let Some(vm) = vms.iter().find(|vm| vm.name == dispatcher.name) else { continue };
                 if !chosen.iter().any(|one| one.name == vm.name) {
                     chosen.push(vm);
--- a/crates/pistachiotrack-core/tests/steering.rs
+++ b/crates/pistachiotrack-core/tests/steering.rs
@@ -1,4 +1,4 @@
-//! Answers to callers that ask which addresses to use.
+//! Selection of entry addresses for callers.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -10,7 +10,7 @@
     membership::{Member, MemberState},
     name::Name,
     ownership::{Ownership, OwnershipSettings, ShardId},
-    steering::{ALTERNATES, EntryAnswer, EntryQuestion, MAX_OWNERS, entries, entries_for},
+    steering::{EntryQuery, EntryResponse, MAX_ALTERNATES, MAX_OWNERS, entries, entries_for_query},
     time::Time,
     vm::{DEFAULT_CAPACITY, Vm},
 };
@@ -67,58 +67,64 @@
     ownership.owner(&shard).expect("an owner").clone()
 }
 
-fn ask(config: &Config, ownership: &Ownership, members: &[Member], customer: &str) -> EntryAnswer {
+fn query(
+    config: &Config,
+    ownership: &Ownership,
+    members: &[Member],
+    customer: &str,
+) -> EntryResponse {
     let me = vm(0);
-    let question = EntryQuestion { config, ownership, me: &me, service: "booking", customer };
-    entries_for(question, members.iter())
+    let query = EntryQuery { config, ownership, me: &me, service: "booking", customer };
+    entries_for_query(query, members.iter())
 }
 
 #[test]
 fn owner_comes_first_and_alternates_are_elsewhere() {
-    // A data centre goes away with the owner of a service. The caller's next
+    // A data centre fails together with the owner of a service. The caller's next
     // address must not be in the same data centre.
     let config = config(64);
     let members = fleet(48);
     let ownership = ownership(&config, &members);
     let owner = owner(&ownership);
-    let answer = ask(&config, &ownership, &members, "timeliten");
-    assert_eq!(answer.entries.len(), 1 + ALTERNATES);
-    assert_eq!(answer.entries[0].address, owner.caller_address);
-    assert!(answer.entries[1..].iter().all(|entry| entry.data_centre != owner.data_centre));
-    let centres: HashSet<_> = answer.entries[1..3].iter().map(|entry| &entry.data_centre).collect();
+    let response = query(&config, &ownership, &members, "timeliten");
+    assert_eq!(response.entries.len(), 1 + MAX_ALTERNATES);
+    assert_eq!(response.entries[0].address, owner.caller_address);
+    assert!(response.entries[1..].iter().all(|entry| entry.data_centre != owner.data_centre));
+    let centres: HashSet<_> =
+        response.entries[1..3].iter().map(|entry| &entry.data_centre).collect();
     assert_eq!(centres.len(), 2, "the first two alternates don't share a data centre");
-    assert_eq!(answer.lifetime_ms, LIFETIME_MS);
+    assert_eq!(response.lifetime_ms, LIFETIME_MS);
 }
 
 #[test]
-fn all_vms_give_the_same_answer() {
+fn response_does_not_depend_on_the_order_of_members() {
     let config = config(64);
     let members = fleet(12);
     let ownership = ownership(&config, &members);
-    let mut turned: Vec<Member> = members.clone();
-    turned.reverse();
-    let answer = ask(&config, &ownership, &members, "timeliten");
-    assert_eq!(ask(&config, &ownership, &turned, "timeliten"), answer);
+    let mut reversed: Vec<Member> = members.clone();
+    reversed.reverse();
+    let response = query(&config, &ownership, &members, "timeliten");
+    assert_eq!(query(&config, &ownership, &reversed, "timeliten"), response);
 }
 
 #[test]
 fn alternates_share_the_load_of_a_failed_owner() {
-    // The owner of a busy service fails and all callers turn to their first
-    // alternate at once. If it were the same VM for all, it would fail next.
+    // The owner of a busy service fails and all callers use their first alternate
+    // at once. If it were the same VM for all of them, it would be overloaded.
     let config = config(64);
     let members = fleet(48);
     let ownership = ownership(&config, &members);
     let mut loads: HashMap<SocketAddr, usize> = HashMap::new();
     for customer in 0..3_200 {
-        let answer = ask(&config, &ownership, &members, &format!("customer-{customer}"));
-        *loads.entry(answer.entries[1].address).or_default() += 1;
+        let response = query(&config, &ownership, &members, &format!("customer-{customer}"));
+        *loads.entry(response.entries[1].address).or_default() += 1;
     }
     assert_eq!(loads.len(), 32, "all VMs of the two other data centres");
     assert!(loads.values().all(|load| (50..200).contains(load)), "{loads:?}");
 }
 
 #[test]
-fn only_live_members_are_given() {
+fn only_live_members_are_returned() {
     let config = config(64);
     let mut members = fleet(12);
     let ownership = ownership(&config, &members);
@@ -136,30 +142,30 @@
         .map(|member| member.vm.caller_address)
         .chain([vm(0).caller_address])
         .collect();
-    let answer = ask(&config, &ownership, &members, "timeliten");
-    assert!(answer.entries.iter().all(|entry| live.contains(&entry.address)));
-    assert!(!answer.entries.is_empty());
+    let response = query(&config, &ownership, &members, "timeliten");
+    assert!(response.entries.iter().all(|entry| live.contains(&entry.address)));
+    assert!(!response.entries.is_empty());
 }
 
 #[test]
-fn leaving_vm_leaves_itself_out() {
-    // A VM is stopping. Callers that ask it keep the answer for seconds; its own
-    // address in it would fail them when it is gone.
+fn leaving_vm_omits_itself() {
+    // Callers cache the response of a stopping VM for seconds; with its own address
+    // in it their requests would fail after it stops.
     let config = config(1);
     let members = fleet(6);
     let mut ownership = ownership(&config, &members);
     ownership.set_leaving(true);
     ownership.update(Time::from_millis(1_011_000), &config, members.iter());
-    let answer = entries(&config, &ownership, &vm(0), members.iter(), "booking");
-    assert!(answer.entries.iter().all(|entry| entry.address != vm(0).caller_address));
+    let response = entries(&config, &ownership, &vm(0), members.iter(), "booking");
+    assert!(response.entries.iter().all(|entry| entry.address != vm(0).caller_address));
     let alone = entries(&config, &ownership, &vm(0), [].iter(), "booking");
-    assert_eq!(alone.entries.len(), 1, "the last VM still serves");
+    assert_eq!(alone.entries.len(), 1, "a VM without others returns itself");
 }
 
 #[test]
-fn answer_lives_shorter_while_the_owner_is_unsteady() {
-    // The owner of a service is suspected or new. An answer kept for the usual
-    // time would send callers to a dead VM or to the old owner.
+fn response_lifetime_is_shorter_while_the_owner_is_unstable() {
+    // The owner of a service is suspected or new. With the configured lifetime callers
+    // would keep using a dead VM or the old owner.
     let config = config(64);
     let mut members = fleet(12);
     let mut ownership = ownership(&config, &members);
@@ -170,33 +176,33 @@
         }
     }
     ownership.update(Time::from_millis(1_011_000), &config, members.iter());
-    let answer = ask(&config, &ownership, &members, "timeliten");
-    assert!(answer.lifetime_ms < LIFETIME_MS);
-    let nobody: [Member; 0] = [];
-    let mut new = Ownership::new(vm(0), OwnershipSettings::default());
-    new.update(Time::from_millis(1), &config, nobody.iter());
-    assert!(ask(&config, &new, &nobody, "timeliten").lifetime_ms < LIFETIME_MS);
+    let response = query(&config, &ownership, &members, "timeliten");
+    assert!(response.lifetime_ms < LIFETIME_MS);
+    let no_members: [Member; 0] = [];
+    let mut unsettled = Ownership::new(vm(0), OwnershipSettings::default());
+    unsettled.update(Time::from_millis(1), &config, no_members.iter());
+    assert!(query(&config, &unsettled, &no_members, "timeliten").lifetime_ms < LIFETIME_MS);
 }
 
 #[test]
-fn service_of_many_shards_gives_some_owners_to_each_customer() {
+fn service_with_many_shards_returns_some_owners_to_each_customer() {
     let config = config(1);
     let members = fleet(48);
     let ownership = ownership(&config, &members);
-    let mut given = HashSet::new();
+    let mut seen = HashSet::new();
     for customer in 0..100 {
-        let answer = ask(&config, &ownership, &members, &format!("customer-{customer}"));
-        assert_eq!(answer.entries.len(), MAX_OWNERS + ALTERNATES);
-        given.extend(answer.entries[..MAX_OWNERS].iter().map(|entry| entry.address));
+        let response = query(&config, &ownership, &members, &format!("customer-{customer}"));
+        assert_eq!(response.entries.len(), MAX_OWNERS + MAX_ALTERNATES);
+        seen.extend(response.entries[..MAX_OWNERS].iter().map(|entry| entry.address));
     }
-    assert!(given.len() > MAX_OWNERS, "the owners are shared out");
+    assert!(seen.len() > MAX_OWNERS, "customers get different owners");
 }
 
 #[test]
-fn unknown_service_still_gets_addresses() {
+fn unknown_service_gets_alternates() {
     let config = config(64);
     let members = fleet(12);
     let ownership = ownership(&config, &members);
-    let answer = entries(&config, &ownership, &vm(0), members.iter(), "no-such-service");
-    assert_eq!(answer.entries.len(), ALTERNATES);
+    let response = entries(&config, &ownership, &vm(0), members.iter(), "no-such-service");
+    assert_eq!(response.entries.len(), MAX_ALTERNATES);
 }
--- a/crates/pistachiotrack-standins/src/caller.rs
+++ b/crates/pistachiotrack-standins/src/caller.rs
@@ -17,7 +17,7 @@
 use pistachiotrack_core::{
     header,
     request::Class,
-    steering::{Entry, EntryAnswer},
+    steering::{Entry, EntryResponse},
 };
 use rustc_hash::FxHashMap;
 use tokio::sync::Mutex;
@@ -247,7 +247,7 @@
         &self,
         operation: &Operation,
         address: SocketAddr,
-    ) -> anyhow::Result<EntryAnswer> {
+    ) -> anyhow::Result<EntryResponse> {
         let uri = format!("http://{address}{}?service={}", header::ENTRIES_PATH, operation.service);
         let request =
             Request::get(uri).header(header::CUSTOMER, operation.customer).body(Full::default())?;
--- a/crates/pistachiotrack/src/entries.rs
+++ b/crates/pistachiotrack/src/entries.rs
@@ -3,7 +3,7 @@
 use anyhow::Context as _;
 use hyper::{HeaderMap, StatusCode, header::HeaderValue};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
-use pistachiotrack_core::{header, steering::EntryAnswer};
+use pistachiotrack_core::{header, steering::EntryResponse};
 
 use crate::{
     config::EntriesConfig,
@@ -42,7 +42,7 @@
     if answer.status != StatusCode::OK {
         return Err(Error::from(HttpError::Status { address, path, status: answer.status }).into());
     }
-    let entries: EntryAnswer = serde_json::from_slice(&answer.body)
+    let entries: EntryResponse = serde_json::from_slice(&answer.body)
         .map_err(|cause| Error::from(HttpError::Body { address, path, cause }))?;
     print(config, &entries)?;
     Ok(ExitCode::Success)
@@ -62,7 +62,7 @@
     )
 }
 
-fn print(config: &EntriesConfig, answer: &EntryAnswer) -> anyhow::Result<()> {
+fn print(config: &EntriesConfig, answer: &EntryResponse) -> anyhow::Result<()> {
     if config.json {
         return output::print_json(answer);
     }
--- a/crates/pistachiotrackd/src/dialect.rs
+++ b/crates/pistachiotrackd/src/dialect.rs
@@ -15,7 +15,7 @@
     rate_limit::{RateLimit, RateLimitError},
     refusal::Refusal,
     request::{Class, Report},
-    steering::EntryAnswer,
+    steering::EntryResponse,
 };
 
 pub use self::own::OwnDialect;
@@ -131,5 +131,5 @@
     fn read_entry_wish(&self, parts: &request::Parts) -> Option<EntryWish>;
 
     /// Builds the answer to a caller's question for addresses.
-    fn write_entries(&self, answer: &EntryAnswer) -> Response<Bytes>;
+    fn write_entries(&self, answer: &EntryResponse) -> Response<Bytes>;
 }
--- a/crates/pistachiotrackd/src/dialect/own.rs
+++ b/crates/pistachiotrackd/src/dialect/own.rs
@@ -13,7 +13,7 @@
     name::Name,
     refusal::Refusal,
     request::{Class, Report},
-    steering::EntryAnswer,
+    steering::EntryResponse,
 };
 
 use super::{
@@ -116,7 +116,7 @@
         None
     }
 
-    fn write_entries(&self, answer: &EntryAnswer) -> Response<Bytes> {
+    fn write_entries(&self, answer: &EntryResponse) -> Response<Bytes> {
         let mut response = Response::new(serde_json::to_vec(answer).unwrap_or_default().into());
         let json = HeaderValue::from_static("application/json");
         response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/pistachiotrackd/src/entries.rs
+++ b/crates/pistachiotrackd/src/entries.rs
@@ -6,7 +6,7 @@
 use percent_encoding::percent_decode_str;
 use pistachiotrack_core::{
     header,
-    steering::{self, EntryQuestion, HostQuestion},
+    steering::{self, EntryQuery, HostQuery},
 };
 use serde::Serialize;
 
@@ -41,14 +41,14 @@
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     }
-    let question = EntryQuestion {
+    let question = EntryQuery {
         config: &active.config,
         ownership: &view.ownership,
         me: &context.me,
         service: &service,
         customer: headers::text(&parts.headers, header::CUSTOMER).unwrap_or_default(),
     };
-    answer::json(&steering::entries_for(question, view.members.iter()))
+    answer::json(&steering::entries_for_query(question, view.members.iter()))
 }
 
 /// Returns the service that a query names; empty if it names none.
@@ -72,14 +72,14 @@
     let Some(active) = &view.active else {
         return Ok(answer::no_config(&*context.dialect));
     };
-    let question = HostQuestion {
+    let question = HostQuery {
         config: &active.config,
         ownership: &view.ownership,
         me: &context.me,
         host: &wish.host,
         data_centre: wish.data_centre.as_deref(),
     };
-    let entries = steering::entries_of_host(question, view.members.iter());
+    let entries = steering::entries_for_host(question, view.members.iter());
     Ok(context.dialect.write_entries(&entries).map(AnswerBody::whole))
 }
 
--- a/crates/pistachiotrackd/tests/serve.rs
+++ b/crates/pistachiotrackd/tests/serve.rs
@@ -3,7 +3,7 @@
 mod testenv;
 
 use hyper::Method;
-use pistachiotrack_core::{header, steering::UNSTEADY_LIFETIME_DIVISOR};
+use pistachiotrack_core::{header, steering::UNSTABLE_LIFETIME_DIVISOR};
 use testenv::{Deployment, ENTRY_LIFETIME_MS, client, endpoint::Endpoint};
 
 #[tokio::test]
@@ -41,7 +41,7 @@
     let answer = client::admin(deployment.address(), &path).await;
     assert_eq!(answer["entries"][0]["address"], deployment.address().to_string());
     // A daemon that has just started is not a steady owner yet.
-    let lifetimes_ms = [ENTRY_LIFETIME_MS / UNSTEADY_LIFETIME_DIVISOR, ENTRY_LIFETIME_MS];
+    let lifetimes_ms = [ENTRY_LIFETIME_MS / UNSTABLE_LIFETIME_DIVISOR, ENTRY_LIFETIME_MS];
     assert!(lifetimes_ms.contains(&answer["lifetime_ms"].as_u64().unwrap()));
 }
 
