--- a/crates/pistachiotrack-core/src/ownership.rs
+++ b/crates/pistachiotrack-core/src/ownership.rs
@@ -1,9 +1,9 @@
-//! Which VM owns which shard of which service.
+//! Ownership of the shards of services by VMs.
 //!
-//! Each VM computes the owners alone from its view of the fleet: the winner of
-//! rendezvous hashing among the VMs that have been alive for some time. A living
-//! owner keeps its shard until a settled VM with a better score is there; the
-//! shards of a VM that died or leaves move at once.
+//! Each VM computes the owners independently from its view of the fleet: the VM with the
+//! highest rendezvous hashing score among the settled ones, which have been alive for some
+//! time. A live owner keeps its shard until a settled VM with a higher score appears; the
+//! shards of a dead or leaving VM are reassigned at once.
 
 mod candidate;
 mod dispatchers;
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use self::{
-    candidate::{Candidates, News},
+    candidate::{CandidateChanges, Candidates},
     dispatchers::Dispatchers,
     placement::{Placement, Pool},
 };
@@ -48,7 +48,7 @@
         .collect()
 }
 
-/// Returns the shard that a name, such as an endpoint's or an idempotency
+/// Returns the index of the shard that a name, such as an endpoint's name or an idempotency
 /// key, belongs to.
 pub fn rendezvous_shard(name: &str, count: u32) -> u32 {
     let key = hash::fnv(name.as_bytes());
@@ -59,26 +59,26 @@
 #[derive(Clone, Debug)]
 pub struct OwnershipSettings {
     /// Time for which a VM must have been alive before it takes shards over
-    /// from a living owner.
+    /// from a live owner.
     pub settle_ms: u64,
-    /// Longest such time of a VM that flaps; it doubles with each flap.
+    /// Upper limit of this time for a flapping VM; it doubles with each flap.
     pub max_hold_down_ms: u64,
-    /// Time without a flap after which earlier ones don't count any more.
-    pub flap_memory_ms: u64,
+    /// Time without a flap after which the number of flaps is reset.
+    pub flap_reset_ms: u64,
 }
 
 impl Default for OwnershipSettings {
     fn default() -> OwnershipSettings {
-        OwnershipSettings { settle_ms: 3_000, max_hold_down_ms: 60_000, flap_memory_ms: 300_000 }
+        OwnershipSettings { settle_ms: 3_000, max_hold_down_ms: 60_000, flap_reset_ms: 300_000 }
     }
 }
 
-/// A change of what this VM owns.
+/// A change of the set of shards that this VM owns.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OwnershipChange {
-    /// This VM owns the shard now.
+    /// This VM became the owner of the shard.
     Gained(ShardId),
-    /// Another VM owns the shard now.
+    /// Another VM became the owner of the shard.
     Lost {
         /// The shard.
         shard: ShardId,
@@ -101,7 +101,7 @@
     since: Time,
 }
 
-/// The owners of all shards as this VM sees them.
+/// The owners of all shards as this VM computes them.
 #[derive(Clone, Debug)]
 pub struct Ownership {
     me: Vm,
@@ -111,7 +111,7 @@
     shards: FxHashMap<ShardId, Shard>,
     owned: BTreeSet<ShardId>,
     dispatchers: Dispatchers,
-    config_seen: Option<(u64, usize, usize)>,
+    applied_config: Option<(u64, usize, usize)>,
     revision: u64,
     now: Time,
 }
@@ -127,16 +127,16 @@
             shards: FxHashMap::default(),
             owned: BTreeSet::new(),
             dispatchers: Dispatchers::default(),
-            config_seen: None,
+            applied_config: None,
             revision: 0,
             now: Time::ZERO,
         }
     }
 
-    /// Works out the owners anew from the configuration and the members.
+    /// Recomputes the owners from the configuration and the members.
     ///
-    /// Without news it costs one look at each member; with news only the shards
-    /// of VMs that went are chosen anew, and a VM that came is compared with each
+    /// Without changes this only iterates over the members. With changes, only the shards of
+    /// VMs that are gone are reassigned, and each newly eligible VM is compared with each
     /// owner once.
     pub fn update<'a>(
         &mut self,
@@ -146,37 +146,39 @@
     ) -> Vec<OwnershipChange> {
         self.now = now;
         let alive_since = *self.alive_since.get_or_insert(now);
-        let news = self.candidates.observe(now, &self.me, alive_since, self.leaving, members);
-        let reshaped = self.take_config(config);
-        if news.is_empty() && !reshaped {
+        let candidate_changes =
+            self.candidates.observe(now, &self.me, alive_since, self.leaving, members);
+        let shards_changed = self.apply_config(config);
+        if candidate_changes.is_empty() && !shards_changed {
             return Vec::new();
         }
         self.revision += 1;
         self.dispatchers.update(config, &self.candidates);
-        self.reassign(now, &news)
+        self.reassign(now, &candidate_changes)
     }
 
-    /// Returns the VMs that dispatch for a shared service side by side, in all
-    /// data centres; empty for a service whose shards have owners.
+    /// Returns the VMs that dispatch concurrently for a shared service, in all data
+    /// centres; empty for a service whose shards have owners.
     pub fn dispatchers(&self, service: &str) -> &[Vm] {
-        self.dispatchers.of(service)
+        self.dispatchers.for_service(service)
     }
 
-    /// Returns a number that goes up whenever an update found news, so that a
-    /// copy of the owners need only be renewed then. A member that becomes
-    /// suspected without any other news changes [`Ownership::is_owner_stable`]
-    /// and not this number.
+    /// Returns a number that increases with each update that found changes, so that a copy
+    /// of the owners need only be refreshed then. A member that becomes suspected without
+    /// any other change affects [`Ownership::is_owner_stable`] but not this number.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Sets whether this VM leaves; it then owns nothing unless nobody else can.
+    /// Sets whether this VM is leaving; a leaving VM owns no shards unless there is no
+    /// other VM.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Returns the shards that this VM owns and who takes each over once it leaves.
-    pub fn heirs<'a>(
+    /// Returns the shards that this VM owns, each with the VM that will own it once this
+    /// one leaves.
+    pub fn successors<'a>(
         &self,
         now: Time,
         config: &Config,
@@ -191,18 +193,18 @@
         without_me.update(now, config, members).into_iter().filter_map(lost).collect()
     }
 
-    /// Returns whether this VM leaves.
+    /// Returns whether this VM is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Sets the moment since which the others have counted this VM as alive.
+    /// Sets the time since which the other VMs have considered this VM alive.
     ///
-    /// A VM that was paused for so long that it was declared dead still has its
-    /// old shards in mind while others own them. A later moment than before has
-    /// it give them up and settle like a new VM, as the others expect of it.
+    /// A VM that was declared dead during a pause still has its old shards while other VMs
+    /// own them. A later time than before makes it release them and settle like a new VM,
+    /// which is what the other VMs compute for it.
     pub fn set_alive_since(&mut self, since: Time) {
-        if self.alive_since.is_some_and(|old| since > old) {
+        if self.alive_since.is_some_and(|previous| since > previous) {
             self.candidates.restart(&self.me.name);
         }
         self.alive_since = Some(since);
@@ -218,27 +220,28 @@
         self.shards.get(shard)?.owner.as_ref().map(|owner| &owner.vm)
     }
 
-    /// Returns the last other owner of a shard, which a hand-over can be asked
-    /// from if it still lives.
+    /// Returns the previous owner of a shard, which a hand-over can be requested from if it
+    /// is still alive.
     pub fn previous_owner(&self, shard: &ShardId) -> Option<&Vm> {
         self.shards.get(shard)?.previous.as_ref()
     }
 
-    /// Returns the moment since which the shard's owner has owned it.
+    /// Returns the time since which the current owner has owned the shard.
     pub fn owner_since(&self, shard: &ShardId) -> Option<Time> {
         self.shards.get(shard)?.owner.as_ref().map(|owner| owner.since)
     }
 
-    /// Returns whether the owner has been alive for long enough and is not
-    /// suspected, so that other VMs most likely see the same owner.
+    /// Returns whether the owner is settled and not suspected, so that other VMs most likely
+    /// compute the same owner.
     pub fn is_owner_stable(&self, shard: &ShardId) -> bool {
         let Some(owner) = self.shards.get(shard).and_then(|shard| shard.owner.as_ref()) else {
             return false;
         };
-        self.candidates.get(&owner.vm.name).is_some_and(|candidate| candidate.can_win())
+        self.candidates.get(&owner.vm.name).is_some_and(|candidate| candidate.is_eligible())
     }
 
-    /// Returns whether a VM has been alive for long enough to take shards over.
+    /// Returns whether a VM has been alive for long enough to take over shards of live
+    /// owners.
     pub fn is_settled(&self, vm: &Name) -> bool {
         self.candidates.get(vm).is_some_and(|candidate| candidate.settled)
     }
@@ -248,20 +251,20 @@
         self.owned.iter()
     }
 
-    /// Takes the shards of a configuration; returns whether any changed.
-    fn take_config(&mut self, config: &Config) -> bool {
+    /// Applies a configuration; returns whether it differs from the last one.
+    fn apply_config(&mut self, config: &Config) -> bool {
         let endpoints = config.services.iter().map(|service| service.endpoints.len()).sum();
-        let seen = Some((config.version, config.services.len(), endpoints));
-        if self.config_seen == seen {
+        let applied = Some((config.version, config.services.len(), endpoints));
+        if self.applied_config == applied {
             return false;
         }
-        self.config_seen = seen;
+        self.applied_config = applied;
         let mut old = std::mem::take(&mut self.shards);
         for service in &config.services {
             for (id, placement) in placements(service) {
                 let shard = match old.remove(&id) {
                     Some(shard) if shard.placement == placement => shard,
-                    // Scores of the old weights mean nothing any more.
+                    // Scores computed with the old weights aren't comparable.
                     Some(Shard { owner, previous, .. }) => {
                         Shard { placement, owner: owner.map(without_score), previous }
                     }
@@ -274,13 +277,22 @@
         true
     }
 
-    fn reassign(&mut self, now: Time, news: &News) -> Vec<OwnershipChange> {
+    fn reassign(
+        &mut self,
+        now: Time,
+        candidate_changes: &CandidateChanges,
+    ) -> Vec<OwnershipChange> {
         let pool = Pool::new(&self.candidates);
-        let nobody_settled = !self.candidates.iter().any(|candidate| candidate.can_win());
-        let rivals = if nobody_settled { &news.came } else { &news.winners };
+        let none_eligible = !self.candidates.iter().any(|candidate| candidate.is_eligible());
+        let challengers = if none_eligible {
+            &candidate_changes.joined
+        } else {
+            &candidate_changes.newly_eligible
+        };
         let mut changes = Vec::new();
         for (id, shard) in &mut self.shards {
-            let Some((vm, score)) = choose(shard, &self.candidates, &pool, rivals) else {
+            let Some((vm, score)) = choose_owner(shard, &self.candidates, &pool, challengers)
+            else {
                 continue;
             };
             let old = shard.owner.as_ref();
@@ -291,13 +303,13 @@
                 }
                 continue;
             }
-            let was_mine = self.owned.contains(id);
+            let was_owned = self.owned.contains(id);
             if vm.name == self.me.name {
                 self.owned.insert(id.clone());
-                if !was_mine {
+                if !was_owned {
                     changes.push(OwnershipChange::Gained(id.clone()));
                 }
-            } else if was_mine {
+            } else if was_owned {
                 self.owned.remove(id);
                 changes.push(OwnershipChange::Lost { shard: id.clone(), to: vm.name.clone() });
             }
@@ -309,32 +321,35 @@
     }
 }
 
-/// Returns the owner that a shard should get, if it isn't the one it has.
-fn choose(
+/// Returns the owner that a shard should have and its score; `None` to keep the current one.
+fn choose_owner(
     shard: &Shard,
     candidates: &Candidates,
     pool: &Pool<'_>,
-    rivals: &[Name],
+    challengers: &[Name],
 ) -> Option<(Vm, f64)> {
     let best = || {
         let (candidate, score) = shard.placement.best(pool)?;
         Some((candidate.vm.clone(), score))
     };
     let Some(owner) = &shard.owner else { return best() };
-    if !candidates.is_there_since(&owner.vm, owner.since) || owner.score.is_nan() {
+    if !candidates.is_present_since(&owner.vm, owner.since) || owner.score.is_nan() {
         return best();
     }
-    let rivals = || rivals.iter().filter_map(|name| candidates.get(name));
-    // A new VM that has not met the fleet yet owns everything. Those that were
-    // settled before it took a shard owned it all the while, whatever the score.
-    let fresh = candidates.get(&owner.vm.name).is_some_and(|candidate| !candidate.settled);
+    let challengers = || challengers.iter().filter_map(|name| candidates.get(name));
+    // A new VM that has not joined the fleet yet computes itself as the owner of every shard.
+    // VMs that had settled before that were the owners all along, whatever the score.
+    let is_unsettled = candidates.get(&owner.vm.name).is_some_and(|candidate| !candidate.settled);
     let since_us = owner.since.as_micros() as i64;
-    if fresh && rivals().any(|rival| rival.can_win() && rival.settles_at_us <= since_us) {
+    if is_unsettled
+        && challengers()
+            .any(|challenger| challenger.is_eligible() && challenger.settles_at_us <= since_us)
+    {
         return best();
     }
-    let scored = rivals().map(|rival| (rival, shard.placement.score(rival)));
-    let (rival, score) = scored.max_by(|(_, left), (_, right)| left.total_cmp(right))?;
-    (score > owner.score).then(|| (rival.vm.clone(), score))
+    let scored = challengers().map(|challenger| (challenger, shard.placement.score(challenger)));
+    let (challenger, score) = scored.max_by(|(_, left), (_, right)| left.total_cmp(right))?;
+    (score > owner.score).then(|| (challenger.vm.clone(), score))
 }
 
 fn without_score(owner: Owner) -> Owner {
--- a/crates/pistachiotrack-core/src/ownership/candidate.rs
+++ b/crates/pistachiotrack-core/src/ownership/candidate.rs
@@ -1,4 +1,4 @@
-//! The VMs that may own shards, and since when.
+//! The VMs that can own shards, with their settling and flapping state.
 
 use std::time::Duration;
 
@@ -13,53 +13,53 @@
     vm::Vm,
 };
 
-/// A VM that owns shards or may own some.
+/// A VM that can own shards.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     pub(super) vm: Vm,
     /// Hash of the name.
     pub(super) key: u64,
-    /// Whether it is there: alive, or suspected after it was alive.
+    /// Whether it is alive, or suspected after it was alive.
     pub(super) present: bool,
-    /// Whether it is alive without suspicion.
+    /// Whether it is alive and not suspected.
     pub(super) alive: bool,
     /// Whether it has been alive for long enough to take shards over.
     pub(super) settled: bool,
-    /// Moment from which it counts as settled, in microseconds of this VM's
-    /// clock; negative when it was before the clock's start.
+    /// Time from which it is settled, in microseconds of this VM's clock; negative if it is
+    /// before the clock's start.
     pub(super) settles_at_us: i64,
     present_since: Time,
     flaps: u32,
     changed_at: Time,
-    seen_in: u64,
+    last_seen_round: u64,
 }
 
 impl Candidate {
-    /// Returns whether it may take a shard from a living owner.
-    pub(super) fn can_win(&self) -> bool {
+    /// Returns whether it may take over a shard of a live owner.
+    pub(super) fn is_eligible(&self) -> bool {
         self.present && self.alive && self.settled
     }
 }
 
-/// What a look at the members brought to light.
+/// Differences between the candidates and the members.
 #[derive(Debug, Default)]
-pub(super) struct News {
-    /// Whether a VM went away, or came back as another incarnation.
+pub(super) struct CandidateChanges {
+    /// Whether a VM is gone, or was replaced by another incarnation.
     pub(super) gone: bool,
-    /// VMs that may take shards over now and could not before.
-    pub(super) winners: Vec<Name>,
-    /// VMs that came, settled or not.
-    pub(super) came: Vec<Name>,
+    /// VMs that may take shards over now and couldn't before.
+    pub(super) newly_eligible: Vec<Name>,
+    /// VMs that became present, settled or not.
+    pub(super) joined: Vec<Name>,
 }
 
-impl News {
+impl CandidateChanges {
     pub(super) fn is_empty(&self) -> bool {
-        !self.gone && self.winners.is_empty() && self.came.is_empty()
+        !self.gone && self.newly_eligible.is_empty() && self.joined.is_empty()
     }
 }
 
-/// What is seen of one VM at one moment.
-struct Sight<'a> {
+/// State of one VM at one time.
+struct Observation<'a> {
     vm: &'a Vm,
     present: bool,
     alive: bool,
@@ -88,32 +88,32 @@
         self.by_name.values().filter(|candidate| candidate.present)
     }
 
-    /// Returns whether the very daemon `vm` has been there since `moment`.
-    pub(super) fn is_there_since(&self, vm: &Vm, moment: Time) -> bool {
+    /// Returns whether this incarnation of `vm` has been present since `time`.
+    pub(super) fn is_present_since(&self, vm: &Vm, time: Time) -> bool {
         self.get(&vm.name).is_some_and(|candidate| {
             candidate.present
                 && candidate.vm.incarnation == vm.incarnation
-                && candidate.present_since <= moment
+                && candidate.present_since <= time
         })
     }
 
-    /// Compares the candidates with the members and this VM.
+    /// Updates the candidates from the members and this VM; returns the differences.
     pub(super) fn observe<'a>(
         &mut self,
         now: Time,
         me: &Vm,
-        my_alive_since: Time,
+        own_alive_since: Time,
         leaving: bool,
         members: impl Iterator<Item = &'a Member>,
-    ) -> News {
+    ) -> CandidateChanges {
         let started = *self.started.get_or_insert(now);
         self.round += 1;
-        let mut news = News::default();
-        let my_age_us = now.since(my_alive_since).as_micros() as i64;
-        let mine = Sight { vm: me, present: !leaving, alive: !leaving, age_us: my_age_us };
-        self.see(now, &mine, &mut news);
+        let mut changes = CandidateChanges::default();
+        let own_age_us = now.since(own_alive_since).as_micros() as i64;
+        let own = Observation { vm: me, present: !leaving, alive: !leaving, age_us: own_age_us };
+        self.observe_vm(now, &own, &mut changes);
         for member in members {
-            // Incarnation 0 is a line of the platform's list that nobody heard.
+            // Incarnation 0 is a VM of the platform's list that has never responded.
             let known = member.vm.incarnation > 0;
             let alive = known && member.state == MemberState::Alive;
             let present =
@@ -123,19 +123,28 @@
                 continue;
             }
             let age_us = age_us(now, started, me, member);
-            self.see(now, &Sight { vm: &member.vm, present, alive, age_us }, &mut news);
+            self.observe_vm(
+                now,
+                &Observation { vm: &member.vm, present, alive, age_us },
+                &mut changes,
+            );
         }
-        self.sweep(now, &mut news);
-        news
+        self.mark_absent(now, &mut changes);
+        changes
     }
 
-    fn see(&mut self, now: Time, sight: &Sight<'_>, news: &mut News) {
+    fn observe_vm(
+        &mut self,
+        now: Time,
+        observation: &Observation<'_>,
+        changes: &mut CandidateChanges,
+    ) {
         let round = self.round;
-        let candidate = match self.by_name.get_mut(&sight.vm.name) {
+        let candidate = match self.by_name.get_mut(&observation.vm.name) {
             Some(candidate) => candidate,
-            None => self.by_name.entry(sight.vm.name.clone()).or_insert(Candidate {
-                vm: sight.vm.clone(),
-                key: hash::fnv(sight.vm.name.as_bytes()),
+            None => self.by_name.entry(observation.vm.name.clone()).or_insert(Candidate {
+                vm: observation.vm.clone(),
+                key: hash::fnv(observation.vm.name.as_bytes()),
                 present: false,
                 alive: false,
                 settled: false,
@@ -143,60 +152,61 @@
                 present_since: now,
                 flaps: 0,
                 changed_at: now,
-                seen_in: 0,
+                last_seen_round: 0,
             }),
         };
-        let is_new = candidate.seen_in == 0;
-        candidate.seen_in = round;
-        let replaced = candidate.vm.incarnation != sight.vm.incarnation;
-        let could_win = candidate.can_win() && !replaced;
+        let is_new = candidate.last_seen_round == 0;
+        candidate.last_seen_round = round;
+        let replaced = candidate.vm.incarnation != observation.vm.incarnation;
+        let was_eligible = candidate.is_eligible() && !replaced;
         let was_present = candidate.present && !replaced;
-        news.gone |= candidate.present && (replaced || !sight.present);
+        changes.gone |= candidate.present && (replaced || !observation.present);
         if replaced {
-            candidate.vm = sight.vm.clone();
+            candidate.vm = observation.vm.clone();
         }
-        if sight.present && !was_present {
+        if observation.present && !was_present {
             if !is_new {
                 candidate.flaps += 1;
             }
             let hold_us = hold_down(&self.settings, candidate.flaps).as_micros() as i64;
-            candidate.settles_at_us = now.as_micros() as i64 - sight.age_us + hold_us;
+            candidate.settles_at_us = now.as_micros() as i64 - observation.age_us + hold_us;
             candidate.present_since = now;
             candidate.changed_at = now;
-            news.came.push(sight.vm.name.clone());
+            changes.joined.push(observation.vm.name.clone());
         }
-        if was_present && !sight.present {
+        if was_present && !observation.present {
             candidate.changed_at = now;
         }
-        candidate.present = sight.present;
-        candidate.alive = sight.alive;
-        candidate.settled = sight.present && now.as_micros() as i64 >= candidate.settles_at_us;
-        let memory = Duration::from_millis(self.settings.flap_memory_ms);
-        if candidate.settled && now.since(candidate.changed_at) >= memory {
+        candidate.present = observation.present;
+        candidate.alive = observation.alive;
+        candidate.settled =
+            observation.present && now.as_micros() as i64 >= candidate.settles_at_us;
+        let reset = Duration::from_millis(self.settings.flap_reset_ms);
+        if candidate.settled && now.since(candidate.changed_at) >= reset {
             candidate.flaps = 0;
         }
-        if candidate.can_win() && !could_win {
-            news.winners.push(sight.vm.name.clone());
+        if candidate.is_eligible() && !was_eligible {
+            changes.newly_eligible.push(observation.vm.name.clone());
         }
     }
 
-    /// Marks VMs that are no longer among the members as gone, and forgets those
-    /// that have been gone for so long that their flaps don't count any more.
-    fn sweep(&mut self, now: Time, news: &mut News) {
+    /// Marks VMs that are no longer among the members as absent, and removes those that have
+    /// been absent for so long that their number of flaps is reset.
+    fn mark_absent(&mut self, now: Time, changes: &mut CandidateChanges) {
         let round = self.round;
-        let memory = Duration::from_millis(self.settings.flap_memory_ms);
+        let reset = Duration::from_millis(self.settings.flap_reset_ms);
         self.by_name.retain(|_, candidate| {
-            if candidate.seen_in != round && candidate.present {
+            if candidate.last_seen_round != round && candidate.present {
                 candidate.present = false;
                 candidate.alive = false;
                 candidate.changed_at = now;
-                news.gone = true;
+                changes.gone = true;
             }
-            candidate.present || now.since(candidate.changed_at) < memory
+            candidate.present || now.since(candidate.changed_at) < reset
         });
     }
 
-    /// Has this VM start over, because the others declared it dead meanwhile.
+    /// Makes this VM settle again because other VMs declared it dead in the meantime.
     pub(super) fn restart(&mut self, name: &Name) {
         if let Some(candidate) = self.by_name.get_mut(name) {
             candidate.present = false;
@@ -205,9 +215,10 @@
     }
 }
 
-/// Returns the time for which a VM must have been alive before it takes shards
-/// over; it doubles with each flap after the first, so a flapping VM stops moving
-/// shards. The first is left out because a restarted VM can't know of it.
+/// Returns the time for which a VM must have been alive before it takes shards over.
+///
+/// It doubles with each flap after the first, so that a flapping VM stops moving shards. The
+/// first flap is not counted because a restarted VM doesn't have a record of it.
 fn hold_down(settings: &OwnershipSettings, flaps: u32) -> Duration {
     let doubled = settings.settle_ms.saturating_mul(1 << flaps.saturating_sub(1).min(16));
     Duration::from_millis(doubled.min(settings.max_hold_down_ms.max(settings.settle_ms)))
@@ -215,9 +226,9 @@
 
 /// Returns how long a member has been alive.
 ///
-/// A member that was there before this VM's clock began has a `since` cut off at
-/// the clock's start. Its incarnation, the Unix time of its start, then tells
-/// more: without it a new VM would hold an old fleet for as new as itself.
+/// For a member that is older than this VM's clock, `since` is truncated to the clock's
+/// start. Its incarnation, which is the Unix time of its start, then gives its age; without
+/// it a new VM would consider the whole fleet as new as itself.
 fn age_us(now: Time, started: Time, me: &Vm, member: &Member) -> i64 {
     let seen_us = now.since(member.since).as_micros() as i64;
     if member.since > started {
--- a/crates/pistachiotrack-core/src/ownership/dispatchers.rs
+++ b/crates/pistachiotrack-core/src/ownership/dispatchers.rs
@@ -1,46 +1,48 @@
-//! Which VMs dispatch side by side for services without a single owner.
+//! Selection of the VMs that dispatch concurrently for shared services, which have no single
+//! owner.
 
 use std::collections::BTreeMap;
 
 use super::candidate::{Candidate, Candidates};
 use crate::{config::Config, hash, name::Name, vm::Vm};
 
-/// Services whose dispatchers are the same VMs, about. Callers of one host often
-/// use several services, and a VM that takes them all in sees all it needs.
-const GROUP_SERVICES: usize = 8;
+/// Average number of services with the same dispatchers. Callers of one host often use
+/// several services, and a VM that dispatches for all of them has all the state it needs.
+const SERVICES_PER_GROUP: usize = 8;
 
-/// The VMs that dispatch side by side, by group of services.
+/// The dispatchers of each group of services.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Dispatchers {
     groups: Vec<Vec<Vm>>,
 }
 
 impl Dispatchers {
-    /// Works the dispatchers out anew: in each data centre the VMs that win the
-    /// group by rendezvous hashing, among the strongest.
+    /// Recomputes the dispatchers: for each group and data centre, the VMs with the highest
+    /// rendezvous hashing scores among those with the largest capacity.
     ///
-    /// Unlike an owner, a dispatcher that is new does no harm, so nobody has to
-    /// settle first.
+    /// Unlike a new owner, a new dispatcher does no harm, so VMs needn't settle first.
     pub(super) fn update(&mut self, config: &Config, candidates: &Candidates) {
         let shared = config.services.iter().filter(|service| service.is_shared());
-        let (mut services, mut wanted) = (0, 0);
+        let (mut services, mut per_data_centre) = (0, 0);
         for service in shared {
             services += 1;
-            wanted = wanted.max(service.dispatchers_per_data_centre as usize);
+            per_data_centre = per_data_centre.max(service.dispatchers_per_data_centre as usize);
         }
         let mut by_data_centre: BTreeMap<&Name, Vec<&Candidate>> = BTreeMap::new();
         for candidate in candidates.iter() {
             by_data_centre.entry(&candidate.vm.data_centre).or_default().push(candidate);
         }
-        let groups = services_to_groups(services);
+        let groups = group_count(services);
         for candidates in by_data_centre.values_mut() {
-            keep_strongest(candidates, groups * wanted);
+            retain_highest_capacity(candidates, groups * per_data_centre);
         }
-        self.groups = (0..groups).map(|group| winners(group, &by_data_centre, wanted)).collect();
+        self.groups = (0..groups)
+            .map(|group| group_dispatchers(group, &by_data_centre, per_data_centre))
+            .collect();
     }
 
     /// Returns the dispatchers of a service.
-    pub(super) fn of(&self, service: &str) -> &[Vm] {
+    pub(super) fn for_service(&self, service: &str) -> &[Vm] {
         if self.groups.is_empty() {
             return &[];
         }
@@ -49,34 +51,35 @@
     }
 }
 
-fn services_to_groups(services: usize) -> usize {
-    services.div_ceil(GROUP_SERVICES)
+fn group_count(services: usize) -> usize {
+    services.div_ceil(SERVICES_PER_GROUP)
 }
 
-/// Leaves as many VMs as all groups need, those with the largest capacity and all
-/// that are equal to the last of these.
+/// Retains the `needed` VMs with the largest capacity, and all with the same capacity as the
+/// last of these.
 ///
-/// A dispatcher has a large part of a service's requests on its link and processor. Hashing
-/// alone chooses weak VMs too, where requests wait. Where groups are many, nobody is left
-/// out.
-fn keep_strongest(candidates: &mut Vec<&Candidate>, needed: usize) {
+/// A dispatcher handles a large part of a service's requests with its link and processor.
+/// Hashing alone would also select VMs with a small capacity, where requests would wait. With
+/// many groups no VM is removed.
+fn retain_highest_capacity(candidates: &mut Vec<&Candidate>, needed: usize) {
     candidates.sort_by_key(|candidate| std::cmp::Reverse(candidate.vm.capacity));
     let Some(last) = needed.checked_sub(1).and_then(|last| candidates.get(last)) else { return };
-    let least = last.vm.capacity;
-    candidates.retain(|candidate| candidate.vm.capacity >= least);
+    let min_capacity = last.vm.capacity;
+    candidates.retain(|candidate| candidate.vm.capacity >= min_capacity);
 }
 
-fn winners(
+fn group_dispatchers(
     group: usize,
     by_data_centre: &BTreeMap<&Name, Vec<&Candidate>>,
-    wanted: usize,
+    per_data_centre: usize,
 ) -> Vec<Vm> {
     let key = hash::mix(group as u64 + 1);
-    let mut winners = Vec::new();
+    let mut dispatchers = Vec::new();
     for candidates in by_data_centre.values() {
         let mut ranked = candidates.clone();
         ranked.sort_by_key(|candidate| std::cmp::Reverse(hash::pair(key, candidate.key)));
-        winners.extend(ranked.into_iter().take(wanted).map(|candidate| candidate.vm.clone()));
+        dispatchers
+            .extend(ranked.into_iter().take(per_data_centre).map(|candidate| candidate.vm.clone()));
     }
-    winners
+    dispatchers
 }
--- a/crates/pistachiotrack-core/tests/ownership.rs
+++ b/crates/pistachiotrack-core/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Owners of shards: spread, hysteresis and agreement with a plain computation.
+//! Owners of shards: distribution, hysteresis and agreement with a non-incremental computation.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -72,7 +72,7 @@
         .collect()
 }
 
-/// An ownership of VM 0 that has seen `members` for long enough.
+/// The ownership as VM 0 computes it after all of `members` have settled.
 fn settled(config: &Config, members: &[Member]) -> Ownership {
     let mut ownership = Ownership::new(vm(0, 1), OwnershipSettings::default());
     ownership.update(Time::from_millis(START_MS), config, members.iter());
@@ -113,14 +113,14 @@
         let others = alive((0..12).filter(|number| *number != me));
         ownership.update(Time::from_millis(START_MS), &config, others.iter());
         ownership.update(Time::from_millis(START_MS + SETTLE_MS), &config, others.iter());
-        assert_eq!(owners(&ownership, &config), first, "as VM {me} sees it");
+        assert_eq!(owners(&ownership, &config), first, "as VM {me} computes it");
     }
 }
 
 #[test]
 fn owners_are_near_the_endpoints_and_evenly_loaded() {
-    // All endpoints are in one data centre of three. An owner elsewhere would pay
-    // the way between data centres on each request.
+    // All endpoints are in one data centre of three. An owner in another one would add the
+    // latency between data centres to each request.
     let config = config(1_000, &[2]);
     let owners = owners(&settled(&config, &alive(1..48)), &config);
     let mut loads: HashMap<&Name, usize> = HashMap::new();
@@ -137,8 +137,8 @@
 
 #[test]
 fn only_the_shards_of_a_dead_owner_move() {
-    // A VM dies. If other shards moved too, their queues and evidence would be
-    // lost for nothing.
+    // A VM dies. If shards of other owners moved too, their queues and health state would be
+    // lost needlessly.
     let config = config(200, &[1, 2, 3]);
     let mut members = alive(1..12);
     let mut ownership = settled(&config, &members);
@@ -159,8 +159,8 @@
 
 #[test]
 fn suspected_owner_keeps_its_shards() {
-    // Lost datagrams cast suspicion on a VM, which refutes it a second later. Its
-    // shards must not move there and back.
+    // A VM is suspected because of lost datagrams and refutes that a second later. Its
+    // shards must not move away and back.
     let config = config(100, &[1, 2, 3]);
     let mut members = alive(1..12);
     let mut ownership = settled(&config, &members);
@@ -175,32 +175,32 @@
 
 #[test]
 fn new_vm_takes_over_only_after_it_settled() {
-    // A VM is replaced under load. Taking shards over within its first moment
-    // would move them twice if it crashes again.
+    // A VM is replaced under load. If it took shards over at once, they would move twice if
+    // it crashes again.
     let config = config(100, &[1, 2, 3]);
     let mut members = alive(1..11);
     let mut ownership = settled(&config, &members);
     let before = owners(&ownership, &config);
-    let came_ms = START_MS + 10_000;
-    members.push(member(11, MemberState::Alive, came_ms));
-    ownership.update(Time::from_millis(came_ms), &config, members.iter());
+    let joined_ms = START_MS + 10_000;
+    members.push(member(11, MemberState::Alive, joined_ms));
+    ownership.update(Time::from_millis(joined_ms), &config, members.iter());
     assert_eq!(owners(&ownership, &config), before);
-    ownership.update(Time::from_millis(came_ms + SETTLE_MS - 1), &config, members.iter());
+    ownership.update(Time::from_millis(joined_ms + SETTLE_MS - 1), &config, members.iter());
     assert_eq!(owners(&ownership, &config), before);
-    ownership.update(Time::from_millis(came_ms + SETTLE_MS), &config, members.iter());
+    ownership.update(Time::from_millis(joined_ms + SETTLE_MS), &config, members.iter());
     assert_eq!(owners(&ownership, &config), owners(&settled(&config, &alive(1..12)), &config));
 }
 
 #[test]
-fn new_vm_leaves_shards_to_a_fleet_that_was_there_before() {
+fn new_vm_takes_no_shards_of_an_older_fleet() {
     // A new VM's clock starts at zero, so all members look as new as itself. Their
-    // incarnations tell that they are older; it must not own anything yet.
+    // incarnations show that they are older, so it must not own anything yet.
     let config = config(100, &[1, 2, 3]);
     let me = vm(0, 1_000_000_000);
     let mut ownership = Ownership::new(me.clone(), OwnershipSettings::default());
-    let nobody: [Member; 0] = [];
-    ownership.update(Time::ZERO, &config, nobody.iter());
-    assert_eq!(ownership.owned().count(), shards(&config).len(), "nobody else is known");
+    let no_members: [Member; 0] = [];
+    ownership.update(Time::ZERO, &config, no_members.iter());
+    assert_eq!(ownership.owned().count(), shards(&config).len(), "no other VM is known");
     let mut members = alive(1..12);
     for member in &mut members {
         member.since = Time::ZERO;
@@ -214,13 +214,13 @@
 
 #[test]
 fn flapping_vm_is_held_down_longer_each_time() {
-    // A VM crashes and comes back every ten seconds. Each return would take its
-    // shards over for a few seconds only.
+    // A VM crashes and restarts every ten seconds. Without the hold-down it would take its
+    // shards over for only a few seconds each time.
     let config = config(100, &[1, 2, 3]);
     let mut members = alive(1..12);
     let mut ownership = settled(&config, &members);
     let mut now_ms = START_MS + 10_000;
-    let mut moves = Vec::new();
+    let mut moved = Vec::new();
     for round in 0..6 {
         members[4].state = MemberState::Dead;
         ownership.update(Time::from_millis(now_ms), &config, members.iter());
@@ -231,20 +231,20 @@
             let now = Time::from_millis(now_ms + step * 100);
             ownership.update(now, &config, members.iter());
         }
-        moves.push(owners(&ownership, &config) != without);
+        moved.push(owners(&ownership, &config) != without);
         now_ms += 10_000;
     }
-    assert_eq!(moves, [true, true, false, false, false, false]);
+    assert_eq!(moved, [true, true, false, false, false, false]);
     ownership.update(Time::from_millis(now_ms + 60_000), &config, members.iter());
     assert_eq!(owners(&ownership, &config), owners(&settled(&config, &alive(1..12)), &config));
 }
 
 #[test]
-fn leaving_vm_gives_everything_up_at_once() {
+fn leaving_vm_releases_all_shards_at_once() {
     let config = config(100, &[1, 2, 3]);
     let members = alive(1..12);
     let mut ownership = settled(&config, &members);
-    let mine: Vec<ShardId> = ownership.owned().cloned().collect();
+    let owned: Vec<ShardId> = ownership.owned().cloned().collect();
     ownership.set_leaving(true);
     let changes = ownership.update(Time::from_millis(START_MS + 5_000), &config, members.iter());
     assert_eq!(ownership.owned().count(), 0);
@@ -255,18 +255,18 @@
             OwnershipChange::Gained(shard) => panic!("gained {shard:?}"),
         })
         .collect();
-    assert_eq!(lost, mine);
+    assert_eq!(lost, owned);
 }
 
 #[test]
-fn heirs_are_those_that_own_the_shards_after_the_leaving() {
+fn successors_own_the_shards_after_the_vm_leaves() {
     let config = config(100, &[1, 2, 3]);
     let members = alive(1..12);
     let mut ownership = settled(&config, &members);
     let before: Vec<ShardId> = ownership.owned().cloned().collect();
     let now = Time::from_millis(START_MS + 5_000);
-    let heirs = ownership.heirs(now, &config, members.iter());
-    assert_eq!(ownership.owned().cloned().collect::<Vec<_>>(), before, "nothing is given up yet");
+    let successors = ownership.successors(now, &config, members.iter());
+    assert_eq!(ownership.owned().cloned().collect::<Vec<_>>(), before, "no shard is released yet");
     ownership.set_leaving(true);
     let changes = ownership.update(now, &config, members.iter());
     let lost: Vec<(ShardId, Name)> = changes
@@ -276,28 +276,29 @@
             OwnershipChange::Gained(_) => None,
         })
         .collect();
-    assert_eq!(heirs, lost);
+    assert_eq!(successors, lost);
 }
 
 #[test]
-fn vm_declared_dead_while_paused_gives_its_shards_up() {
-    // A VM sleeps for a minute; others take its shards. It wakes and learns of its
-    // death. Until it settles again it must see the owners that the others see.
+fn vm_declared_dead_while_paused_releases_its_shards() {
+    // A VM is paused for a minute and other VMs take its shards over. It resumes and finds
+    // out that it was declared dead. Until it settles again it must compute the same owners
+    // as the others.
     let config = config(100, &[1, 2, 3]);
     let members = alive(1..12);
     let mut ownership = settled(&config, &members);
-    let woken_ms = START_MS + 60_000;
-    ownership.set_alive_since(Time::from_millis(woken_ms));
-    ownership.update(Time::from_millis(woken_ms), &config, members.iter());
+    let resumed_ms = START_MS + 60_000;
+    ownership.set_alive_since(Time::from_millis(resumed_ms));
+    ownership.update(Time::from_millis(resumed_ms), &config, members.iter());
     assert_eq!(ownership.owned().count(), 0);
-    ownership.update(Time::from_millis(woken_ms + 2 * SETTLE_MS), &config, members.iter());
+    ownership.update(Time::from_millis(resumed_ms + 2 * SETTLE_MS), &config, members.iter());
     assert!(ownership.owned().count() > 0, "after one flap it settles in twice the time");
 }
 
 #[test]
-fn incremental_updates_agree_with_a_plain_computation() {
-    // Random histories of members; at the end all are given time to settle, and
-    // the owners must be those of an ownership that sees the end state only.
+fn incremental_updates_agree_with_a_full_computation() {
+    // Random sequences of member states; at the end all members get time to settle, and the
+    // owners must equal those computed from the final state only.
     let config = config(20, &[1, 2]);
     let mut source = Gen::from_size_and_seed(10, 5);
     for case in 0..60 {
@@ -327,18 +328,18 @@
             now_ms += wait_ms;
             ownership.update(Time::from_millis(now_ms), &config, members.iter());
         }
-        let plain = settled(&config, &members);
-        assert_eq!(owners(&ownership, &config), owners(&plain, &config), "case {case}");
+        let full = settled(&config, &members);
+        assert_eq!(owners(&ownership, &config), owners(&full, &config), "case {case}");
     }
 }
 
-/// Every owner is this VM or a member that is there.
+/// Checks that every owner is this VM or a member that is alive or suspected.
 fn check_owners(ownership: &Ownership, config: &Config, members: &[Member]) {
     for (shard, owner) in owners(ownership, config) {
-        let there = members.iter().any(|member| {
+        let present = members.iter().any(|member| {
             member.vm.name == owner
                 && matches!(member.state, MemberState::Alive | MemberState::Suspect)
         });
-        assert!(owner == vm(0, 1).name || there, "{shard:?} is owned by {owner}");
+        assert!(owner == vm(0, 1).name || present, "{shard:?} is owned by {owner}");
     }
 }
--- a/crates/pistachiotrackd/src/fleet/leave.rs
+++ b/crates/pistachiotrackd/src/fleet/leave.rs
@@ -51,7 +51,7 @@
     fn hand_over_ahead(&self, now: Time) -> mpsc::Receiver<()> {
         let (told, all_told) = mpsc::channel(1);
         let Some(active) = &self.active else { return all_told };
-        let heirs = self.ownership.heirs(now, &active.config, self.membership.members());
+        let heirs = self.ownership.successors(now, &active.config, self.membership.members());
         for (shard, heir) in heirs {
             if active.service(&shard.service).is_some_and(Service::is_shared) {
                 continue;
