--- a/crates/pistachiotrack-core/benches/membership.rs
+++ b/crates/pistachiotrack-core/benches/membership.rs
@@ -12,7 +12,7 @@
 use membership_fleet::{Fleet, address, list, name, vm};
 use pistachiotrack_core::{
     membership::{Member, MemberState, Membership, MembershipAction, MembershipSettings},
-    message::{Codec, Datagram, Identity, Message, Place, Update},
+    message::{Codec, Datagram, Identity, MemberDetails, Message, Update},
     name::Name,
     ownership::{Ownership, OwnershipSettings},
     time::Time,
@@ -136,7 +136,7 @@
             incarnation: identity.incarnation,
             refutation: 0,
             state,
-            place: Some(Place {
+            details: Some(MemberDetails {
                 data_centre: vm.data_centre,
                 caller_address: vm.caller_address,
                 peer_address: vm.peer_address,
@@ -212,7 +212,7 @@
                 let changed = 1 + tick * 13 % (count - 1);
                 let leaving =
                     if tick % 420 == 0 { MemberState::Dead } else { MemberState::Leaving };
-                updates.push(Update { place: None, ..others.update(changed, leaving, 0) });
+                updates.push(Update { details: None, ..others.update(changed, leaving, 0) });
                 others.incarnations.insert(changed, vm(changed, now_ms).incarnation);
                 updates.push(others.update(changed, MemberState::Alive, 10));
                 events += 1;
@@ -262,7 +262,7 @@
             state: MemberState::Alive,
             since: Time::from_millis(1),
             config_version: None,
-            platform_answered: None,
+            last_platform_response: None,
         })
         .collect()
 }
--- a/crates/pistachiotrack-core/src/config_sync/standby.rs
+++ b/crates/pistachiotrack-core/src/config_sync/standby.rs
@@ -18,7 +18,7 @@
     /// Notes one of them.
     pub(super) fn note(&mut self, member: &Member, is_alive: bool) {
         self.alive += u32::from(is_alive);
-        self.answered.extend(member.platform_answered);
+        self.answered.extend(member.last_platform_response);
     }
 
     /// Returns the moment until which at least `watchers` of them had been answered.
--- a/crates/pistachiotrack-core/src/membership.rs
+++ b/crates/pistachiotrack-core/src/membership.rs
@@ -1,17 +1,17 @@
-//! Which VMs of the fleet are alive, as this VM sees it.
+//! Membership: the VMs of the fleet and their states as this VM sees them.
 //!
-//! A SWIM-like protocol over datagrams: each VM probes one member per interval,
-//! asks others to probe it when it doesn't answer, and passes statements about
-//! members on with its datagrams. A member counts as alive only when it answered
-//! a probe, so when it was heard both ways, by this VM or by one that this VM
-//! believes; a datagram that merely arrives proves one direction.
+//! A SWIM-like protocol over datagrams: each VM probes one member per interval, requests
+//! indirect probes from other VMs if it doesn't respond, and piggybacks updates about members
+//! on its datagrams. A member is considered alive only after it responded to a probe of this
+//! VM or of a VM that this one trusts, so after both directions worked; a datagram that
+//! merely arrives proves one direction.
 
 mod gossip;
 mod join;
 mod local_health;
 mod probe;
 mod pull;
-mod rumour;
+mod receive;
 mod settings;
 mod table;
 
@@ -35,14 +35,14 @@
 /// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Heard in both directions.
+    /// Reachable in both directions.
     Alive,
-    /// Not heard; others are asked. With incarnation 0: listed by the platform
-    /// and never heard.
+    /// Doesn't respond to probes, not confirmed as dead. With incarnation 0: listed by the
+    /// platform and has never responded.
     Suspect,
-    /// Stopping gracefully; gets no new work.
+    /// Shutting down gracefully; gets no new requests.
     Leaving,
-    /// Gone.
+    /// Declared dead.
     Dead,
 }
 
@@ -53,17 +53,17 @@
     pub vm: Vm,
     /// State as this VM sees it.
     pub state: MemberState,
-    /// Moment of the last change of state; for a member that is alive, the moment
-    /// since which it has not been dead.
+    /// Time of the last state change; for a live member, the time since which it has not
+    /// been dead.
     pub since: Time,
     /// Configuration version that the member last reported.
     pub config_version: Option<u64>,
-    /// Moment at which the platform's configuration service last answered the member, as far
-    /// as it has told.
-    pub platform_answered: Option<Time>,
+    /// Time at which the platform's configuration service last responded to the member, as
+    /// far as it has reported.
+    pub last_platform_response: Option<Time>,
 }
 
-/// What the caller of the membership has to do.
+/// An action that the caller of [`Membership`] has to perform, or an event for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Sends a datagram.
@@ -73,8 +73,8 @@
         /// Encoded message.
         bytes: Vec<u8>,
     },
-    /// A member changed its state; `members` shows the new one.
-    Changed {
+    /// The state of a member changed; [`Membership::member`] returns the new one.
+    StateChanged {
         /// The member.
         vm: Name,
     },
@@ -82,7 +82,7 @@
     ConfigVersion {
         /// The member.
         vm: Name,
-        /// Version it holds.
+        /// Its configuration version.
         version: u64,
     },
 }
@@ -103,15 +103,15 @@
     refutation: u32,
     alive_since: Time,
     /// Refutation number at the last tick.
-    ticked_refutation: u32,
-    /// Refutation number before the last pause, until this VM learns that it was
-    /// declared dead meanwhile.
-    paused_refutation: Option<u32>,
+    refutation_at_last_tick: u32,
+    /// Refutation number before the last pause, until this VM receives an update that it was
+    /// declared dead during it.
+    refutation_before_pause: Option<u32>,
     leaving: bool,
     listed_leaving: bool,
     superseded: bool,
     config_version: Option<u64>,
-    platform_answered: Option<Time>,
+    last_platform_response: Option<Time>,
     list_version: u64,
     now: Time,
 }
@@ -119,7 +119,7 @@
 type Actions = Vec<MembershipAction>;
 
 impl Membership {
-    /// Creates the membership of `me`, alone at first.
+    /// Creates the membership of `me`, which has no other members at first.
     pub fn new(now: Time, me: Vm, settings: MembershipSettings, seed: u64) -> Membership {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let probes = Probes::new(now, rng.random());
@@ -136,13 +136,13 @@
             join: Join::new(now),
             refutation: 0,
             alive_since: now,
-            ticked_refutation: 0,
-            paused_refutation: None,
+            refutation_at_last_tick: 0,
+            refutation_before_pause: None,
             leaving: false,
             listed_leaving: false,
             superseded: false,
             config_version: None,
-            platform_answered: None,
+            last_platform_response: None,
             list_version: 0,
             now,
         }
@@ -162,7 +162,7 @@
         self.now = now;
         let datagram = match self.codec.decode(bytes) {
             Ok(datagram) => datagram,
-            Err(DatagramError::Deployment) => return Ok(Vec::new()),
+            Err(DatagramError::WrongDeployment) => return Ok(Vec::new()),
             Err(error) => return Err(error.into()),
         };
         let mut actions = Vec::new();
@@ -172,60 +172,60 @@
         Ok(actions)
     }
 
-    /// Does what is due; called by the timer service.
+    /// Performs the actions that are due; called by the timer service.
     pub fn on_tick(&mut self, now: Time) -> Vec<MembershipAction> {
         self.now = now;
         let mut actions = Vec::new();
         if self.superseded {
             return actions;
         }
-        // First, so that a member just declared dead is still shown as such.
+        // This comes first, so that a member declared dead in this tick is still visible.
         self.table.forget(
             now,
             Duration::from_millis(self.settings.forget_ms),
             Duration::from_millis(self.settings.tombstone_ms),
         );
-        self.check_probes(now, &mut actions);
-        self.check_waiting(now, &mut actions);
-        self.check_pull(now, &mut actions);
-        self.join_due(now, &mut actions);
-        self.probe_due(now, &mut actions);
-        self.ticked_refutation = self.refutation;
+        self.process_probe_timeouts(now, &mut actions);
+        self.expire_unresponsive(now, &mut actions);
+        self.retry_overdue_pull(now, &mut actions);
+        self.query_seeds_if_due(now, &mut actions);
+        self.probe_if_due(now, &mut actions);
+        self.refutation_at_last_tick = self.refutation;
         actions
     }
 
-    /// Notes that this process was paused for `gap`.
+    /// Records that this process was paused for `gap`.
     ///
-    /// After a pause all probes look unanswered and all suspicions look run out,
-    /// though it was this VM that was away. Their timers start anew, rumours of
-    /// the old time are dropped, and the refutation number goes up so that
-    /// whoever declared this VM dead meanwhile verifies it again.
+    /// After a pause all probes look unanswered and all suspicions look expired, though the
+    /// cause was this VM. Their timers are restarted, queued updates from before the pause
+    /// are dropped, and the refutation number is increased so that VMs that declared this
+    /// one dead in the meantime verify it again.
     ///
-    /// Failure guarded against: a VM wakes up and goes on as owner of what others
-    /// have taken over. It shows as two owners of a shard for seconds. Whoever
-    /// verifies the VM as alive need not tell it of its death, so the guard holds
-    /// without being told: a pause in which the others may have declared this VM
-    /// dead has it settle anew. How long they wait is for their own health to
-    /// lengthen, so this VM reckons with well ones.
+    /// A VM that was declared dead during a pause must not continue as the owner of shards
+    /// that others have taken over, or a shard has two owners for seconds. A VM that verifies
+    /// this one as alive needn't report the declared death to it. Therefore any pause in
+    /// which other VMs may have declared this one dead makes it settle again. Other VMs
+    /// lengthen their suspicion time by their own health factor; this VM assumes the shortest
+    /// time, that of healthy VMs.
     pub fn on_pause(&mut self, now: Time, gap: Duration) {
-        if gap >= self.suspicion_time_of_the_well() {
+        if gap >= self.base_suspicion_time() {
             self.alive_since = now;
         }
         self.probes.restart(now);
         self.gossip.clear();
         self.pull.restart();
-        // Datagrams that came in during the pause may be taken before it is
-        // noticed, and a suspicion among them raises the number too.
-        self.paused_refutation = Some(self.ticked_refutation);
+        // Datagrams received during the pause may be handled before it is detected, and a
+        // suspicion among them increases the number too.
+        self.refutation_before_pause = Some(self.refutation_at_last_tick);
         self.refutation += 1;
-        let patience = self.suspicion_time();
-        let waiting: Vec<Name> = self.table.waiting.iter().cloned().collect();
-        for name in waiting {
-            self.table.give_up_at(&name, now + patience);
+        let suspicion_time = self.suspicion_time();
+        let expiring: Vec<Name> = self.table.expiring.iter().cloned().collect();
+        for name in expiring {
+            self.table.set_expiry(&name, now + suspicion_time);
         }
     }
 
-    /// Tells the others that this VM is stopping gracefully.
+    /// Announces to other members that this VM is shutting down gracefully.
     pub fn leave(&mut self, now: Time) -> Vec<MembershipAction> {
         self.now = now;
         let mut actions = Vec::new();
@@ -237,9 +237,9 @@
         actions
     }
 
-    /// Tells `listeners`, and members that hold an older configuration as far as is known,
-    /// what this VM reports: its version, and when the platform last answered it.
-    pub fn announce(&mut self, now: Time, listeners: Vec<Name>) -> Vec<MembershipAction> {
+    /// Announces this VM's configuration version and the time of the platform's last response
+    /// to `recipients` and to members that, as far as known, have an older configuration.
+    pub fn announce(&mut self, now: Time, recipients: Vec<Name>) -> Vec<MembershipAction> {
         self.now = now;
         let mut actions = Vec::new();
         let is_behind = |member: &Member| {
@@ -248,14 +248,14 @@
         let behind = self.members().filter(|member| is_behind(member));
         let fanout = self.settings.announce_fanout;
         let behind = behind.take(fanout).map(|member| member.vm.name.clone());
-        let told: BTreeSet<Name> = behind.chain(listeners).collect();
-        for name in told {
+        let receivers: BTreeSet<Name> = behind.chain(recipients).collect();
+        for name in receivers {
             self.send_to(now, &name, Message::Announce, &mut actions);
         }
         actions
     }
 
-    /// Changes the addresses of VMs that may know the fleet.
+    /// Replaces the seeds, the addresses of VMs through which this VM joins the fleet.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.settings.seeds = seeds;
     }
@@ -265,12 +265,12 @@
         self.config_version = Some(version);
     }
 
-    /// Notes that the platform's configuration service has answered this VM.
-    pub fn on_platform_answer(&mut self, now: Time) {
-        self.platform_answered = Some(now);
+    /// Records that the platform's configuration service responded to this VM.
+    pub fn on_platform_response(&mut self, now: Time) {
+        self.last_platform_response = Some(now);
     }
 
-    /// Returns the other members, dead ones included while they are remembered.
+    /// Returns the other members, including dead ones that have not been removed yet.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.entries.values().map(|entry| &entry.member)
     }
@@ -285,32 +285,31 @@
         &self.me
     }
 
-    /// Returns the moment since which the others have counted this VM as alive,
-    /// as far as it knows: its start, or when it last learned that it had been
-    /// declared dead.
+    /// Returns the time since which the other VMs have considered this VM alive, as far as
+    /// known: its start, or when it last found out that it had been declared dead.
     pub fn alive_since(&self) -> Time {
         self.alive_since
     }
 
-    /// Returns whether this VM leaves, by itself or by the platform's mark.
+    /// Returns whether this VM is leaving, by itself or because the platform marked it.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.listed_leaving
     }
 
-    /// Returns whether a newer daemon runs under this VM's name; this one is
-    /// ignored by the others and should stop.
+    /// Returns whether a newer incarnation runs under this VM's name; this one is ignored by
+    /// the other members and should stop.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Returns whether a member's last answer came without a relay; if not, this
-    /// VM's own path to it is broken though the member is alive.
+    /// Returns whether the last response of a member came without a relay; if not, the path
+    /// from this VM to it is broken though the member is alive.
     pub fn is_direct(&self, name: &Name) -> bool {
         self.table.get(name).is_some_and(|entry| entry.direct)
     }
 
-    /// Returns the factor by which this VM lengthens its timeouts because it
-    /// seems to be ill itself; 1 when it is well.
+    /// Returns the factor by which this VM lengthens its timeouts because it seems to be
+    /// unhealthy itself; 1 if it is healthy.
     pub fn local_health_factor(&self) -> u32 {
         self.health.factor()
     }
@@ -322,31 +321,31 @@
             refutation: self.refutation,
             leaving: self.leaving,
             config_version: self.config_version,
-            platform_age_ms: self.platform_answered.map(|answered| {
-                u32::try_from(self.now.since(answered).as_millis()).unwrap_or(u32::MAX)
+            platform_age_ms: self.last_platform_response.map(|responded_at| {
+                u32::try_from(self.now.since(responded_at).as_millis()).unwrap_or(u32::MAX)
             }),
         }
     }
 
-    /// Returns how this VM introduces itself to one that doesn't know it.
-    fn introduction(&self, now: Time) -> Update {
+    /// Returns the update about this VM for members that don't know it.
+    fn self_update(&self, now: Time) -> Update {
         Update {
             name: self.me.name.clone(),
             incarnation: self.me.incarnation,
             refutation: self.refutation,
             state: if self.leaving { MemberState::Leaving } else { MemberState::Alive },
-            place: Some(table::place(&self.me, now.since(self.alive_since))),
+            details: Some(table::details(&self.me, now.since(self.alive_since))),
         }
     }
 
     fn send_to(&mut self, now: Time, name: &Name, message: Message, actions: &mut Actions) {
         let Some(entry) = self.table.get(name) else { return };
         let to = entry.member.vm.peer_address;
-        let accusation = self.accusation(now, name);
-        self.send(to, message, accusation.into_iter().collect(), actions);
+        let suspicion = self.suspicion(now, name);
+        self.send(to, message, suspicion.into_iter().collect(), actions);
     }
 
-    /// Sends a datagram with `updates` and as many queued ones as fit.
+    /// Sends a datagram with `updates` and as many queued updates as fit.
     fn send(
         &mut self,
         to: SocketAddr,
@@ -356,36 +355,36 @@
     ) {
         let mut datagram = Datagram { sender: self.identity(), message, updates };
         let room = room_for_updates(&datagram);
-        let limit = self.settings.update_transmissions * (1 + self.scale().ceil() as u32);
+        let limit = self.settings.update_transmissions * (1 + self.log_fleet_size().ceil() as u32);
         datagram.updates.extend(self.gossip.take(self.now, room, limit));
-        // Only a name near the limits can make this fail; such a VM stays unheard.
+        // This fails only for names near the maximum length; such a VM can't send datagrams.
         if let Ok(bytes) = self.codec.encode(&datagram) {
             actions.push(MembershipAction::Send { to, bytes });
         }
     }
 
-    /// Returns the decimal logarithm of the fleet's size, at least 1.
-    fn scale(&self) -> f64 {
+    /// Returns the decimal logarithm of the fleet size, at least 1.
+    fn log_fleet_size(&self) -> f64 {
         (self.table.live_count() as f64).log10().max(1.0)
     }
 
     fn suspicion_time(&self) -> Duration {
-        self.suspicion_time_of_the_well() * self.health.factor()
+        self.base_suspicion_time() * self.health.factor()
     }
 
-    fn suspicion_time_of_the_well(&self) -> Duration {
-        let intervals = self.settings.suspicion_intervals * self.scale();
+    fn base_suspicion_time(&self) -> Duration {
+        let intervals = self.settings.suspicion_intervals * self.log_fleet_size();
         Duration::from_millis((intervals * self.settings.probe_interval_ms as f64) as u64)
     }
 
     fn set_state(&mut self, now: Time, name: &Name, state: MemberState, actions: &mut Actions) {
         if self.table.set_state(now, name, state) {
-            actions.push(MembershipAction::Changed { vm: name.clone() });
+            actions.push(MembershipAction::StateChanged { vm: name.clone() });
         }
     }
 
-    /// Passes on what this VM now believes of a member.
-    fn spread(&mut self, now: Time, name: &Name) {
+    /// Queues an update about the current state of a member for gossip.
+    fn queue_update(&mut self, now: Time, name: &Name) {
         if let Some(entry) = self.table.get(name).filter(|entry| entry.is_known()) {
             self.gossip.push(now, entry.update(now));
         }
--- a/crates/pistachiotrack-core/src/membership/gossip.rs
+++ b/crates/pistachiotrack-core/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Updates that wait to be passed on with other datagrams.
+//! Queue of updates to piggyback on outgoing datagrams.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
     time::Time,
 };
 
-/// Updates to pass on, one for each member, each a bounded number of times.
+/// Updates to gossip, at most one for each member, each sent a limited number of times.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Gossip {
     updates: BTreeMap<Name, Queued>,
@@ -22,44 +22,44 @@
     queued_at: Time,
 }
 
-/// Bytes by which an update may grow while the time alive in it goes up.
-const GROWTH_BYTES: usize = 4;
+/// Maximum number of bytes by which an update grows in the queue as its `alive_ms` increases.
+const MAX_GROWTH_BYTES: usize = 4;
 
 impl Queued {
-    /// Returns the update as it has to be told at `now`.
+    /// Returns the update with `alive_ms` as of `now`.
     ///
-    /// Owners change when a new VM has been alive for long enough. If the time
-    /// spent in queues were left out, each VM would see that at another moment.
+    /// Shard owners change when a new VM has been alive for long enough. Without adding the
+    /// time spent in queues, each VM would see that at a different time.
     fn as_of(&self, now: Time) -> Update {
         let mut update = self.update.clone();
-        if let Some(place) = &mut update.place {
-            let waited_ms = now.since(self.queued_at).as_millis() as u32;
-            place.alive_ms = place.alive_ms.saturating_add(waited_ms);
+        if let Some(details) = &mut update.details {
+            let queued_ms = now.since(self.queued_at).as_millis() as u32;
+            details.alive_ms = details.alive_ms.saturating_add(queued_ms);
         }
         update
     }
 }
 
 impl Gossip {
-    /// Queues an update in place of an older one about the same member.
+    /// Queues an update, replacing an older one about the same member.
     pub(super) fn push(&mut self, now: Time, update: Update) {
-        let bytes = encoded_bytes(&update) + GROWTH_BYTES;
+        let bytes = encoded_bytes(&update) + MAX_GROWTH_BYTES;
         let queued = Queued { update, bytes, sent: 0, queued_at: now };
         self.updates.insert(queued.update.name.clone(), queued);
     }
 
-    /// Forgets the update about a member.
+    /// Removes the update about a member.
     pub(super) fn remove(&mut self, name: &Name) {
         self.updates.remove(name);
     }
 
-    /// Forgets all updates.
+    /// Removes all updates.
     pub(super) fn clear(&mut self) {
         self.updates.clear();
     }
 
-    /// Takes the least sent updates that fit into `room` bytes; each leaves the
-    /// queue after `limit` transmissions.
+    /// Returns the least often sent updates that fit into `room` bytes; each is removed after
+    /// `limit` transmissions.
     pub(super) fn take(&mut self, now: Time, room: usize, limit: u32) -> Vec<Update> {
         if self.updates.is_empty() {
             return Vec::new();
--- a/crates/pistachiotrack-core/src/membership/join.rs
+++ b/crates/pistachiotrack-core/src/membership/join.rs
@@ -1,56 +1,57 @@
-//! Finding the fleet through addresses that the settings name.
+//! Joining the fleet through seeds, the addresses in the settings.
 
 use std::time::Duration;
 
 use super::{Actions, MemberState, Membership};
 use crate::{message::Message, name::Name, time::Time};
 
-/// Time between two questions while the fleet may still be gathering, and how
-/// long that may take: a page of the table names about a dozen members, so that a
-/// fleet of 48 is known after about a second.
-const GATHER_INTERVAL: Duration = Duration::from_millis(200);
-const GATHER_TIME: Duration = Duration::from_secs(3);
-/// Time between two questions later, to seeds that aren't known as alive: both
-/// sides of a partition may have forgotten each other.
-const LATER_INTERVAL: Duration = Duration::from_secs(5);
+/// Time between two queries while the fleet may still be starting, and the time for which
+/// this is assumed. A page of the member table has about a dozen members, so a fleet of 48 is
+/// known after about a second.
+const STARTUP_INTERVAL: Duration = Duration::from_millis(200);
+const STARTUP_TIME: Duration = Duration::from_secs(3);
+/// Time between two later queries to seeds that aren't known as alive: both sides of a
+/// partition may have removed each other.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When the seeds are asked next, and from where on.
+/// State of the queries to the seeds.
 #[derive(Clone, Debug)]
 pub(super) struct Join {
     started: Time,
-    next_at: Time,
-    /// Last name of the page that came last.
+    next_query_at: Time,
+    /// Last name of the last page received.
     cursor: Option<Name>,
 }
 
 impl Join {
-    /// Begins to look for the fleet.
+    /// Creates the state with a query due at once.
     pub(super) fn new(now: Time) -> Join {
-        Join { started: now, next_at: now, cursor: None }
+        Join { started: now, next_query_at: now, cursor: None }
     }
 
-    /// Notes where the next page begins.
+    /// Records the start of the next page.
     pub(super) fn on_page(&mut self, next: Option<Name>) {
         self.cursor = next;
     }
 }
 
 impl Membership {
-    /// Asks the seeds for members when it is time to.
+    /// Requests members from the seeds if a query is due.
     ///
-    /// Nothing else tells who is there. A seed may be stale or down, so all are
-    /// asked, and again for as long as the others may still be starting.
-    pub(super) fn join_due(&mut self, now: Time, actions: &mut Actions) {
-        if now < self.join.next_at || self.settings.seeds.is_empty() {
+    /// There may be no other source of members. A seed may be stale or down, so all are
+    /// queried, repeatedly while other VMs may still be starting.
+    pub(super) fn query_seeds_if_due(&mut self, now: Time, actions: &mut Actions) {
+        if now < self.join.next_query_at || self.settings.seeds.is_empty() {
             return;
         }
-        let gathers = now.since(self.join.started) < GATHER_TIME;
-        self.join.next_at = now + if gathers { GATHER_INTERVAL } else { LATER_INTERVAL };
+        let is_starting = now.since(self.join.started) < STARTUP_TIME;
+        self.join.next_query_at =
+            now + if is_starting { STARTUP_INTERVAL } else { RECHECK_INTERVAL };
         for seed in self.settings.seeds.clone() {
             let is_known = self
                 .members()
                 .any(|member| member.vm.peer_address == seed && member.state == MemberState::Alive);
-            if seed == self.me.peer_address || is_known && !gathers {
+            if seed == self.me.peer_address || is_known && !is_starting {
                 continue;
             }
             let after = self.join.cursor.clone();
--- a/crates/pistachiotrack-core/src/membership/local_health.rs
+++ b/crates/pistachiotrack-core/src/membership/local_health.rs
@@ -1,7 +1,9 @@
-//! How well this VM itself seems to hear the others.
+//! Estimate of this VM's own health, as in Lifeguard.
 
-/// Score from 0 (well) upwards: a VM that misses answers of many members is
-/// more likely ill itself, so its timeouts grow and its accusations slow down.
+/// Score from 0 (healthy) upwards.
+///
+/// If many members don't respond, the fault is more likely on this VM's side, so it lengthens
+/// its timeouts and suspects others later.
 #[derive(Clone, Debug)]
 pub(super) struct LocalHealth {
     score: u32,
@@ -13,7 +15,7 @@
         LocalHealth { score: 0, max }
     }
 
-    pub(super) fn on_answer(&mut self) {
+    pub(super) fn on_response(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
--- a/crates/pistachiotrack-core/src/membership/probe.rs
+++ b/crates/pistachiotrack-core/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: own ones, those asked of relays and those made as a relay.
+//! Probes: direct ones, indirect ones through relays, and those sent as a relay for others.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -9,65 +9,65 @@
     time::Time,
 };
 
-/// An own probe that has not been answered yet.
+/// An outstanding probe of this VM.
 #[derive(Clone, Debug)]
 struct Probe {
     target: Name,
     address: SocketAddr,
     known_incarnation: u64,
-    ask_at: Time,
-    fail_at: Time,
+    indirect_at: Time,
+    fails_at: Time,
     rounds: u32,
     nacks: usize,
 }
 
-/// A probe on behalf of another VM.
+/// An outstanding probe on behalf of another VM.
 #[derive(Clone, Debug)]
-struct Relay {
+struct RelayedProbe {
     origin: SocketAddr,
     sequence: u32,
     target: Name,
     nack_at: Option<Time>,
-    end_at: Time,
+    expires_at: Time,
 }
 
-/// Probes under way and the moments of the next ones.
+/// Outstanding probes and the times of the next ones.
 #[derive(Clone, Debug)]
 pub(super) struct Probes {
     own: BTreeMap<u32, Probe>,
-    relays: BTreeMap<u32, Relay>,
+    relays: BTreeMap<u32, RelayedProbe>,
     next_sequence: u32,
-    next_at: Time,
-    next_dead_at: Time,
-    announce: bool,
+    next_probe_at: Time,
+    next_dead_probe_at: Time,
+    burst_pending: bool,
 }
 
-/// Rounds in which other VMs are asked to probe a member that doesn't answer.
-const ASKING_ROUNDS: u32 = 2;
-/// Relayed probes under way at most, so that no flood of requests fills the
-/// memory.
-const MAX_RELAYS: usize = 256;
+/// Number of rounds of indirect probes for a member that doesn't respond.
+const INDIRECT_ROUNDS: u32 = 2;
+/// Maximum number of outstanding relayed probes, which limits the memory that a flood of
+/// requests can use.
+const MAX_RELAYED_PROBES: usize = 256;
 
 impl Probes {
-    /// Creates the probes; sequence numbers start at a random one, so that a
-    /// late answer to a predecessor on this address matches none of them.
+    /// Creates the state without probes. Sequence numbers start at a random value, so that a
+    /// late response to a previous VM on this address matches none of them.
     pub(super) fn new(now: Time, first_sequence: u32) -> Probes {
         Probes {
             own: BTreeMap::new(),
             relays: BTreeMap::new(),
             next_sequence: first_sequence,
-            next_at: now,
-            next_dead_at: now,
-            announce: false,
+            next_probe_at: now,
+            next_dead_probe_at: now,
+            burst_pending: false,
         }
     }
 
-    /// Drops all probes under way and has several members probed soon.
+    /// Drops all outstanding probes and schedules a burst of probes of several members.
     pub(super) fn restart(&mut self, now: Time) {
         self.own.clear();
         self.relays.clear();
-        self.next_at = now;
-        self.announce = true;
+        self.next_probe_at = now;
+        self.burst_pending = true;
     }
 
     fn sequence(&mut self) -> u32 {
@@ -81,22 +81,22 @@
 }
 
 impl Membership {
-    /// Sends the probes of an interval when it is over.
-    pub(super) fn probe_due(&mut self, now: Time, actions: &mut Actions) {
-        if now >= self.probes.next_dead_at {
+    /// Sends the probes of the next interval if it is due.
+    pub(super) fn probe_if_due(&mut self, now: Time, actions: &mut Actions) {
+        if now >= self.probes.next_dead_probe_at {
             let interval = Duration::from_millis(self.settings.dead_probe_interval_ms);
-            self.probes.next_dead_at = now + interval;
-            // Two sides of a healed partition hold each other for dead and would
-            // never meet again; a rare probe of the dead finds the other side.
+            self.probes.next_dead_probe_at = now + interval;
+            // The two sides of a healed partition consider each other dead and would never
+            // reconnect without an occasional probe of dead members.
             if let Some(name) = self.table.random_dead(&mut self.rng) {
                 self.probe(now, &name, actions);
             }
         }
-        if now < self.probes.next_at {
+        if now < self.probes.next_probe_at {
             return;
         }
-        self.probes.next_at = now + Duration::from_millis(self.settings.probe_interval_ms);
-        if std::mem::take(&mut self.probes.announce) {
+        self.probes.next_probe_at = now + Duration::from_millis(self.settings.probe_interval_ms);
+        if std::mem::take(&mut self.probes.burst_pending) {
             let fanout = self.settings.leave_fanout;
             for name in self.table.random_alive(fanout, None, &mut self.rng) {
                 self.probe(now, &name, actions);
@@ -105,21 +105,21 @@
         if let Some(name) = self.table.next_of_round(&mut self.rng) {
             self.probe(now, &name, actions);
         }
-        self.verify_some(now, actions);
+        self.probe_unverified(now, actions);
     }
 
-    /// Probes the members that this VM itself accused, then those that wait.
-    fn verify_some(&mut self, now: Time, actions: &mut Actions) {
-        let accused: Vec<Name> = self
+    /// Probes the members that this VM itself suspects, then those queued for verification.
+    fn probe_unverified(&mut self, now: Time, actions: &mut Actions) {
+        let suspected: Vec<Name> = self
             .table
-            .waiting
+            .expiring
             .iter()
             .filter(|name| self.table.get(name).is_some_and(|entry| entry.own_suspicion))
             .take(self.settings.verify_burst)
             .cloned()
             .collect();
-        let left = self.settings.verify_burst - accused.len();
-        for name in accused {
+        let left = self.settings.verify_burst - suspected.len();
+        for name in suspected {
             self.probe(now, &name, actions);
         }
         for _ in 0..left {
@@ -128,10 +128,11 @@
         }
     }
 
-    /// Probes a member unless a probe of it is under way.
+    /// Probes a member unless a probe of it is outstanding.
     pub(super) fn probe(&mut self, now: Time, name: &Name, actions: &mut Actions) {
         let Some(entry) = self.table.get(name) else { return };
-        // A dead one that answers tells anew since when it has been alive.
+        // With incarnation 0 a dead member that responds adds an update about itself, which
+        // states since when it has been alive.
         let dead = entry.state == MemberState::Dead;
         let incarnation = if dead { 0 } else { entry.incarnation() };
         let address = entry.member.vm.peer_address;
@@ -151,15 +152,15 @@
             return;
         }
         let factor = self.health.factor();
-        let ask = Duration::from_millis(self.settings.ack_timeout_ms) * factor;
-        let fail = Duration::from_millis(self.settings.probe_timeout_ms) * factor;
+        let indirect_after = Duration::from_millis(self.settings.ack_timeout_ms) * factor;
+        let fail_after = Duration::from_millis(self.settings.probe_timeout_ms) * factor;
         let sequence = self.probes.sequence();
         let probe = Probe {
             target: name.clone(),
             address,
             known_incarnation,
-            ask_at: now + ask,
-            fail_at: now + fail,
+            indirect_at: now + indirect_after,
+            fails_at: now + fail_after,
             rounds: 0,
             nacks: 0,
         };
@@ -168,8 +169,8 @@
         self.send_ping(now, name, address, message, actions);
     }
 
-    /// Sends a ping with what its target is accused of, so that it can refute it
-    /// in the answer at once.
+    /// Sends a ping with the suspicion against its target, if any, so that the target can
+    /// refute it in the response.
     fn send_ping(
         &mut self,
         now: Time,
@@ -178,23 +179,28 @@
         message: Message,
         actions: &mut Actions,
     ) {
-        let accusation = self.accusation(now, name);
-        self.send(address, message, accusation.into_iter().collect(), actions);
+        let suspicion = self.suspicion(now, name);
+        self.send(address, message, suspicion.into_iter().collect(), actions);
     }
 
-    /// Asks relays where an answer is late, and ends probes and relays.
-    pub(super) fn check_probes(&mut self, now: Time, actions: &mut Actions) {
-        let late = |probe: &Probe| probe.rounds < ASKING_ROUNDS && now >= probe.ask_at;
-        let asking: Vec<u32> =
-            self.probes.own.iter().filter(|(_, probe)| late(probe)).map(|(id, _)| *id).collect();
-        for sequence in asking {
-            self.ask_relays(now, sequence, actions);
+    /// Sends indirect probes for overdue responses, and ends expired probes.
+    pub(super) fn process_probe_timeouts(&mut self, now: Time, actions: &mut Actions) {
+        let is_overdue = |probe: &Probe| probe.rounds < INDIRECT_ROUNDS && now >= probe.indirect_at;
+        let overdue: Vec<u32> = self
+            .probes
+            .own
+            .iter()
+            .filter(|(_, probe)| is_overdue(probe))
+            .map(|(id, _)| *id)
+            .collect();
+        for sequence in overdue {
+            self.send_indirect_probes(now, sequence, actions);
         }
         let failed: Vec<u32> = self
             .probes
             .own
             .iter()
-            .filter(|(_, probe)| now >= probe.fail_at)
+            .filter(|(_, probe)| now >= probe.fails_at)
             .map(|(id, _)| *id)
             .collect();
         for sequence in failed {
@@ -202,20 +208,21 @@
                 self.on_failed_probe(now, &probe, actions);
             }
         }
-        self.check_relays(now, actions);
+        self.process_relay_timeouts(now, actions);
     }
 
-    fn ask_relays(&mut self, now: Time, sequence: u32, actions: &mut Actions) {
+    fn send_indirect_probes(&mut self, now: Time, sequence: u32, actions: &mut Actions) {
         let Some(probe) = self.probes.own.get_mut(&sequence) else { return };
         probe.rounds += 1;
-        probe.ask_at =
+        probe.indirect_at =
             now + Duration::from_millis(self.settings.ack_timeout_ms) * self.health.factor();
         let Probe { target, address, known_incarnation, .. } = probe.clone();
         let state = self.table.get(&target).map(|entry| entry.state);
         if !matches!(state, Some(MemberState::Alive | MemberState::Suspect)) {
             return;
         }
-        // A single lost datagram is the most frequent cause of a late answer.
+        // The direct ping is repeated: a single lost datagram is the most frequent cause of a
+        // missing response.
         let message = Message::Ping { sequence, target: target.clone(), known_incarnation };
         self.send_ping(now, &target, address, message, actions);
         let count = self.settings.indirect_probes;
@@ -232,36 +239,36 @@
         if entry.incarnation() != probe.known_incarnation {
             return;
         }
-        let (state, waits) = (entry.state, entry.give_up_at.is_some());
-        if state == MemberState::Leaving && !waits {
-            let give_up_at = now + self.suspicion_time();
-            self.table.give_up_at(&probe.target, give_up_at);
+        let (state, has_expiry) = (entry.state, entry.expires_at.is_some());
+        if state == MemberState::Leaving && !has_expiry {
+            let expires_at = now + self.suspicion_time();
+            self.table.set_expiry(&probe.target, expires_at);
         }
         if state != MemberState::Alive {
             return;
         }
-        // No relay said anything: the fault may well be on this VM's side.
+        // No relay responded either, so the fault may be on this VM's side.
         if probe.nacks == 0 {
             self.health.on_miss();
         }
-        let give_up_at = now + self.suspicion_time();
-        self.table.give_up_at(&probe.target, give_up_at);
+        let expires_at = now + self.suspicion_time();
+        self.table.set_expiry(&probe.target, expires_at);
         if let Some(entry) = self.table.entries.get_mut(&probe.target) {
             entry.own_suspicion = true;
             entry.direct = false;
         }
         self.set_state(now, &probe.target, MemberState::Suspect, actions);
-        self.spread(now, &probe.target);
+        self.queue_update(now, &probe.target);
     }
 
-    fn check_relays(&mut self, now: Time, actions: &mut Actions) {
+    fn process_relay_timeouts(&mut self, now: Time, actions: &mut Actions) {
         let mut nacks = Vec::new();
         self.probes.relays.retain(|_, relay| {
             if relay.nack_at.is_some_and(|at| now >= at) {
                 relay.nack_at = None;
                 nacks.push((relay.origin, relay.sequence));
             }
-            now < relay.end_at
+            now < relay.expires_at
         });
         for (origin, sequence) in nacks {
             self.send(origin, Message::Nack { sequence }, Vec::new(), actions);
@@ -279,16 +286,16 @@
         let Message::PingRequest { sequence, target, address, known_incarnation } = message else {
             return;
         };
-        if self.probes.relays.len() >= MAX_RELAYS {
+        if self.probes.relays.len() >= MAX_RELAYED_PROBES {
             return;
         }
         let own_sequence = self.probes.sequence();
-        let relay = Relay {
+        let relay = RelayedProbe {
             origin,
             sequence,
             target: target.clone(),
             nack_at: Some(now + Duration::from_millis(self.settings.ack_timeout_ms)),
-            end_at: now + Duration::from_millis(self.settings.probe_timeout_ms),
+            expires_at: now + Duration::from_millis(self.settings.probe_timeout_ms),
         };
         self.probes.relays.insert(own_sequence, relay);
         let name = target.clone();
@@ -296,32 +303,32 @@
         self.send_ping(now, &name, address, ping, actions);
     }
 
-    /// Takes an answer to an own probe; returns whether there is such a probe.
-    pub(super) fn end_probe(&mut self, sequence: u32, target: &Name, direct: bool) -> bool {
+    /// Completes a probe with a response; returns whether such a probe was outstanding.
+    pub(super) fn complete_probe(&mut self, sequence: u32, target: &Name, direct: bool) -> bool {
         if self.probes.own.get(&sequence).is_none_or(|probe| probe.target != *target) {
             return false;
         }
         self.probes.own.remove(&sequence);
-        self.health.on_answer();
+        self.health.on_response();
         if let Some(entry) = self.table.entries.get_mut(target) {
             entry.direct = direct;
         }
         true
     }
 
-    /// Notes that a relay has not heard the target either.
+    /// Records that a relay got no response from the target either.
     pub(super) fn on_nack(&mut self, sequence: u32) {
         if let Some(probe) = self.probes.own.get_mut(&sequence) {
             probe.nacks += 1;
         }
     }
 
-    /// Passes the answer to a relayed probe on.
-    pub(super) fn pass_on(
+    /// Forwards the response to a relayed probe to its origin.
+    pub(super) fn relay_ack(
         &mut self,
         sequence: u32,
         subject: &Identity,
-        introduction: Option<&Update>,
+        self_update: Option<&Update>,
         actions: &mut Actions,
     ) {
         if self.probes.relays.get(&sequence).is_none_or(|relay| relay.target != subject.name) {
@@ -331,7 +338,7 @@
         let message = Message::RelayedAck {
             sequence: relay.sequence,
             subject: subject.clone(),
-            introduction: introduction.cloned(),
+            self_update: self_update.cloned(),
         };
         self.send(relay.origin, message, Vec::new(), actions);
     }
--- a/crates/pistachiotrack-core/src/membership/pull.rs
+++ b/crates/pistachiotrack-core/src/membership/pull.rs
@@ -1,5 +1,5 @@
-//! Ways to learn of many members at once: the platform's list and the member
-//! table of a peer, read page by page.
+//! Bulk sources of members: the platform's VM list and the member table of a peer, which is
+//! read page by page.
 
 use std::{net::SocketAddr, ops::Bound, time::Duration};
 
@@ -11,21 +11,21 @@
     vm::{DEFAULT_CAPACITY, ListedVm, Vm, VmList},
 };
 
-/// A table is read again when one member in this many is dead: after a
-/// partition, not after the return of a single VM.
-const PARTITION_SHARE: usize = 8;
-/// Pages that may stay unanswered before a read is given up.
+/// A table is read again if at least one member in this many is dead: after a partition, but
+/// not after the return of a single VM.
+const PARTITION_DEAD_DIVISOR: usize = 8;
+/// Maximum number of retries for a page before the read is aborted.
 const MAX_RETRIES: u32 = 8;
 
-/// Reading of a peer's member table.
+/// State of reading a peer's member table.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Pull {
-    under_way: Option<UnderWay>,
-    last_at: Option<Time>,
+    current: Option<TableRead>,
+    last_started_at: Option<Time>,
 }
 
 #[derive(Clone, Debug)]
-struct UnderWay {
+struct TableRead {
     peer: Name,
     after: Option<Name>,
     sent_at: Time,
@@ -33,19 +33,19 @@
 }
 
 impl Pull {
-    /// Ends a read under way; the next one may start at once.
+    /// Aborts the current read; the next one may start at once.
     pub(super) fn restart(&mut self) {
-        self.under_way = None;
-        self.last_at = None;
+        self.current = None;
+        self.last_started_at = None;
     }
 }
 
 impl Membership {
-    /// Takes the platform's list: seeds and leaving marks.
+    /// Applies the platform's VM list: possible members and leaving marks.
     ///
-    /// The list lags behind reality. A VM on it is a candidate until it answers a
-    /// probe, and a VM that answers needs no list. An older list than the last
-    /// one is left aside.
+    /// The list is not up to date. A listed VM is considered alive only after it responded to
+    /// a probe, and a VM that responds needn't be listed. A list older than the last one is
+    /// ignored.
     pub fn on_vm_list(&mut self, now: Time, list: &VmList) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         if list.version < self.list_version {
@@ -70,10 +70,10 @@
         let name = &listed.name;
         if self.table.get(name).is_none() {
             self.table.insert(now, listed_vm(listed), &mut self.rng);
-            let give_up_at = now + Duration::from_millis(self.settings.listed_timeout_ms);
-            self.table.give_up_at(name, give_up_at);
+            let expires_at = now + Duration::from_millis(self.settings.listed_timeout_ms);
+            self.table.set_expiry(name, expires_at);
             self.table.queue_to_verify(name);
-            actions.push(MembershipAction::Changed { vm: name.clone() });
+            actions.push(MembershipAction::StateChanged { vm: name.clone() });
         }
         let Some(entry) = self.table.entries.get_mut(name) else { return };
         entry.listed = true;
@@ -81,27 +81,27 @@
             entry.member.vm.peer_address = listed.peer_address;
             entry.member.vm.caller_address = listed.caller_address;
         }
-        // The mark is about the incarnation known when it came: a VM replaced
-        // under the same name must not inherit it from a list that lags.
+        // The mark applies to the incarnation known when it was received: a replacement under
+        // the same name must not inherit it from an outdated list.
         entry.leaving_mark = match (listed.leaving, entry.leaving_mark) {
             (false, _) => None,
             (true, Some(incarnation)) => Some(incarnation),
             (true, None) => Some(entry.incarnation()),
         };
-        if self.table.show(now, name) {
-            actions.push(MembershipAction::Changed { vm: name.clone() });
+        if self.table.update_visible_state(now, name) {
+            actions.push(MembershipAction::StateChanged { vm: name.clone() });
         }
     }
 
-    /// Reads the table of the first member met.
-    pub(super) fn pull_first(&mut self, now: Time, peer: &Name, actions: &mut Actions) {
-        if self.pull.last_at.is_none() {
+    /// Reads the table of the first member found.
+    pub(super) fn pull_from_first_peer(&mut self, now: Time, peer: &Name, actions: &mut Actions) {
+        if self.pull.last_started_at.is_none() {
             self.pull_from(now, peer, actions);
         }
     }
 
-    /// Reads the table of a member met again when many are dead: the others of
-    /// its side of a healed partition are found through it.
+    /// Reads the table of a member that is alive again if many members are dead: the other VMs
+    /// on its side of a healed partition are found through it.
     pub(super) fn pull_after_partition(
         &mut self,
         now: Time,
@@ -109,33 +109,33 @@
         state: MemberState,
         actions: &mut Actions,
     ) {
-        let many = self.table.dead.len() * PARTITION_SHARE >= self.table.entries.len();
+        let many_dead = self.table.dead.len() * PARTITION_DEAD_DIVISOR >= self.table.entries.len();
         let interval = Duration::from_millis(self.settings.table_interval_ms);
-        let rested = self.pull.last_at.is_none_or(|last| now.since(last) >= interval);
-        if state == MemberState::Alive && many && rested {
+        let is_due = self.pull.last_started_at.is_none_or(|last| now.since(last) >= interval);
+        if state == MemberState::Alive && many_dead && is_due {
             self.pull_from(now, peer, actions);
         }
     }
 
     fn pull_from(&mut self, now: Time, peer: &Name, actions: &mut Actions) {
-        if self.pull.under_way.is_some() {
+        if self.pull.current.is_some() {
             return;
         }
-        self.pull.last_at = Some(now);
-        let pull = UnderWay { peer: peer.clone(), after: None, sent_at: now, retries: 0 };
-        self.pull.under_way = Some(pull);
+        self.pull.last_started_at = Some(now);
+        let pull = TableRead { peer: peer.clone(), after: None, sent_at: now, retries: 0 };
+        self.pull.current = Some(pull);
         self.send_to(now, peer, Message::TableRequest { after: None }, actions);
     }
 
-    /// Asks again, and another member, when a page doesn't come.
-    pub(super) fn check_pull(&mut self, now: Time, actions: &mut Actions) {
+    /// Requests an overdue page again, from another member.
+    pub(super) fn retry_overdue_pull(&mut self, now: Time, actions: &mut Actions) {
         let timeout = Duration::from_millis(self.settings.page_timeout_ms);
-        let late =
-            self.pull.under_way.as_ref().is_some_and(|pull| now.since(pull.sent_at) >= timeout);
-        if !late {
+        let is_overdue =
+            self.pull.current.as_ref().is_some_and(|pull| now.since(pull.sent_at) >= timeout);
+        if !is_overdue {
             return;
         }
-        let Some(mut pull) = self.pull.under_way.take() else { return };
+        let Some(mut pull) = self.pull.current.take() else { return };
         pull.retries += 1;
         if pull.retries > MAX_RETRIES {
             return;
@@ -145,11 +145,11 @@
             pull.peer = peer;
         }
         let (peer, after) = (pull.peer.clone(), pull.after.clone());
-        self.pull.under_way = Some(pull);
+        self.pull.current = Some(pull);
         self.send_to(now, &peer, Message::TableRequest { after }, actions);
     }
 
-    /// Asks for the page after the one that came.
+    /// Requests the page after the received one.
     pub(super) fn on_page(
         &mut self,
         now: Time,
@@ -157,16 +157,16 @@
         next: Option<Name>,
         actions: &mut Actions,
     ) {
-        let Some(pull) = &mut self.pull.under_way else { return self.join.on_page(next) };
+        let Some(pull) = &mut self.pull.current else { return self.join.on_page(next) };
         if pull.peer != *from {
             return;
         }
-        // A page that came late or twice must not send the reader back.
+        // A delayed or duplicated page must not move the read backwards.
         if next.is_some() && next <= pull.after {
             return;
         }
         if next.is_none() {
-            self.pull.under_way = None;
+            self.pull.current = None;
             return;
         }
         pull.after.clone_from(&next);
@@ -175,7 +175,7 @@
         self.send_to(now, from, Message::TableRequest { after: next }, actions);
     }
 
-    /// Sends as many members after a name as fit into one datagram.
+    /// Sends as many members after a name as fit into one datagram, in order of their names.
     pub(super) fn send_page(
         &mut self,
         now: Time,
@@ -186,13 +186,14 @@
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let message = Message::TablePage { next: Some(self.me.name.clone()) };
         let empty = Datagram { sender: self.identity(), message, updates: Vec::new() };
-        // The next name is longer than this VM's own by less than this.
+        // The size of `next` is estimated with this VM's name; the actual name is longer by
+        // less than this.
         let mut room = room_for_updates(&empty).saturating_sub(MAX_NAME_BYTES);
         let mut updates = Vec::new();
         let mut next = None;
         for (_, entry) in self.table.entries.range((start, Bound::Unbounded)) {
-            let shown = matches!(entry.state, MemberState::Alive | MemberState::Leaving);
-            if !shown || !entry.is_known() {
+            let visible = matches!(entry.state, MemberState::Alive | MemberState::Leaving);
+            if !visible || !entry.is_known() {
                 continue;
             }
             let update = entry.update(now);
--- a/crates/pistachiotrack-core/src/membership/rumour.rs
+++ b/crates/pistachiotrack-core/src/membership/receive.rs
@@ -1,4 +1,5 @@
-//! What datagrams say: of their sender, of this VM and of others.
+//! Handling of received datagrams: the sender's identity, the message and the updates about
+//! members.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,8 +10,8 @@
     time::Time,
 };
 
-/// Time for which a member must have been alive to be no news any more.
-const NEWS_MS: u32 = 60_000;
+/// Time alive after which all members are assumed to have received the update about a VM.
+const ESTABLISHED_MS: u32 = 60_000;
 
 impl Membership {
     pub(super) fn receive(
@@ -26,27 +27,27 @@
             return;
         }
         if self.is_outdated(&sender) {
-            self.tell_outdated(now, from, &sender, &message, actions);
+            self.notify_outdated(now, from, &sender, &message, actions);
             return;
         }
-        let introduction = updates.iter().find(|update| introduces(update, &sender)).cloned();
+        let self_update = updates.iter().find(|update| is_self_update(update, &sender)).cloned();
         let verified = match message {
-            Message::Ack { sequence } => self.end_probe(sequence, &sender.name, true),
+            Message::Ack { sequence } => self.complete_probe(sequence, &sender.name, true),
             _ => false,
         };
-        self.on_identity(now, from, &sender, introduction.as_ref(), verified, actions);
-        let old_news = if matches!(message, Message::TablePage { .. }) {
-            updates.iter().filter(|update| is_old_news(update)).map(|u| u.name.clone()).collect()
+        self.on_identity(now, from, &sender, self_update.as_ref(), verified, actions);
+        let established = if matches!(message, Message::TablePage { .. }) {
+            updates.iter().filter(|update| is_established(update)).map(|u| u.name.clone()).collect()
         } else {
             Vec::new()
         };
         self.on_updates(now, &sender.name, updates, actions);
-        // What a new VM reads from the table everybody else knows already; passing
-        // it on would cost a large fleet megabytes for each VM that joins.
-        for name in &old_news {
+        // Other members already know what a new VM reads from the member table; gossiping it
+        // again would cost a large fleet megabytes for each VM that joins.
+        for name in &established {
             self.gossip.remove(name);
         }
-        self.on_message(now, from, &sender, introduction.as_ref(), message, actions);
+        self.on_message(now, from, &sender, self_update.as_ref(), message, actions);
     }
 
     fn on_message(
@@ -54,7 +55,7 @@
         now: Time,
         from: SocketAddr,
         sender: &Identity,
-        introduction: Option<&Update>,
+        self_update: Option<&Update>,
         message: Message,
         actions: &mut Actions,
     ) {
@@ -65,17 +66,19 @@
                     return;
                 }
                 let is_known = known_incarnation == self.me.incarnation;
-                let updates = if is_known { Vec::new() } else { vec![self.introduction(now)] };
+                let updates = if is_known { Vec::new() } else { vec![self.self_update(now)] };
                 self.send(from, Message::Ack { sequence }, updates, actions);
             }
-            Message::Ack { sequence } => self.pass_on(sequence, sender, introduction, actions),
+            Message::Ack { sequence } => self.relay_ack(sequence, sender, self_update, actions),
             Message::PingRequest { .. } => self.relay_ping(now, from, message, actions),
-            Message::RelayedAck { sequence, subject, introduction } => {
-                if self.is_outdated(&subject) || !self.end_probe(sequence, &subject.name, false) {
+            Message::RelayedAck { sequence, subject, self_update } => {
+                if self.is_outdated(&subject)
+                    || !self.complete_probe(sequence, &subject.name, false)
+                {
                     return;
                 }
-                let introduction = introduction.filter(|update| introduces(update, &subject));
-                self.on_identity(now, from, &subject, introduction.as_ref(), true, actions);
+                let self_update = self_update.filter(|update| is_self_update(update, &subject));
+                self.on_identity(now, from, &subject, self_update.as_ref(), true, actions);
             }
             Message::Nack { sequence } => self.on_nack(sequence),
             Message::TableRequest { after } => self.send_page(now, from, after, actions),
@@ -91,11 +94,10 @@
             .is_some_and(|entry| entry.incarnation() > identity.incarnation)
     }
 
-    /// Tells a VM that was replaced while it was paused or cut off.
+    /// Notifies a VM that was replaced while it was paused or disconnected.
     ///
-    /// It would otherwise get no answer, hold everybody for dead and own all
-    /// shards by itself.
-    fn tell_outdated(
+    /// Without a response it would declare all members dead and own all shards itself.
+    fn notify_outdated(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -109,13 +111,13 @@
         self.send(from, Message::Nack { sequence }, vec![update], actions);
     }
 
-    /// Takes what a VM says of itself; `verified` if it answered an own probe.
+    /// Handles the identity of a VM; `verified` if it responded to a probe of this VM.
     fn on_identity(
         &mut self,
         now: Time,
         from: SocketAddr,
         identity: &Identity,
-        introduction: Option<&Update>,
+        self_update: Option<&Update>,
         verified: bool,
         actions: &mut Actions,
     ) {
@@ -124,91 +126,92 @@
         if known != Some(identity.incarnation) {
             if !verified {
                 self.probe_at(now, name, from, known.unwrap_or(0), actions);
-            } else if let Some(introduction) = introduction {
-                self.admit(now, introduction, actions);
-                self.on_report(now, identity, actions);
+            } else if let Some(self_update) = self_update {
+                self.insert_verified(now, self_update, actions);
+                self.on_config_report(now, identity, actions);
             }
             return;
         }
-        self.on_known_identity(now, identity, introduction, verified, actions);
-        self.on_report(now, identity, actions);
+        self.on_known_identity(now, identity, self_update, verified, actions);
+        self.on_config_report(now, identity, actions);
     }
 
     fn on_known_identity(
         &mut self,
         now: Time,
         identity: &Identity,
-        introduction: Option<&Update>,
+        self_update: Option<&Update>,
         verified: bool,
         actions: &mut Actions,
     ) {
         let name = &identity.name;
         let Some(entry) = self.table.entries.get_mut(name) else { return };
-        let (state, refutes) = (entry.state, identity.refutation > entry.refutation);
+        let (state, is_refutation) = (entry.state, identity.refutation > entry.refutation);
         let was_dead = state == MemberState::Dead;
-        if verified && refutes {
+        if verified && is_refutation {
             entry.refutation = identity.refutation;
         }
         match state {
             MemberState::Alive | MemberState::Suspect if identity.leaving => {
                 entry.refutation = entry.refutation.max(identity.refutation);
                 self.set_state(now, name, MemberState::Leaving, actions);
-                self.spread(now, name);
+                self.queue_update(now, name);
             }
             MemberState::Alive => {
-                if verified && refutes {
-                    self.spread(now, name);
+                if verified && is_refutation {
+                    self.queue_update(now, name);
                 }
             }
             MemberState::Leaving => {
                 if verified {
-                    entry.give_up_at = None;
-                    self.table.waiting.remove(name);
+                    entry.expires_at = None;
+                    self.table.expiring.remove(name);
                 }
             }
-            MemberState::Suspect | MemberState::Dead if verified && refutes => {
+            MemberState::Suspect | MemberState::Dead if verified && is_refutation => {
                 let alive = !identity.leaving;
                 let state = if alive { MemberState::Alive } else { MemberState::Leaving };
                 self.set_state(now, name, state, actions);
-                let place = introduction.and_then(|update| update.place.as_ref());
-                if let Some(place) = place.filter(|_| was_dead) {
-                    self.table.set_alive_since(name, now.before(millis(place.alive_ms)));
+                let details = self_update.and_then(|update| update.details.as_ref());
+                if let Some(details) = details.filter(|_| was_dead) {
+                    self.table.set_alive_since(name, now.before(millis(details.alive_ms)));
                 }
-                self.table.join_round(name, &mut self.rng);
-                self.spread(now, name);
+                self.table.add_to_round(name, &mut self.rng);
+                self.queue_update(now, name);
                 self.pull_after_partition(now, name, state, actions);
             }
-            // It is heard, but has not refuted the accusation. The probe carries
-            // it; an answer proves both directions and refutes at once.
+            // It sends datagrams but has not refuted the suspicion. The probe contains the
+            // suspicion; a response proves both directions and refutes it.
             MemberState::Suspect | MemberState::Dead => {
-                if refutes || verified || state == MemberState::Dead {
+                if is_refutation || verified || state == MemberState::Dead {
                     self.probe(now, name, actions);
                 }
             }
         }
     }
 
-    /// Adds a VM that introduced itself, or a newer incarnation of a known one.
-    fn admit(&mut self, now: Time, update: &Update, actions: &mut Actions) {
-        let Some(place) = &update.place else { return };
+    /// Adds a VM from the update about itself, or a newer incarnation of a known one.
+    fn insert_verified(&mut self, now: Time, update: &Update, actions: &mut Actions) {
+        let Some(details) = &update.details else { return };
         let name = &update.name;
-        let entry = self.table.insert(now, table::vm(update, place), &mut self.rng);
+        let entry = self.table.insert(now, table::vm(update, details), &mut self.rng);
         entry.refutation = update.refutation;
         entry.direct = true;
-        self.table.set_alive_since(name, now.before(millis(place.alive_ms)));
+        self.table.set_alive_since(name, now.before(millis(details.alive_ms)));
         self.table.set_state(now, name, update.state);
-        actions.push(MembershipAction::Changed { vm: name.clone() });
-        self.spread(now, name);
+        actions.push(MembershipAction::StateChanged { vm: name.clone() });
+        self.queue_update(now, name);
         if update.state == MemberState::Alive {
-            self.pull_first(now, name, actions);
+            self.pull_from_first_peer(now, name, actions);
         }
     }
 
-    /// Takes what a member reports of the configuration.
-    fn on_report(&mut self, now: Time, identity: &Identity, actions: &mut Actions) {
+    /// Records the configuration version and the platform's last response that a member
+    /// reports.
+    fn on_config_report(&mut self, now: Time, identity: &Identity, actions: &mut Actions) {
         let Some(entry) = self.table.entries.get_mut(&identity.name) else { return };
-        let answered = identity.platform_age_ms.map(|age_ms| now.before(millis(age_ms)));
-        entry.member.platform_answered = entry.member.platform_answered.max(answered);
+        let responded_at = identity.platform_age_ms.map(|age_ms| now.before(millis(age_ms)));
+        entry.member.last_platform_response = entry.member.last_platform_response.max(responded_at);
         let Some(version) = identity.config_version else { return };
         if entry.member.config_version == Some(version) {
             return;
@@ -217,11 +220,11 @@
         actions.push(MembershipAction::ConfigVersion { vm: identity.name.clone(), version });
     }
 
-    /// Takes the statements of a datagram.
+    /// Applies the updates of a datagram.
     ///
-    /// A VM that hears nobody accuses everybody in turn while its datagrams still
-    /// arrive. Once it is itself suspect or dead, only what it says about this VM
-    /// is taken, so the accusations end with its own suspicion.
+    /// A VM that receives nothing suspects every member in turn while its own datagrams still
+    /// arrive. Once it is suspected or dead itself, only its updates about this VM are used,
+    /// which ends its false suspicions.
     fn on_updates(
         &mut self,
         now: Time,
@@ -229,37 +232,37 @@
         updates: Vec<Update>,
         actions: &mut Actions,
     ) {
-        let believed = self
+        let trusted = self
             .table
             .get(sender)
             .is_some_and(|entry| matches!(entry.state, MemberState::Alive | MemberState::Leaving));
         for update in updates {
             if update.name == self.me.name {
-                self.on_accusation(now, &update);
-            } else if believed && update.name != *sender {
+                self.on_update_about_self(now, &update);
+            } else if trusted && update.name != *sender {
                 self.on_update(now, &update, actions);
             }
         }
     }
 
-    /// Refutes a suspicion against this VM, or learns of its successor.
-    fn on_accusation(&mut self, now: Time, update: &Update) {
+    /// Refutes a suspicion against this VM, or detects that a newer incarnation replaced it.
+    fn on_update_about_self(&mut self, now: Time, update: &Update) {
         if update.incarnation > self.me.incarnation {
             self.superseded = true;
             return;
         }
-        let accuses = matches!(update.state, MemberState::Suspect | MemberState::Dead);
-        if update.incarnation < self.me.incarnation || !accuses {
+        let is_suspicion = matches!(update.state, MemberState::Suspect | MemberState::Dead);
+        if update.incarnation < self.me.incarnation || !is_suspicion {
             return;
         }
         if update.refutation < self.refutation {
-            // A pause raises the refutation number by itself, so a death declared
-            // meanwhile looks outdated. Left aside, it would have this VM go on as
-            // the owner of shards that others took over.
-            let died = |paused: &mut u32| {
+            // A pause increases the refutation number by itself, so a death declared during
+            // it looks outdated. If it were ignored, this VM would continue as the owner of
+            // shards that others took over.
+            let is_declared_dead = |paused: &mut u32| {
                 update.state == MemberState::Dead && update.refutation >= *paused
             };
-            if self.paused_refutation.take_if(died).is_some() {
+            if self.refutation_before_pause.take_if(is_declared_dead).is_some() {
                 self.alive_since = now;
             }
             return;
@@ -272,136 +275,137 @@
     }
 
     fn on_update(&mut self, now: Time, update: &Update, actions: &mut Actions) {
-        if !self.is_news(update) {
+        if !self.is_newer(update) {
             self.on_stale_update(now, update);
             return;
         }
         let name = &update.name;
         let known = self.table.get(name).map(|entry| entry.incarnation());
         if known == Some(update.incarnation) {
-            self.on_news(now, update, actions);
+            self.apply_update(now, update, actions);
         } else if matches!(update.state, MemberState::Alive | MemberState::Leaving) {
-            self.admit(now, update, actions);
+            self.insert_verified(now, update, actions);
             if let Some(entry) = self.table.entries.get_mut(name) {
                 entry.direct = false;
             }
         }
     }
 
-    /// Takes a statement that contradicts what is known without overruling it.
+    /// Handles an update that doesn't override the known state of its member.
     fn on_stale_update(&mut self, now: Time, update: &Update) {
         let state = self.table.get(&update.name).map(|entry| entry.state);
         match (update.state, state) {
-            // Somebody hears a member that this VM holds for dead: the other side
-            // of a healed partition, or an old rumour. An own probe decides.
+            // Another VM reports a member as alive that is dead for this one: it is on the
+            // other side of a healed partition, or the update is old. A probe by this VM
+            // decides.
             (MemberState::Alive, Some(MemberState::Dead)) => {
                 self.table.queue_to_verify(&update.name);
             }
-            // Somebody missed the refutation; nobody else would tell it again.
-            (MemberState::Dead, Some(MemberState::Alive)) => self.spread(now, &update.name),
+            // The sender missed the refutation; no other VM may gossip it again.
+            (MemberState::Dead, Some(MemberState::Alive)) => self.queue_update(now, &update.name),
             _ => {}
         }
     }
 
-    fn on_news(&mut self, now: Time, update: &Update, actions: &mut Actions) {
+    fn apply_update(&mut self, now: Time, update: &Update, actions: &mut Actions) {
         let name = &update.name;
         let Some(entry) = self.table.entries.get_mut(name) else { return };
-        let was = entry.state;
+        let previous_state = entry.state;
         entry.refutation = update.refutation;
         if update.state == MemberState::Suspect {
-            let give_up_at = now + self.suspicion_time();
-            self.table.give_up_at(name, give_up_at);
+            let expires_at = now + self.suspicion_time();
+            self.table.set_expiry(name, expires_at);
         }
         self.set_state(now, name, update.state, actions);
-        if was == MemberState::Dead && update.state != MemberState::Dead {
-            self.table.join_round(name, &mut self.rng);
-            if let Some(place) = &update.place {
-                self.table.set_alive_since(name, now.before(millis(place.alive_ms)));
+        if previous_state == MemberState::Dead && update.state != MemberState::Dead {
+            self.table.add_to_round(name, &mut self.rng);
+            if let Some(details) = &update.details {
+                self.table.set_alive_since(name, now.before(millis(details.alive_ms)));
             }
         }
-        self.spread(now, name);
+        self.queue_update(now, name);
     }
 
-    /// Returns whether a statement goes beyond what is known of its member.
+    /// Returns whether an update overrides the known state of its member.
     ///
-    /// Statements of a newer incarnation win. Within one, the higher refutation
-    /// number wins, then the graver state. Leaving is for good: it wins over any
-    /// suspicion, and only a death of its own refutation number or a later one
-    /// ends it.
-    fn is_news(&self, update: &Update) -> bool {
+    /// Updates of a newer incarnation win. Within one, the higher refutation number wins, then
+    /// the more severe state. Leaving is permanent: it wins over any suspicion, and only a
+    /// death with the same or a higher refutation number ends it.
+    fn is_newer(&self, update: &Update) -> bool {
         let entry = self.table.get(&update.name).filter(|entry| entry.is_known());
         let Some(entry) = entry else {
-            let stone = self.table.tombstone(&update.name);
-            return stone.is_none_or(|stone| {
-                (update.incarnation, update.refutation) > (stone.incarnation, stone.refutation)
+            let tombstone = self.table.tombstone(&update.name);
+            return tombstone.is_none_or(|tombstone| {
+                (update.incarnation, update.refutation)
+                    > (tombstone.incarnation, tombstone.refutation)
             });
         };
         if update.incarnation != entry.incarnation() {
             return update.incarnation > entry.incarnation();
         }
-        let later = update.refutation > entry.refutation;
-        let same = update.refutation == entry.refutation;
+        let is_later = update.refutation > entry.refutation;
+        let is_same = update.refutation == entry.refutation;
         match (update.state, entry.state) {
             (MemberState::Leaving, MemberState::Alive | MemberState::Suspect) => true,
             (MemberState::Alive | MemberState::Suspect, MemberState::Leaving) => false,
-            (MemberState::Leaving, MemberState::Leaving) => later,
-            (MemberState::Dead, MemberState::Dead) => later,
-            (MemberState::Dead, _) => later || same,
-            (MemberState::Suspect, MemberState::Alive) => later || same,
-            _ => later,
+            (MemberState::Leaving, MemberState::Leaving) => is_later,
+            (MemberState::Dead, MemberState::Dead) => is_later,
+            (MemberState::Dead, _) => is_later || is_same,
+            (MemberState::Suspect, MemberState::Alive) => is_later || is_same,
+            _ => is_later,
         }
     }
 
-    /// Returns what a member is accused of, to be told to it.
-    pub(super) fn accusation(&self, now: Time, name: &Name) -> Option<Update> {
+    /// Returns the suspicion against a member or its declared death, to be sent to it.
+    pub(super) fn suspicion(&self, now: Time, name: &Name) -> Option<Update> {
         let Some(entry) = self.table.get(name).filter(|entry| entry.is_known()) else {
-            let stone = self.table.tombstone(name)?;
+            let tombstone = self.table.tombstone(name)?;
             return Some(Update {
                 name: name.clone(),
-                incarnation: stone.incarnation,
-                refutation: stone.refutation,
+                incarnation: tombstone.incarnation,
+                refutation: tombstone.refutation,
                 state: MemberState::Dead,
-                place: None,
+                details: None,
             });
         };
         matches!(entry.state, MemberState::Suspect | MemberState::Dead).then(|| entry.update(now))
     }
 
-    /// Turns a suspicion by hearsay that ran out into an own one; returns whether
-    /// it was by hearsay.
+    /// Converts an expired suspicion that was reported by others into one of this VM; returns
+    /// whether it was reported by others.
     ///
-    /// Where datagrams are lost, the refutation may have missed this VM alone. It
-    /// would then declare a VM dead that all others hear. If the VM is dead, the
-    /// accuser's word arrives while this VM still asks.
-    fn doubts(&mut self, name: &Name) -> bool {
+    /// If datagrams are lost, this VM alone may have missed the refutation and would declare a
+    /// VM dead that all others reach, so it probes the VM first. If the VM is dead, the
+    /// suspecting VM's update arrives while this one still probes.
+    fn adopt_reported_suspicion(&mut self, name: &Name) -> bool {
         let Some(entry) = self.table.entries.get_mut(name) else { return false };
-        let hearsay =
+        let reported =
             entry.state == MemberState::Suspect && entry.is_known() && !entry.own_suspicion;
-        entry.own_suspicion |= hearsay;
-        hearsay
+        entry.own_suspicion |= reported;
+        reported
     }
 
-    /// Gives up members that have not been heard for too long.
-    pub(super) fn check_waiting(&mut self, now: Time, actions: &mut Actions) {
-        let over: Vec<Name> = self
+    /// Declares members dead whose time to respond has expired.
+    pub(super) fn expire_unresponsive(&mut self, now: Time, actions: &mut Actions) {
+        let expired: Vec<Name> = self
             .table
-            .waiting
+            .expiring
             .iter()
             .filter(|name| {
-                let at = self.table.get(name).and_then(|entry| entry.give_up_at);
+                let at = self.table.get(name).and_then(|entry| entry.expires_at);
                 at.is_none_or(|at| now >= at)
             })
             .cloned()
             .collect();
-        for name in over {
-            if self.doubts(&name) {
-                let patience = self.suspicion_time();
-                self.table.give_up_at(&name, now + patience);
+        for name in expired {
+            if self.adopt_reported_suspicion(&name) {
+                let suspicion_time = self.suspicion_time();
+                self.table.set_expiry(&name, now + suspicion_time);
                 self.probe(now, &name, actions);
                 continue;
             }
             self.set_state(now, &name, MemberState::Dead, actions);
-            self.spread(now, &name);
+            self.queue_update(now, &name);
         }
     }
 }
@@ -410,13 +414,13 @@
     Duration::from_millis(u64::from(time_ms))
 }
 
-fn is_old_news(update: &Update) -> bool {
-    update.place.as_ref().is_some_and(|place| place.alive_ms >= NEWS_MS)
+fn is_established(update: &Update) -> bool {
+    update.details.as_ref().is_some_and(|details| details.alive_ms >= ESTABLISHED_MS)
 }
 
-fn introduces(update: &Update, identity: &Identity) -> bool {
+fn is_self_update(update: &Update, identity: &Identity) -> bool {
     update.name == identity.name
         && update.incarnation == identity.incarnation
-        && update.place.is_some()
+        && update.details.is_some()
         && matches!(update.state, MemberState::Alive | MemberState::Leaving)
 }
--- a/crates/pistachiotrack-core/src/membership/settings.rs
+++ b/crates/pistachiotrack-core/src/membership/settings.rs
@@ -10,45 +10,46 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipSettings {
-    /// Deployment; datagrams of another one are left aside.
+    /// Deployment; datagrams of another one are ignored.
     #[serde(skip, default = "no_deployment")]
     pub deployment: Name,
-    /// Peer addresses of VMs that may know the fleet; each may be stale or down.
+    /// Peer addresses of VMs through which this VM joins the fleet; each may be stale or down.
     #[serde(skip)]
     pub seeds: Vec<SocketAddr>,
-    /// Time between two probes sent by a VM.
+    /// Time between two regular probes of a VM.
     pub probe_interval_ms: u64,
-    /// Time to wait for an answer before other VMs are asked to probe.
+    /// Time to wait for a response before indirect probes are sent.
     pub ack_timeout_ms: u64,
-    /// Time after which a probe without any answer has failed.
+    /// Time after which a probe without a response has failed.
     pub probe_timeout_ms: u64,
-    /// VMs asked to probe a member that doesn't answer.
+    /// Number of VMs that are requested to probe a member that doesn't respond.
     pub indirect_probes: usize,
-    /// Probe intervals of a suspicion in a fleet of ten.
+    /// Duration of a suspicion in a fleet of ten, in probe intervals.
     pub suspicion_intervals: f64,
-    /// Transmissions of an update in a fleet of one; as many more for each started
+    /// Number of transmissions of an update in a fleet of one; as many more for each started
     /// power of ten.
     pub update_transmissions: u32,
-    /// Highest local health score; each point lengthens timeouts once more.
+    /// Maximum local health score; each point lengthens timeouts by their base value.
     pub max_local_health: u32,
-    /// Time that a listed VM has to answer for the first time.
+    /// Time within which a listed VM has to respond for the first time.
     pub listed_timeout_ms: u64,
     /// Time between two probes of dead members.
     pub dead_probe_interval_ms: u64,
-    /// Time after which a dead member is no longer shown or probed.
+    /// Time after which a dead member is removed.
     pub forget_ms: u64,
-    /// Time for which rumours about a forgotten member are held off.
+    /// Time for which outdated updates about a removed member are rejected.
     pub tombstone_ms: u64,
-    /// Members verified at a time besides the regular probe of an interval.
+    /// Maximum number of members verified in an interval besides its regular probe.
     pub verify_burst: usize,
-    /// Members told at once of a configuration that came from the platform; 0 to
-    /// leave it to the regular messages.
+    /// Maximum number of members to which a configuration from the platform is announced at
+    /// once; 0 to rely on the regular datagrams.
     pub announce_fanout: usize,
-    /// Peers told at once that this VM leaves.
+    /// Number of members to which this VM announces at once that it leaves, and that are
+    /// probed at once after a pause.
     pub leave_fanout: usize,
-    /// Time after which a page of the member table is asked for again.
+    /// Time after which a page of the member table is requested again.
     pub page_timeout_ms: u64,
-    /// Least time between two reads of the whole member table.
+    /// Minimum time between two reads of the whole member table.
     pub table_interval_ms: u64,
 }
 
--- a/crates/pistachiotrack-core/src/membership/table.rs
+++ b/crates/pistachiotrack-core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The members known, with indexes for what has to be found fast.
+//! The table of known members, with indexes for fast look-ups.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -10,41 +10,41 @@
 
 use super::{Member, MemberState};
 use crate::{
-    message::{Place, Update},
+    message::{MemberDetails, Update},
     name::Name,
     time::Time,
     vm::Vm,
 };
 
-/// Longest time alive that is passed on; beyond it nobody cares.
-const MAX_ALIVE_MS: u64 = 3_600_000;
-/// Tries to find a random member in some state before giving up.
+/// Maximum time alive in an update; a longer time makes no difference to the receiver.
+const MAX_REPORTED_ALIVE_MS: u64 = 3_600_000;
+/// Base number of tries to find random live members.
 const RANDOM_TRIES: usize = 24;
 
-/// A member with what only the membership itself needs.
+/// A member with the internal state of the membership protocol.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
-    /// What others see; its state includes the platform's leaving mark.
+    /// Public data; its state includes the platform's leaving mark.
     pub(super) member: Member,
     /// State without the platform's leaving mark.
     pub(super) state: MemberState,
-    /// Moment since which it has not been dead; a refuted suspicion leaves it.
+    /// Time since which it has not been dead; a refuted suspicion doesn't change it.
     pub(super) alive_since: Time,
-    /// Refutation number known.
+    /// Highest known refutation number.
     pub(super) refutation: u32,
-    /// Moment at which a member that isn't heard counts as dead.
-    pub(super) give_up_at: Option<Time>,
-    /// Whether this VM's own probe raised the suspicion.
+    /// Time at which it is declared dead unless it responds.
+    pub(super) expires_at: Option<Time>,
+    /// Whether the suspicion comes from a probe of this VM.
     pub(super) own_suspicion: bool,
-    /// Whether the platform lists it.
+    /// Whether it is on the platform's list.
     pub(super) listed: bool,
-    /// Incarnation that the platform's leaving mark is about.
+    /// Incarnation to which the platform's leaving mark applies.
     pub(super) leaving_mark: Option<u64>,
-    /// Whether its last answer came without a relay.
+    /// Whether its last response came without a relay.
     pub(super) direct: bool,
-    /// Whether it is in the round of probes.
+    /// Whether it is in the current round of probes.
     pub(super) in_round: bool,
-    /// Whether it waits to be verified.
+    /// Whether it is queued for verification.
     pub(super) queued: bool,
 }
 
@@ -53,49 +53,49 @@
         self.member.vm.incarnation
     }
 
-    /// Returns whether the member has ever been heard of by more than the list.
+    /// Returns whether the member is known from more than the platform's list.
     pub(super) fn is_known(&self) -> bool {
         self.incarnation() > 0
     }
 
-    /// Returns the statement about this member as this VM sees it.
+    /// Returns an update with the state of this member.
     pub(super) fn update(&self, now: Time) -> Update {
         let vm = &self.member.vm;
-        let with_place = matches!(self.state, MemberState::Alive | MemberState::Leaving);
+        let with_details = matches!(self.state, MemberState::Alive | MemberState::Leaving);
         Update {
             name: vm.name.clone(),
             incarnation: vm.incarnation,
             refutation: self.refutation,
             state: self.state,
-            place: with_place.then(|| place(vm, now.since(self.alive_since))),
+            details: with_details.then(|| details(vm, now.since(self.alive_since))),
         }
     }
 }
 
-/// Returns the place of a VM that has been alive for `alive`.
-pub(super) fn place(vm: &Vm, alive: Duration) -> Place {
-    Place {
+/// Returns the details of a VM for an update; `alive` is how long it has been alive.
+pub(super) fn details(vm: &Vm, alive: Duration) -> MemberDetails {
+    MemberDetails {
         data_centre: vm.data_centre.clone(),
         caller_address: vm.caller_address,
         peer_address: vm.peer_address,
-        alive_ms: (alive.as_millis() as u64).min(MAX_ALIVE_MS) as u32,
+        alive_ms: (alive.as_millis() as u64).min(MAX_REPORTED_ALIVE_MS) as u32,
         capacity: vm.capacity,
     }
 }
 
-/// Returns the VM that an update with a place is about.
-pub(super) fn vm(update: &Update, place: &Place) -> Vm {
+/// Returns the VM that an update with details is about.
+pub(super) fn vm(update: &Update, details: &MemberDetails) -> Vm {
     Vm {
         name: update.name.clone(),
-        data_centre: place.data_centre.clone(),
+        data_centre: details.data_centre.clone(),
         incarnation: update.incarnation,
-        caller_address: place.caller_address,
-        peer_address: place.peer_address,
-        capacity: place.capacity,
+        caller_address: details.caller_address,
+        peer_address: details.peer_address,
+        capacity: details.capacity,
     }
 }
 
-/// What is remembered of a forgotten member.
+/// Record of a removed member.
 #[derive(Clone, Debug)]
 pub(super) struct Tombstone {
     pub(super) incarnation: u64,
@@ -107,8 +107,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Table {
     pub(super) entries: BTreeMap<Name, Entry>,
-    /// Members with a moment to give up on.
-    pub(super) waiting: BTreeSet<Name>,
+    /// Members with an expiry time.
+    pub(super) expiring: BTreeSet<Name>,
     pub(super) dead: BTreeSet<Name>,
     tombstones: BTreeMap<Name, Tombstone>,
     round: Vec<Name>,
@@ -133,25 +133,33 @@
     /// Adds or replaces a member.
     pub(super) fn insert(&mut self, now: Time, vm: Vm, rng: &mut Pcg64Mcg) -> &mut Entry {
         let name = vm.name.clone();
-        let old = self.entries.remove(&name);
+        let previous = self.entries.remove(&name);
         self.dead.remove(&name);
-        self.waiting.remove(&name);
-        let listed = old.as_ref().is_some_and(|old| old.listed);
-        let in_round = old.as_ref().is_some_and(|old| old.in_round);
-        let queued = old.as_ref().is_some_and(|old| old.queued);
-        // A mark set before the VM was ever heard is about the one heard now.
-        let leaving_mark =
-            old.as_ref().and_then(|old| old.leaving_mark).map(|marked| match marked {
+        self.expiring.remove(&name);
+        let listed = previous.as_ref().is_some_and(|previous| previous.listed);
+        let in_round = previous.as_ref().is_some_and(|previous| previous.in_round);
+        let queued = previous.as_ref().is_some_and(|previous| previous.queued);
+        // A mark set before the VM first responded applies to the incarnation that responds
+        // now.
+        let leaving_mark = previous.as_ref().and_then(|previous| previous.leaving_mark).map(
+            |marked| match marked {
                 0 => vm.incarnation,
                 incarnation => incarnation,
-            });
+            },
+        );
         let state = MemberState::Suspect;
         let entry = Entry {
-            member: Member { vm, state, since: now, config_version: None, platform_answered: None },
+            member: Member {
+                vm,
+                state,
+                since: now,
+                config_version: None,
+                last_platform_response: None,
+            },
             state,
             alive_since: now,
             refutation: 0,
-            give_up_at: None,
+            expires_at: None,
             own_suspicion: false,
             listed,
             leaving_mark,
@@ -160,11 +168,11 @@
             queued,
         };
         self.entries.insert(name.clone(), entry);
-        self.join_round(&name, rng);
+        self.add_to_round(&name, rng);
         self.entries.get_mut(&name).expect("the entry was just inserted")
     }
 
-    /// Sets a member's state; returns whether what others see changed.
+    /// Sets a member's state; returns whether its visible state changed.
     pub(super) fn set_state(&mut self, now: Time, name: &Name, state: MemberState) -> bool {
         let Some(entry) = self.entries.get_mut(name) else { return false };
         if entry.state == MemberState::Dead && state != MemberState::Dead {
@@ -172,35 +180,35 @@
         }
         entry.state = state;
         if matches!(state, MemberState::Alive | MemberState::Dead) {
-            entry.give_up_at = None;
+            entry.expires_at = None;
             entry.own_suspicion = false;
-            self.waiting.remove(name);
+            self.expiring.remove(name);
         }
         if state == MemberState::Dead {
             self.dead.insert(name.clone());
         } else {
             self.dead.remove(name);
         }
-        self.show(now, name)
+        self.update_visible_state(now, name)
     }
 
-    /// Works out what others see of a member; returns whether it changed.
-    pub(super) fn show(&mut self, now: Time, name: &Name) -> bool {
+    /// Updates the visible state of a member; returns whether it changed.
+    pub(super) fn update_visible_state(&mut self, now: Time, name: &Name) -> bool {
         let Some(entry) = self.entries.get_mut(name) else { return false };
         let marked = entry.leaving_mark == Some(entry.incarnation());
-        let shown = match entry.state {
+        let visible = match entry.state {
             MemberState::Alive | MemberState::Suspect if marked => MemberState::Leaving,
             state => state,
         };
-        if shown == entry.member.state {
+        if visible == entry.member.state {
             return false;
         }
-        entry.member.state = shown;
-        entry.member.since = if shown == MemberState::Alive { entry.alive_since } else { now };
+        entry.member.state = visible;
+        entry.member.since = if visible == MemberState::Alive { entry.alive_since } else { now };
         true
     }
 
-    /// Sets the moment since which a member has been alive.
+    /// Sets the time since which a member has been alive.
     pub(super) fn set_alive_since(&mut self, name: &Name, since: Time) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         entry.alive_since = since;
@@ -209,15 +217,15 @@
         }
     }
 
-    /// Sets the moment at which a member that isn't heard counts as dead.
-    pub(super) fn give_up_at(&mut self, name: &Name, at: Time) {
+    /// Sets the time at which a member is declared dead unless it responds.
+    pub(super) fn set_expiry(&mut self, name: &Name, at: Time) {
         let Some(entry) = self.entries.get_mut(name) else { return };
-        entry.give_up_at = Some(at);
-        self.waiting.insert(name.clone());
+        entry.expires_at = Some(at);
+        self.expiring.insert(name.clone());
     }
 
-    /// Puts a member into the round of probes if it isn't in it.
-    pub(super) fn join_round(&mut self, name: &Name, rng: &mut Pcg64Mcg) {
+    /// Adds a member at a random position to the round of probes unless it is in it.
+    pub(super) fn add_to_round(&mut self, name: &Name, rng: &mut Pcg64Mcg) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         if entry.in_round {
             return;
@@ -225,12 +233,12 @@
         entry.in_round = true;
         self.round.push(name.clone());
         let last = self.round.len() - 1;
-        let place = rng.random_range(self.next_in_round.min(last)..=last);
-        self.round.swap(place, last);
+        let index = rng.random_range(self.next_in_round.min(last)..=last);
+        self.round.swap(index, last);
     }
 
-    /// Returns the next member of the round; every member comes once in a round,
-    /// so a crash is found by each VM within one round at the latest.
+    /// Returns the next member of the round. A round contains every member once, so each VM
+    /// detects a crash within one round at the latest.
     pub(super) fn next_of_round(&mut self, rng: &mut Pcg64Mcg) -> Option<Name> {
         for _ in 0..self.round.len() + 1 {
             if self.next_in_round >= self.round.len() {
@@ -256,7 +264,7 @@
         round.shuffle(rng);
     }
 
-    /// Returns up to `count` different random members that are alive.
+    /// Returns up to `count` different random live members.
     pub(super) fn random_alive(
         &self,
         count: usize,
@@ -288,7 +296,7 @@
         self.dead.iter().nth(rng.random_range(0..self.dead.len())).cloned()
     }
 
-    /// Queues a member to be verified by an own probe.
+    /// Queues a member for verification by a probe.
     pub(super) fn queue_to_verify(&mut self, name: &Name) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         if !entry.queued {
@@ -309,24 +317,24 @@
         None
     }
 
-    /// Forgets members that have been dead for long, and old tombstones.
-    pub(super) fn forget(&mut self, now: Time, forget: Duration, tombstone: Duration) {
-        self.tombstones.retain(|_, stone| stone.until > now);
+    /// Removes members that have been dead for `forget_after` and expired tombstones.
+    pub(super) fn forget(&mut self, now: Time, forget_after: Duration, tombstone_time: Duration) {
+        self.tombstones.retain(|_, tombstone| tombstone.until > now);
         let Table { entries, dead, tombstones, .. } = self;
         dead.retain(|name| {
             let Some(entry) = entries.get(name) else { return false };
-            let gone =
-                if entry.is_known() { now.since(entry.member.since) >= forget } else { true };
-            if entry.listed || !gone {
+            let is_expired =
+                if entry.is_known() { now.since(entry.member.since) >= forget_after } else { true };
+            if entry.listed || !is_expired {
                 return true;
             }
             if entry.is_known() {
-                let stone = Tombstone {
+                let tombstone = Tombstone {
                     incarnation: entry.incarnation(),
                     refutation: entry.refutation,
-                    until: now + tombstone,
+                    until: now + tombstone_time,
                 };
-                tombstones.insert(name.clone(), stone);
+                tombstones.insert(name.clone(), tombstone);
             }
             entries.remove(name);
             false
--- a/crates/pistachiotrack-core/src/message.rs
+++ b/crates/pistachiotrack-core/src/message.rs
@@ -1,8 +1,8 @@
 //! Datagrams between VMs, encoded with `postcard`.
 //!
-//! A datagram is one version byte, the deployment's hash, a checksum and the
-//! encoded [`Datagram`]. It never exceeds [`MAX_DATAGRAM_BYTES`], so it fits
-//! into one packet on every usual path.
+//! A datagram consists of a version byte, the deployment's hash, a checksum and the encoded
+//! [`Datagram`]. It never exceeds [`MAX_DATAGRAM_BYTES`], so it fits into one packet on
+//! every usual network path.
 
 use std::net::SocketAddr;
 
@@ -10,17 +10,17 @@
 
 use crate::{hash, membership::MemberState, name::Name};
 
-/// Version of the format; datagrams of another version are refused.
+/// Version of the format; datagrams of another version are rejected.
 pub const PROTOCOL_VERSION: u8 = 3;
-/// Largest datagram that is sent or decoded.
+/// Maximum size of a datagram that is sent or decoded.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Longest name that a datagram may carry.
+/// Maximum length of a name in a datagram.
 pub const MAX_NAME_BYTES: usize = 128;
 
 const HEADER_BYTES: usize = 9;
 const LENGTH_PREFIX_BYTES: usize = 2;
 
-/// What a VM says about itself in every datagram.
+/// Identity and status of a VM, which it sends in every datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// Name of the VM.
@@ -29,65 +29,65 @@
     pub incarnation: u64,
     /// Number of suspicions that this incarnation has refuted.
     pub refutation: u32,
-    /// Whether it is stopping gracefully.
+    /// Whether it is shutting down gracefully.
     pub leaving: bool,
-    /// Configuration version that it holds.
+    /// Version of its active configuration.
     pub config_version: Option<u64>,
-    /// Time since the platform's configuration service last answered it.
+    /// Time since the platform's configuration service last responded to it.
     pub platform_age_ms: Option<u32>,
 }
 
-/// Where a VM is and for how long it has been alive.
+/// Addresses, data centre, uptime and capacity of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct MemberDetails {
     /// Data centre of the VM.
     pub data_centre: Name,
     /// Address for callers.
     pub caller_address: SocketAddr,
     /// Address for other VMs.
     pub peer_address: SocketAddr,
-    /// Time for which it has been alive, as far as the teller knows.
+    /// Time for which it has been alive, as far as the sender knows.
     pub alive_ms: u32,
-    /// How much it can do, as [`Vm::capacity`](crate::vm::Vm::capacity).
+    /// Capacity, see [`Vm::capacity`](crate::vm::Vm::capacity).
     pub capacity: u32,
 }
 
-/// A statement about one member, passed on from VM to VM.
+/// An update about one member, which is gossiped between VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// Name of the member.
     pub name: Name,
-    /// Incarnation that the statement is about.
+    /// Incarnation that the update is about.
     pub incarnation: u64,
-    /// Refutation number that the statement is about.
+    /// Refutation number that the update is about.
     pub refutation: u32,
-    /// State stated.
+    /// State of the member.
     pub state: MemberState,
-    /// Place of the member; given with [`MemberState::Alive`].
-    pub place: Option<Place>,
+    /// Details of the member; set with [`MemberState::Alive`] and [`MemberState::Leaving`].
+    pub details: Option<MemberDetails>,
 }
 
 /// Purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the target for an [`Message::Ack`].
+    /// Requests an [`Message::Ack`] from the target.
     Ping {
-        /// Number repeated in the answer.
+        /// Number repeated in the response.
         sequence: u32,
-        /// VM meant, since its address may meanwhile belong to another one.
+        /// Intended VM, since its address may belong to another one by now.
         target: Name,
         /// Incarnation of the target that the sender knows, 0 for none; a
-        /// target with another one introduces itself.
+        /// target with another one adds an update about itself to the response.
         known_incarnation: u64,
     },
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Ack {
         /// Number of the ping.
         sequence: u32,
     },
-    /// Asks a third VM to ping the target.
+    /// Requests an indirect probe: the receiver pings the target.
     PingRequest {
-        /// Number repeated in the answer.
+        /// Number repeated in the response.
         sequence: u32,
         /// VM to ping.
         target: Name,
@@ -96,34 +96,33 @@
         /// Incarnation of the target that the sender knows.
         known_incarnation: u64,
     },
-    /// Tells that the target of a ping request answered.
+    /// Reports that the target of a ping request responded.
     RelayedAck {
         /// Number of the ping request.
         sequence: u32,
-        /// What the target said of itself.
+        /// Identity in the target's response.
         subject: Identity,
-        /// How the target introduced itself, if it did.
-        introduction: Option<Update>,
+        /// Update about itself in the target's response, if any.
+        self_update: Option<Update>,
     },
-    /// Tells that the target of a ping request has not answered so far.
+    /// Reports that the target of a ping request has not responded so far.
     Nack {
         /// Number of the ping request.
         sequence: u32,
     },
-    /// Asks for a page of the member table.
+    /// Requests a page of the member table.
     TableRequest {
-        /// Last name of the page before; `None` for the first page.
+        /// Last name of the previous page; `None` for the first page.
         after: Option<Name>,
     },
     /// A page of the member table, in the datagram's updates.
     TablePage {
-        /// Name to ask on from; `None` on the last page.
+        /// Value of `after` for the next page; `None` on the last page.
         next: Option<Name>,
     },
-    /// Tells that the sender is stopping gracefully.
+    /// Announces that the sender is shutting down gracefully.
     Leave,
-    /// Tells the configuration version in the sender's identity, and nothing
-    /// else.
+    /// Announces the configuration version in the sender's identity, and nothing else.
     Announce,
 }
 
@@ -134,37 +133,37 @@
     pub sender: Identity,
     /// Purpose.
     pub message: Message,
-    /// Statements about members.
+    /// Updates about members.
     pub updates: Vec<Update>,
 }
 
-/// Why a datagram is refused.
+/// Reason why a datagram can't be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// It is larger than any that a VM sends.
-    #[error("datagram of {bytes} bytes is over {MAX_DATAGRAM_BYTES}")]
+    /// It is larger than [`MAX_DATAGRAM_BYTES`].
+    #[error("datagram of {bytes} bytes exceeds the limit of {MAX_DATAGRAM_BYTES}")]
     TooLarge {
         /// Its size.
         bytes: usize,
     },
-    /// It ends before its content.
-    #[error("datagram is cut short")]
-    TooShort,
-    /// It is of another protocol version.
-    #[error("protocol version {0}, not {PROTOCOL_VERSION}")]
-    Version(u8),
+    /// It is shorter than its header.
+    #[error("datagram is truncated")]
+    Truncated,
+    /// It has another protocol version.
+    #[error("protocol version {0} is not supported, expected {PROTOCOL_VERSION}")]
+    UnsupportedVersion(u8),
     /// It belongs to another deployment.
-    #[error("datagram of another deployment")]
-    Deployment,
-    /// Its content was altered on the way.
+    #[error("datagram belongs to another deployment")]
+    WrongDeployment,
+    /// Its content was corrupted in transit.
     #[error("checksum does not match")]
     Checksum,
     /// Its content can't be encoded or decoded.
     #[error(transparent)]
     Content(#[from] postcard::Error),
-    /// It carries a name over [`MAX_NAME_BYTES`].
-    #[error("name of {bytes} bytes is over {MAX_NAME_BYTES}")]
-    Name {
+    /// It contains a name longer than [`MAX_NAME_BYTES`].
+    #[error("name of {bytes} bytes exceeds the limit of {MAX_NAME_BYTES}")]
+    NameTooLong {
         /// Size of the name.
         bytes: usize,
     },
@@ -174,12 +173,12 @@
     fn from(error: DatagramError) -> postcard::Error {
         match error {
             DatagramError::Content(error) => error,
-            DatagramError::TooShort => postcard::Error::DeserializeUnexpectedEnd,
+            DatagramError::Truncated => postcard::Error::DeserializeUnexpectedEnd,
             DatagramError::Checksum => postcard::Error::DeserializeBadCrc,
             DatagramError::TooLarge { .. }
-            | DatagramError::Version(_)
-            | DatagramError::Deployment
-            | DatagramError::Name { .. } => postcard::Error::DeserializeBadEncoding,
+            | DatagramError::UnsupportedVersion(_)
+            | DatagramError::WrongDeployment
+            | DatagramError::NameTooLong { .. } => postcard::Error::DeserializeBadEncoding,
         }
     }
 }
@@ -193,14 +192,14 @@
 impl Codec {
     /// Creates the codec of a deployment.
     pub fn new(deployment: &str) -> Codec {
-        Codec { deployment: fold(hash::fnv(deployment.as_bytes())) }
+        Codec { deployment: fold_to_u32(hash::fnv(deployment.as_bytes())) }
     }
 
     /// Encodes a datagram.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is over [`MAX_DATAGRAM_BYTES`].
+    /// Returns an error if it is larger than [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self, datagram: &Datagram) -> Result<Vec<u8>, DatagramError> {
         let mut bytes = Vec::with_capacity(128);
         bytes.push(PROTOCOL_VERSION);
@@ -219,24 +218,24 @@
     ///
     /// # Errors
     ///
-    /// Returns an error for anything that [`Codec::encode`] with the same
-    /// deployment did not make.
+    /// Returns an error for bytes that were not produced by [`Codec::encode`] with the same
+    /// deployment.
     pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::TooLarge { bytes: bytes.len() });
         }
         let Some((header, content)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
-            return Err(DatagramError::TooShort);
+            return Err(DatagramError::Truncated);
         };
         let [version, d0, d1, d2, d3, c0, c1, c2, c3] = *header;
         if version != PROTOCOL_VERSION {
-            return Err(DatagramError::Version(version));
+            return Err(DatagramError::UnsupportedVersion(version));
         }
         if u32::from_le_bytes([d0, d1, d2, d3]) != self.deployment {
-            return Err(DatagramError::Deployment);
+            return Err(DatagramError::WrongDeployment);
         }
-        // A flipped bit in an incarnation would shut a VM out for good, since
-        // the larger incarnation wins. The checksum refuses such a datagram.
+        // A flipped bit in an incarnation would exclude a VM permanently, since the larger
+        // incarnation wins. The checksum rejects such a datagram.
         if u32::from_le_bytes([c0, c1, c2, c3]) != self.checksum(content) {
             return Err(DatagramError::Checksum);
         }
@@ -246,17 +245,17 @@
     }
 
     fn checksum(&self, content: &[u8]) -> u32 {
-        fold(hash::fnv_from(hash::mix(u64::from(self.deployment)), content))
+        fold_to_u32(hash::fnv_from(hash::mix(u64::from(self.deployment)), content))
     }
 }
 
-/// Returns the room for updates beside a datagram's own content.
+/// Returns the number of bytes left for updates in a datagram.
 pub fn room_for_updates(datagram: &Datagram) -> usize {
-    let own = encoded_bytes(datagram);
-    MAX_DATAGRAM_BYTES.saturating_sub(HEADER_BYTES + LENGTH_PREFIX_BYTES + own)
+    let content = encoded_bytes(datagram);
+    MAX_DATAGRAM_BYTES.saturating_sub(HEADER_BYTES + LENGTH_PREFIX_BYTES + content)
 }
 
-/// Returns the encoded size of a value, or `usize::MAX` if it has none.
+/// Returns the encoded size of a value, or `usize::MAX` if it can't be encoded.
 pub fn encoded_bytes<T: Serialize>(value: &T) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(usize::MAX)
 }
@@ -265,11 +264,11 @@
     let updates = datagram.updates.iter().map(|update| &update.name);
     let longest = updates.chain([&datagram.sender.name]).map(|name| name.len()).max();
     match longest {
-        Some(bytes) if bytes > MAX_NAME_BYTES => Err(DatagramError::Name { bytes }),
+        Some(bytes) if bytes > MAX_NAME_BYTES => Err(DatagramError::NameTooLong { bytes }),
         _ => Ok(()),
     }
 }
 
-fn fold(hash: u64) -> u32 {
+fn fold_to_u32(hash: u64) -> u32 {
     (hash ^ (hash >> 32)) as u32
 }
--- a/crates/pistachiotrack-core/src/ownership/placement.rs
+++ b/crates/pistachiotrack-core/src/ownership/placement.rs
@@ -24,12 +24,10 @@
         for endpoint in endpoints {
             *slots.entry(&endpoint.data_centre).or_default() += endpoint.slots.max(1);
         }
-        let total_slots: u32 = slots.values().sum();
+        let all: u32 = slots.values().sum();
         let weights = slots
             .into_iter()
-            .map(|(name, slots)| {
-                (name.clone(), REMOTE_WEIGHT + f64::from(slots) / f64::from(total_slots))
-            })
+            .map(|(name, slots)| (name.clone(), REMOTE_WEIGHT + f64::from(slots) / f64::from(all)))
             .collect();
         Placement { key: hash::fnv(key.as_bytes()), weights }
     }
--- a/crates/pistachiotrack-core/tests/config_first_value.rs
+++ b/crates/pistachiotrack-core/tests/config_first_value.rs
@@ -27,7 +27,7 @@
         state: MemberState::Alive,
         since: Time::ZERO,
         config_version,
-        platform_answered: None,
+        last_platform_response: None,
     }
 }
 
--- a/crates/pistachiotrack-core/tests/config_support/fleet.rs
+++ b/crates/pistachiotrack-core/tests/config_support/fleet.rs
@@ -234,7 +234,7 @@
             state: if reachable { MemberState::Alive } else { MemberState::Dead },
             since: Time::ZERO,
             config_version: me.heard.get(&(other as u32)).copied(),
-            platform_answered: me.answered.get(&(other as u32)).copied(),
+            last_platform_response: me.answered.get(&(other as u32)).copied(),
         }
     }
 
--- a/crates/pistachiotrack-core/tests/config_sync.rs
+++ b/crates/pistachiotrack-core/tests/config_sync.rs
@@ -52,7 +52,13 @@
 }
 
 fn member(index: u32, state: MemberState, config_version: Option<u64>) -> Member {
-    Member { vm: vm(index, 3), state, since: Time::ZERO, config_version, platform_answered: None }
+    Member {
+        vm: vm(index, 3),
+        state,
+        since: Time::ZERO,
+        config_version,
+        last_platform_response: None,
+    }
 }
 
 fn alive(vms: u32) -> Vec<Member> {
--- a/crates/pistachiotrack-core/tests/datagram.rs
+++ b/crates/pistachiotrack-core/tests/datagram.rs
@@ -1,12 +1,12 @@
-//! The datagrams' format: bounded, checked and safe to decode.
+//! The format of datagrams: limited in size, verified and safe to decode.
 
 use std::net::SocketAddr;
 
 use pistachiotrack_core::{
     membership::{MemberState, Membership, MembershipSettings},
     message::{
-        Codec, Datagram, DatagramError, Identity, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, Message,
-        PROTOCOL_VERSION, Place, Update,
+        Codec, Datagram, DatagramError, Identity, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES,
+        MemberDetails, Message, PROTOCOL_VERSION, Update,
     },
     name::Name,
     time::Time,
@@ -23,7 +23,7 @@
 fn arbitrary_update(source: &mut Gen) -> Update {
     let states =
         [MemberState::Alive, MemberState::Suspect, MemberState::Leaving, MemberState::Dead];
-    let place = Place {
+    let details = MemberDetails {
         data_centre: Name::from("oslo-1"),
         caller_address: address(),
         peer_address: address(),
@@ -35,7 +35,7 @@
         incarnation: u64::arbitrary(source),
         refutation: u32::arbitrary(source),
         state: *source.choose(&states).expect("not empty"),
-        place: bool::arbitrary(source).then_some(place),
+        details: bool::arbitrary(source).then_some(details),
     }
 }
 
@@ -63,7 +63,7 @@
         Message::RelayedAck {
             sequence,
             subject: sender.clone(),
-            introduction: Some(arbitrary_update(source)),
+            self_update: Some(arbitrary_update(source)),
         },
         Message::Nack { sequence },
         Message::TableRequest { after: Some(target) },
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn decoding_gives_back_what_was_encoded() {
+fn encoded_datagrams_round_trip() {
     let codec = Codec::new("timeliten");
     let mut source = Gen::from_size_and_seed(10, 1);
     for _ in 0..CASES {
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn altered_datagrams_are_refused() {
-    // A faulty switch or memory flips a bit or cuts a datagram. If the bit is in
-    // an incarnation, the VM would be shut out by its own imagined successor.
+fn corrupted_datagrams_are_rejected() {
+    // A faulty switch or memory flips a bit of a datagram or truncates it. If the bit is in
+    // an incarnation, the VM would be considered superseded by a newer one.
     let codec = Codec::new("timeliten");
     let mut source = Gen::from_size_and_seed(10, 2);
     for _ in 0..CASES {
@@ -99,8 +99,8 @@
         let bit = usize::arbitrary(&mut source) % (bytes.len() * 8);
         flipped[bit / 8] ^= 1 << (bit % 8);
         assert!(codec.decode(&flipped).is_err());
-        let cut = usize::arbitrary(&mut source) % bytes.len();
-        assert!(codec.decode(&bytes[..cut]).is_err());
+        let length = usize::arbitrary(&mut source) % bytes.len();
+        assert!(codec.decode(&bytes[..length]).is_err());
         let longer = [bytes.as_slice(), &[0]].concat();
         assert!(codec.decode(&longer).is_err());
     }
@@ -108,8 +108,8 @@
 
 #[test]
 fn random_bytes_never_panic() {
-    // Anybody can send anything to the port. With a right header the content still
-    // reaches the decoder, so that is tried too.
+    // Anyone can send any bytes to the port. Content behind a valid header reaches the
+    // decoder, so that is tested too.
     let codec = Codec::new("timeliten");
     let vm = Vm {
         name: Name::from("vm-1"),
@@ -125,11 +125,11 @@
     for _ in 0..CASES {
         let bytes = Vec::<u8>::arbitrary(&mut source);
         assert!(codec.decode(&bytes).is_err());
-        // Behind a right header such content would reach the decoder.
+        // Behind a valid header such content would reach the decoder.
         if let Ok(datagram) = postcard::from_bytes::<Datagram>(&bytes) {
             assert_eq!(codec.decode(&codec.encode(&datagram).expect("it fits")), Ok(datagram));
         }
-        // With the right version it looks like a stranger's and is left aside.
+        // With the right version it looks like another deployment's and is ignored.
         let answer = membership.on_datagram(Time::ZERO, address(), &bytes);
         assert!(answer.is_err() || answer == Ok(Vec::new()));
     }
@@ -137,20 +137,20 @@
 }
 
 #[test]
-fn each_kind_of_refusal_is_named() {
+fn each_reason_for_rejection_has_its_error() {
     let codec = Codec::new("timeliten");
     let datagram = arbitrary_datagram(&mut Gen::from_size_and_seed(10, 4));
     let bytes = codec.encode(&datagram).expect("it fits");
     let large = vec![PROTOCOL_VERSION; MAX_DATAGRAM_BYTES + 1];
     assert_eq!(codec.decode(&large), Err(DatagramError::TooLarge { bytes: 1201 }));
-    assert_eq!(codec.decode(&bytes[..3]), Err(DatagramError::TooShort));
+    assert_eq!(codec.decode(&bytes[..3]), Err(DatagramError::Truncated));
     let mut newer = bytes.clone();
     newer[0] = PROTOCOL_VERSION + 1;
-    assert_eq!(codec.decode(&newer), Err(DatagramError::Version(PROTOCOL_VERSION + 1)));
-    let stranger = Codec::new("tlmocnik").encode(&datagram).expect("it fits");
-    assert_eq!(codec.decode(&stranger), Err(DatagramError::Deployment));
-    let mut named = datagram;
-    named.sender.name = Name::from("x".repeat(MAX_NAME_BYTES + 1));
-    let bytes = codec.encode(&named).expect("it fits");
-    assert_eq!(codec.decode(&bytes), Err(DatagramError::Name { bytes: MAX_NAME_BYTES + 1 }));
+    assert_eq!(codec.decode(&newer), Err(DatagramError::UnsupportedVersion(PROTOCOL_VERSION + 1)));
+    let other_deployment = Codec::new("tlmocnik").encode(&datagram).expect("it fits");
+    assert_eq!(codec.decode(&other_deployment), Err(DatagramError::WrongDeployment));
+    let mut long_name = datagram;
+    long_name.sender.name = Name::from("x".repeat(MAX_NAME_BYTES + 1));
+    let bytes = codec.encode(&long_name).expect("it fits");
+    assert_eq!(codec.decode(&bytes), Err(DatagramError::NameTooLong { bytes: MAX_NAME_BYTES + 1 }));
 }
--- a/crates/pistachiotrack-core/tests/dispatchers.rs
+++ b/crates/pistachiotrack-core/tests/dispatchers.rs
@@ -32,7 +32,7 @@
         state: MemberState::Alive,
         since: Time::from_millis(1),
         config_version: None,
-        platform_answered: None,
+        last_platform_response: None,
     };
     capacities.iter().enumerate().map(member).collect()
 }
--- a/crates/pistachiotrack-core/tests/membership.rs
+++ b/crates/pistachiotrack-core/tests/membership.rs
@@ -5,7 +5,7 @@
 use membership_fleet::{Fleet, START_MS, address, list, name, vm};
 use pistachiotrack_core::{
     membership::{MemberState, Membership, MembershipSettings},
-    message::{Codec, Datagram, Identity, Message, Place, Update},
+    message::{Codec, Datagram, Identity, MemberDetails, Message, Update},
     time::Time,
 };
 
@@ -318,7 +318,7 @@
 /// a third one is alive.
 fn deliver_old_rumour(fleet: &mut Fleet, to: usize, from: usize, about: usize) {
     let (teller, dead) = (vm(from, START_MS), vm(about, START_MS));
-    let place = Place {
+    let details = MemberDetails {
         data_centre: dead.data_centre,
         caller_address: dead.caller_address,
         peer_address: dead.peer_address,
@@ -330,7 +330,7 @@
         incarnation: dead.incarnation,
         refutation: 0,
         state: MemberState::Alive,
-        place: Some(place),
+        details: Some(details),
     };
     let sender = Identity {
         name: teller.name,
--- a/crates/pistachiotrack-core/tests/membership_fleet/mod.rs
+++ b/crates/pistachiotrack-core/tests/membership_fleet/mod.rs
@@ -349,7 +349,7 @@
         for action in actions {
             match action {
                 MembershipAction::Send { to, bytes } => self.send(number, to, bytes),
-                MembershipAction::Changed { vm } => {
+                MembershipAction::StateChanged { vm } => {
                     let state = self.state(number, &vm).expect("a changed member is known");
                     self.log.push((self.now_ms, number, vm, state));
                 }
--- a/crates/pistachiotrack-core/tests/membership_join.rs
+++ b/crates/pistachiotrack-core/tests/membership_join.rs
@@ -141,12 +141,12 @@
     fleet.run(Duration::from_secs(2));
     let answered = fleet.now;
     let informed = fleet.vms.get_mut(&address(2)).unwrap();
-    informed.on_platform_answer(answered);
+    informed.on_platform_response(answered);
     let actions = informed.announce(answered + Duration::from_millis(40), vec![vm(3).name]);
     fleet.deliver(address(2), actions);
     let seen_by = |number: u16| {
         let seen = fleet.vms[&address(number)].member(&vm(2).name).unwrap();
-        seen.platform_answered
+        seen.last_platform_response
     };
     let seen = seen_by(3).expect("VM 3 was told");
     assert!(seen <= answered && answered.since(seen) <= Duration::from_millis(40), "{seen:?}");
--- a/crates/pistachiotrack-core/tests/ownership.rs
+++ b/crates/pistachiotrack-core/tests/ownership.rs
@@ -35,7 +35,7 @@
         state,
         since: Time::from_millis(since_ms),
         config_version: None,
-        platform_answered: None,
+        last_platform_response: None,
     }
 }
 
--- a/crates/pistachiotrack-core/tests/platform_reads.rs
+++ b/crates/pistachiotrack-core/tests/platform_reads.rs
@@ -20,7 +20,7 @@
         state: MemberState::Alive,
         since: Time::ZERO,
         config_version: None,
-        platform_answered: None,
+        last_platform_response: None,
     };
     (0..vms).map(member).collect()
 }
--- a/crates/pistachiotrack-core/tests/steering.rs
+++ b/crates/pistachiotrack-core/tests/steering.rs
@@ -36,7 +36,7 @@
             state: MemberState::Alive,
             since,
             config_version: None,
-            platform_answered: None,
+            last_platform_response: None,
         })
         .collect()
 }
--- a/crates/pistachiotrack-standins/src/slopes/decisions.rs
+++ b/crates/pistachiotrack-standins/src/slopes/decisions.rs
@@ -84,7 +84,7 @@
             state: MemberState::Alive,
             since: Time::ZERO,
             config_version: Some(1),
-            platform_answered: None,
+            last_platform_response: None,
         })
         .collect()
 }
--- a/crates/pistachiotrack-standins/src/slopes/fleet.rs
+++ b/crates/pistachiotrack-standins/src/slopes/fleet.rs
@@ -359,7 +359,7 @@
                 let node = &mut self.nodes[to];
                 node.traffic.platform_bytes += value.as_ref().map_or(0, |_| answer_bytes);
                 let actions = node.sync.on_platform_value(self.now, value.as_deref());
-                node.membership.on_platform_answer(self.now);
+                node.membership.on_platform_response(self.now);
                 self.perform_config(to, actions);
                 let node = &mut self.nodes[to];
                 let standbys = node.sync.standbys(node.membership.members());
--- a/crates/pistachiotrackd/src/fleet.rs
+++ b/crates/pistachiotrackd/src/fleet.rs
@@ -190,7 +190,7 @@
         self.watching.send_replace(false);
         match message.0 {
             Ok(value) => {
-                self.membership.on_platform_answer(now);
+                self.membership.on_platform_response(now);
                 let actions = match value {
                     Some(Published::Made(config)) => self.sync.on_platform_config(now, *config),
                     Some(Published::Value(value)) => self.sync.on_platform_value(now, Some(&value)),
@@ -299,7 +299,7 @@
                     let about = (Topic::Membership, place);
                     udp::send(&self.socket, to, &bytes, &self.context.traffic, about);
                 }
-                MembershipAction::Changed { vm } => {
+                MembershipAction::StateChanged { vm } => {
                     self.log_member(&vm);
                     changed = true;
                 }
--- a/crates/pistachiotrackd/tests/control_faults.rs
+++ b/crates/pistachiotrackd/tests/control_faults.rs
@@ -8,7 +8,7 @@
 use hyper::Method;
 use pistachiotrack_core::{
     membership::MemberState,
-    message::{Codec, Datagram, Identity, Message, Place, Update},
+    message::{Codec, Datagram, Identity, MemberDetails, Message, Update},
     name::Name,
 };
 use quickcheck::{Arbitrary, Gen};
@@ -32,7 +32,7 @@
 
 /// Returns a ping of a VM that nobody lists, with what it says of a third one.
 fn ping(from: SocketAddr) -> Datagram {
-    let place = Place {
+    let details = MemberDetails {
         data_centre: Name::from("oslo-1"),
         caller_address: from,
         peer_address: from,
@@ -54,7 +54,7 @@
             incarnation: 3,
             refutation: 0,
             state: MemberState::Alive,
-            place: Some(place),
+            details: Some(details),
         }],
     }
 }
