--- a/crates/pistachiotrack-core/benches/membership.rs
+++ b/crates/pistachiotrack-core/benches/membership.rs
@@ -1,5 +1,5 @@
-//! Measures membership and ownership: `cargo bench -p pistachiotrack-core --bench
-//! membership -- [NAME...]`; without a name, all one after the other.
+//! Measurements of membership and ownership: `cargo bench -p pistachiotrack-core --bench
+//! membership -- [NAME...]`; without a name, runs all of them.
 
 #[path = "../tests/membership_fleet/mod.rs"]
 mod membership_fleet;
@@ -9,7 +9,7 @@
     time::Instant,
 };
 
-use membership_fleet::{Fleet, address, list, name, vm};
+use membership_fleet::{Fleet, address, name, vm, vm_list};
 use pistachiotrack_core::{
     membership::{Member, MemberState, Membership, MembershipAction, MembershipSettings},
     message::{Codec, Datagram, Identity, MemberDetails, Message, Update},
@@ -45,14 +45,14 @@
             fleet.network.loss = loss;
             fleet.run_ms(seed * 37 % 500);
             fleet.crash(7);
-            let rest = fleet.numbers();
-            let saw = |fleet: &Fleet, viewer: &usize| {
+            let peers = fleet.numbers();
+            let sees_dead = |fleet: &Fleet, viewer: &usize| {
                 fleet.state(*viewer, &name(7)) == Some(MemberState::Dead)
             };
-            let to_first =
-                fleet.run_until(60_000, |fleet| rest.iter().any(|viewer| saw(fleet, viewer)));
-            let to_all =
-                fleet.run_until(60_000, |fleet| rest.iter().all(|viewer| saw(fleet, viewer)));
+            let to_first = fleet
+                .run_until(60_000, |fleet| peers.iter().any(|viewer| sees_dead(fleet, viewer)));
+            let to_all = fleet
+                .run_until(60_000, |fleet| peers.iter().all(|viewer| sees_dead(fleet, viewer)));
             first.push(to_first);
             all.push(to_first + to_all);
         }
@@ -66,7 +66,7 @@
         let mut fleet = Fleet::settled(48, 1, 1);
         fleet.network.loss = loss;
         fleet.run_ms(30 * 60 * 1000);
-        let dead = fleet.log.iter().filter(|(.., state)| *state == MemberState::Dead);
+        let dead = fleet.state_changes.iter().filter(|(.., state)| *state == MemberState::Dead);
         let mut incidents: BTreeMap<Name, Vec<u64>> = BTreeMap::new();
         let mut views = 0;
         for (at, _, vm, _) in dead {
@@ -78,7 +78,8 @@
         }
         let count: usize = incidents.values().map(Vec::len).sum();
         println!("false_deaths loss={loss} vm_hours=24 incidents={count} views={views}");
-        let suspected = fleet.log.iter().filter(|(.., state)| *state == MemberState::Suspect);
+        let suspected =
+            fleet.state_changes.iter().filter(|(.., state)| *state == MemberState::Suspect);
         println!("suspicions loss={loss} views={}", suspected.count());
     }
 }
@@ -89,7 +90,7 @@
         for number in 0..count {
             fleet.start(number);
         }
-        fleet.give_list(&list(0..count, 1));
+        fleet.deliver_list(&vm_list(0..count, 1));
         let all = fleet.numbers();
         let took = fleet.run_until(120_000, |fleet| fleet.agree_on(&all));
         let total = |fleet: &Fleet| -> (usize, usize) {
@@ -108,14 +109,14 @@
     }
 }
 
-/// The other 5,800 VMs of a large fleet: they answer with the real encoding.
-struct Others {
+/// Simulation of the other VMs of a large fleet, which respond with the real encoding.
+struct SimulatedPeers {
     codec: Codec,
     count: usize,
     incarnations: HashMap<usize, u64>,
 }
 
-impl Others {
+impl SimulatedPeers {
     fn identity(&self, number: usize) -> Identity {
         let incarnation = self.incarnations.get(&number).copied();
         Identity {
@@ -151,7 +152,7 @@
         self.codec.encode(&datagram).expect("it fits")
     }
 
-    fn answer(&self, number: usize, bytes: &[u8]) -> Option<Vec<u8>> {
+    fn respond(&self, number: usize, bytes: &[u8]) -> Option<Vec<u8>> {
         match self.codec.decode(bytes).expect("valid").message {
             Message::Ping { sequence, known_incarnation, .. } => {
                 let known = known_incarnation == self.identity(number).incarnation;
@@ -183,66 +184,67 @@
 fn bytes_of_one_vm_of_5800() {
     let count = 5_800;
     let deployment = Name::from("timeliten");
-    let mut others = Others { codec: Codec::new(&deployment), count, incarnations: HashMap::new() };
+    let mut peers =
+        SimulatedPeers { codec: Codec::new(&deployment), count, incarnations: HashMap::new() };
     let settings = MembershipSettings { deployment, ..Default::default() };
     let mut now_ms = 1_000_000;
-    let mut one = Membership::new(Time::from_millis(now_ms), vm(0, 3_600_000), settings, 1);
-    one.set_config_version(7);
-    let mut actions = one.on_vm_list(Time::from_millis(now_ms), &list(0..count, 1));
-    let (mut sent, mut received, mut marks) = (0, 0, Vec::new());
+    let mut membership = Membership::new(Time::from_millis(now_ms), vm(0, 3_600_000), settings, 1);
+    membership.set_config_version(7);
+    let mut actions = membership.on_vm_list(Time::from_millis(now_ms), &vm_list(0..count, 1));
+    let (mut sent, mut received, mut samples) = (0, 0, Vec::new());
     let mut events = 0;
     let mut cpu = std::time::Duration::ZERO;
     for tick in 0..20 * 60 * 15 {
         let now = Time::from_millis(now_ms);
-        let begun = Instant::now();
-        actions.extend(one.on_tick(now));
-        cpu += begun.elapsed();
-        // The others probe this VM as often as it probes them.
+        let started = Instant::now();
+        actions.extend(membership.on_tick(now));
+        cpu += started.elapsed();
+        // The other VMs probe this one as often as it probes them.
         if tick % 10 == 0 {
             let prober = 1 + tick * 7 % (count - 1);
             let message = Message::Ping {
                 sequence: tick as u32,
                 target: name(0),
-                known_incarnation: one.me().incarnation,
+                known_incarnation: membership.me().incarnation,
             };
             let mut updates = Vec::new();
-            // In the last third a day's 23,000 restarts and 620 crashes happen at
-            // their usual rate, each a leaving or dead and an alive update.
+            // In the last third, restarts and crashes happen at the rate of 23,000 and 620 a
+            // day, each with an update to leaving or dead and one to alive.
             if tick > 20 * 60 * 10 && tick % 70 == 0 {
                 let changed = 1 + tick * 13 % (count - 1);
                 let leaving =
                     if tick % 420 == 0 { MemberState::Dead } else { MemberState::Leaving };
-                updates.push(Update { details: None, ..others.update(changed, leaving, 0) });
-                others.incarnations.insert(changed, vm(changed, now_ms).incarnation);
-                updates.push(others.update(changed, MemberState::Alive, 10));
+                updates.push(Update { details: None, ..peers.update(changed, leaving, 0) });
+                peers.incarnations.insert(changed, vm(changed, now_ms).incarnation);
+                updates.push(peers.update(changed, MemberState::Alive, 10));
                 events += 1;
             }
-            let bytes = others.datagram(prober, message, updates);
+            let bytes = peers.datagram(prober, message, updates);
             received += bytes.len() + PACKET_HEADER_BYTES;
-            let begun = Instant::now();
-            actions.extend(one.on_datagram(now, address(prober), &bytes).expect("valid"));
-            cpu += begun.elapsed();
+            let started = Instant::now();
+            actions.extend(membership.on_datagram(now, address(prober), &bytes).expect("valid"));
+            cpu += started.elapsed();
         }
         while let Some(action) = actions.pop() {
             let MembershipAction::Send { to, bytes } = action else { continue };
             sent += bytes.len() + PACKET_HEADER_BYTES;
             let number = (1..count).find(|number| address(*number) == to).expect("one of them");
-            if let Some(answer) = others.answer(number, &bytes) {
-                received += answer.len() + PACKET_HEADER_BYTES;
-                let begun = Instant::now();
-                actions.extend(one.on_datagram(now, to, &answer).expect("valid"));
-                cpu += begun.elapsed();
+            if let Some(response) = peers.respond(number, &bytes) {
+                received += response.len() + PACKET_HEADER_BYTES;
+                let started = Instant::now();
+                actions.extend(membership.on_datagram(now, to, &response).expect("valid"));
+                cpu += started.elapsed();
             }
         }
         now_ms += 50;
         if (tick + 1) % (20 * 60 * 5) == 0 {
-            marks.push((sent, received, events, cpu));
+            samples.push((sent, received, events, cpu));
         }
     }
-    let alive = one.members().filter(|member| member.state == MemberState::Alive).count();
+    let alive = membership.members().filter(|member| member.state == MemberState::Alive).count();
     println!("one vm of {count}: alive={alive}");
-    println!("join and 5 min: sent={} received={}", marks[0].0, marks[0].1);
-    for (label, pair) in [("quiet", &marks[0..2]), ("churn", &marks[1..3])] {
+    println!("join and 5 min: sent={} received={}", samples[0].0, samples[0].1);
+    for (label, pair) in [("quiet", &samples[0..2]), ("churn", &samples[1..3])] {
         let sent = (pair[1].0 - pair[0].0) / 300;
         let received = (pair[1].1 - pair[0].1) / 300;
         let cpu_us = (pair[1].3 - pair[0].3).as_micros() / 300;
@@ -275,9 +277,9 @@
         let mut now_ms = 1_000_000;
         let mut timed = |label: &str, members: &[Member], after_ms: u64| {
             now_ms += after_ms;
-            let begun = Instant::now();
+            let started = Instant::now();
             let changes = ownership.update(Time::from_millis(now_ms), &config, members.iter());
-            let took = begun.elapsed().as_micros();
+            let took = started.elapsed().as_micros();
             println!("ownership vms={count} {label}_us={took} changes={}", changes.len());
         };
         timed("first", &members, 0);
@@ -308,8 +310,8 @@
     }
 }
 
-/// Time in which any two live VMs saw different owners within `ms`, and the
-/// moment of the last disagreement.
+/// Returns for how long any two running VMs computed different owners within `ms`, and the
+/// time of the last disagreement.
 fn disagreement(fleet: &mut Fleet, ms: u64) -> (u64, u64) {
     let start = fleet.now_ms;
     let (mut total, mut last) = (0, 0);
@@ -335,11 +337,11 @@
                 "crash" => fleet.crash(7),
                 "restart" => {
                     fleet.start(7);
-                    fleet.give_list_to(7, &list(0..48, 1));
+                    fleet.deliver_list_to(7, &vm_list(0..48, 1));
                 }
                 "join" => {
                     fleet.start(50);
-                    fleet.give_list_to(50, &list(0..48, 1));
+                    fleet.deliver_list_to(50, &vm_list(0..48, 1));
                 }
                 "leave" => fleet.leave(7),
                 _ => fleet.pause_ms(7, 10_000),
@@ -357,10 +359,10 @@
 }
 
 fn main() {
-    let asked: Vec<String> =
+    let selected: Vec<String> =
         std::env::args().skip(1).filter(|argument| !argument.starts_with("--")).collect();
     for (name, measure) in MEASUREMENTS {
-        if asked.is_empty() || asked.iter().any(|asked| asked == name) {
+        if selected.is_empty() || selected.iter().any(|selected| selected == name) {
             measure();
         }
     }
--- a/crates/pistachiotrack-core/tests/membership_fleet/mod.rs
+++ b/crates/pistachiotrack-core/tests/membership_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet in one process: memberships, ownerships and a queue of
-//! datagrams between them, in logical time.
+//! Simulation of a small fleet in one process: memberships, ownerships and a queue of
+//! datagrams between them, in simulated time.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -28,13 +28,13 @@
 /// IPv4 and UDP headers.
 const PACKET_HEADER_BYTES: usize = 28;
 
-/// What the network does to datagrams.
+/// Faults and delays of the simulated network.
 #[derive(Clone, Debug)]
 pub(crate) struct Network {
     pub(crate) loss: f64,
     pub(crate) duplicate: f64,
     pub(crate) delay_ms: std::ops::Range<u64>,
-    /// Pairs (from, to) of VM numbers whose datagrams are lost.
+    /// Pairs (from, to) of VM numbers between which all datagrams are lost.
     pub(crate) blocked: HashSet<(usize, usize)>,
 }
 
@@ -61,12 +61,13 @@
     pub(crate) nodes: BTreeMap<usize, Node>,
     pub(crate) config: Config,
     pub(crate) settings: MembershipSettings,
-    /// Changes of state seen: (moment, viewer, member, new state).
-    pub(crate) log: Vec<(u64, usize, Name, MemberState)>,
-    /// Shards that a VM took before it settled while a settled one was there.
-    pub(crate) hasty_gains: Vec<(u64, usize, ShardId)>,
+    /// State changes seen: (time, viewer, member, new state).
+    pub(crate) state_changes: Vec<(u64, usize, Name, MemberState)>,
+    /// Shards that a VM took over before it settled although a settled VM was alive: (time, VM,
+    /// shard).
+    pub(crate) premature_gains: Vec<(u64, usize, ShardId)>,
     queue: BTreeMap<(u64, u64), (usize, SocketAddr, Vec<u8>)>,
-    sent: u64,
+    last_sequence: u64,
     rng: Pcg64Mcg,
 }
 
@@ -92,7 +93,7 @@
     Name::from(format!("oslo-{}", number % 3 + 1))
 }
 
-/// The VM of a number, started `started_ms` after the Unix epoch of the test.
+/// Returns the VM with a number, started `started_ms` after the test's epoch.
 pub(crate) fn vm(number: usize, started_ms: u64) -> Vm {
     Vm {
         name: name(number),
@@ -104,7 +105,7 @@
     }
 }
 
-pub(crate) fn list(numbers: impl IntoIterator<Item = usize>, version: u64) -> VmList {
+pub(crate) fn vm_list(numbers: impl IntoIterator<Item = usize>, version: u64) -> VmList {
     let vms = numbers
         .into_iter()
         .map(|number| {
@@ -121,7 +122,8 @@
     VmList { version, vms }
 }
 
-/// A configuration of `services` with six endpoints each over three data centres.
+/// Returns a configuration with `services` services, each with six endpoints in three data
+/// centres.
 pub(crate) fn config(services: usize) -> Config {
     let services: Vec<_> = (0..services)
         .map(|service| {
@@ -142,7 +144,7 @@
 }
 
 impl Fleet {
-    /// An empty fleet with `services` services to own.
+    /// Creates an empty fleet with a configuration of `services` services.
     pub(crate) fn new(seed: u64, services: usize) -> Fleet {
         Fleet {
             now_ms: START_MS,
@@ -153,23 +155,23 @@
                 deployment: Name::from("timeliten"),
                 ..MembershipSettings::default()
             },
-            log: Vec::new(),
-            hasty_gains: Vec::new(),
+            state_changes: Vec::new(),
+            premature_gains: Vec::new(),
             queue: BTreeMap::new(),
-            sent: 0,
+            last_sequence: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// A fleet of `count` VMs that have found each other by the platform's list.
+    /// Creates a fleet of `count` VMs that have joined through the platform's list.
     pub(crate) fn settled(count: usize, seed: u64, services: usize) -> Fleet {
         let mut fleet = Fleet::new(seed, services);
         for number in 0..count {
             fleet.start(number);
         }
-        fleet.give_list(&list(0..count, 1));
+        fleet.deliver_list(&vm_list(0..count, 1));
         fleet.run_ms(20_000);
-        fleet.log.clear();
+        fleet.state_changes.clear();
         fleet
     }
 
@@ -177,7 +179,7 @@
         Time::from_millis(self.now_ms)
     }
 
-    /// Starts a VM, replacing the one of the same number.
+    /// Starts a VM; replaces the one with the same number.
     pub(crate) fn start(&mut self, number: usize) {
         let vm = vm(number, self.now_ms);
         let seed = self.rng.random();
@@ -210,40 +212,40 @@
         let now = self.now();
         let Some(node) = self.nodes.get_mut(&number) else { return };
         let actions = node.membership.leave(now);
-        self.act(number, actions);
+        self.perform(number, actions);
     }
 
-    pub(crate) fn give_list(&mut self, list: &VmList) {
+    pub(crate) fn deliver_list(&mut self, list: &VmList) {
         for number in self.numbers() {
-            self.give_list_to(number, list);
+            self.deliver_list_to(number, list);
         }
     }
 
-    pub(crate) fn give_list_to(&mut self, number: usize, list: &VmList) {
+    pub(crate) fn deliver_list_to(&mut self, number: usize, list: &VmList) {
         let now = self.now();
         let Some(node) = self.nodes.get_mut(&number) else { return };
         let actions = node.membership.on_vm_list(now, list);
-        self.act(number, actions);
+        self.perform(number, actions);
     }
 
     pub(crate) fn numbers(&self) -> Vec<usize> {
         self.nodes.keys().copied().collect()
     }
 
-    /// Cuts all datagrams from any of `from` to any of `to`.
+    /// Blocks all datagrams from any of `from` to any of `to`.
     pub(crate) fn block(&mut self, from: &[usize], to: &[usize]) {
         for a in from {
             self.network.blocked.extend(to.iter().map(|b| (*a, *b)));
         }
     }
 
-    /// Cuts the fleet between two sides.
-    pub(crate) fn split(&mut self, one: &[usize], other: &[usize]) {
+    /// Blocks all datagrams between two sides of the fleet.
+    pub(crate) fn partition(&mut self, one: &[usize], other: &[usize]) {
         self.block(one, other);
         self.block(other, one);
     }
 
-    pub(crate) fn heal(&mut self) {
+    pub(crate) fn unblock_all(&mut self) {
         self.network.blocked.clear();
     }
 
@@ -254,7 +256,7 @@
         }
     }
 
-    /// Runs until `condition` holds; returns the time it took.
+    /// Runs until `condition` holds; returns the elapsed time in milliseconds.
     ///
     /// # Panics
     ///
@@ -268,8 +270,8 @@
         self.now_ms - start
     }
 
-    /// Runs until `condition` holds; returns whether it does within `limit_ms`.
-    pub(crate) fn settles(&mut self, limit_ms: u64, condition: impl Fn(&Fleet) -> bool) -> bool {
+    /// Runs until `condition` holds, for at most `limit_ms`; returns whether it holds.
+    pub(crate) fn reaches(&mut self, limit_ms: u64, condition: impl Fn(&Fleet) -> bool) -> bool {
         let end = self.now_ms + limit_ms;
         while !condition(self) && self.now_ms < end {
             self.step();
@@ -277,7 +279,7 @@
         condition(self)
     }
 
-    /// Whether a VM is there and not paused.
+    /// Returns whether a VM exists and isn't paused.
     pub(crate) fn is_running(&self, number: usize) -> bool {
         self.nodes.get(&number).is_some_and(|node| node.paused_until <= self.now_ms)
     }
@@ -309,7 +311,7 @@
             return;
         }
         let actions = node.membership.on_datagram(now, from, &bytes).expect("a valid datagram");
-        self.act(to, actions);
+        self.perform(to, actions);
     }
 
     fn tick(&mut self, number: usize) {
@@ -325,7 +327,7 @@
         for (from, bytes) in buffer {
             let Some(node) = self.nodes.get_mut(&number) else { return };
             let actions = node.membership.on_datagram(now, from, &bytes).expect("valid");
-            self.act(number, actions);
+            self.perform(number, actions);
         }
         let Some(node) = self.nodes.get_mut(&number) else { return };
         let actions = node.membership.on_tick(now);
@@ -336,22 +338,22 @@
             member.state == MemberState::Alive && node.ownership.is_settled(&member.vm.name)
         });
         if settled_other && !node.ownership.is_settled(&name(number)) {
-            let gains = changes.into_iter().filter_map(|change| match change {
+            let gained = changes.into_iter().filter_map(|change| match change {
                 OwnershipChange::Gained(shard) => Some((self.now_ms, number, shard)),
                 OwnershipChange::Lost { .. } => None,
             });
-            self.hasty_gains.extend(gains);
+            self.premature_gains.extend(gained);
         }
-        self.act(number, actions);
+        self.perform(number, actions);
     }
 
-    fn act(&mut self, number: usize, actions: Vec<MembershipAction>) {
+    fn perform(&mut self, number: usize, actions: Vec<MembershipAction>) {
         for action in actions {
             match action {
                 MembershipAction::Send { to, bytes } => self.send(number, to, bytes),
                 MembershipAction::StateChanged { vm } => {
                     let state = self.state(number, &vm).expect("a changed member is known");
-                    self.log.push((self.now_ms, number, vm, state));
+                    self.state_changes.push((self.now_ms, number, vm, state));
                 }
                 MembershipAction::ConfigVersion { vm, version } => {
                     if let Some(node) = self.nodes.get_mut(&number) {
@@ -376,9 +378,9 @@
                 continue;
             }
             let delay = self.rng.random_range(self.network.delay_ms.clone());
-            self.sent += 1;
-            let due = (self.now_ms + delay, self.sent);
-            self.queue.insert(due, (to, address(from), bytes.clone()));
+            self.last_sequence += 1;
+            let due_at = (self.now_ms + delay, self.last_sequence);
+            self.queue.insert(due_at, (to, address(from), bytes.clone()));
         }
     }
 
@@ -387,7 +389,7 @@
         membership.member(member).map(|member| member.state)
     }
 
-    /// VMs that `viewer` holds for alive, itself included.
+    /// Returns the VMs that `viewer` considers alive, including itself.
     pub(crate) fn alive_seen_by(&self, viewer: usize) -> BTreeSet<Name> {
         let membership = &self.nodes[&viewer].membership;
         membership
@@ -398,13 +400,13 @@
             .collect()
     }
 
-    /// Whether each of `viewers` holds exactly `viewers` for alive.
+    /// Returns whether each of `viewers` considers exactly `viewers` alive.
     pub(crate) fn agree_on(&self, viewers: &[usize]) -> bool {
         let expected: BTreeSet<Name> = viewers.iter().map(|number| name(*number)).collect();
         viewers.iter().all(|viewer| self.alive_seen_by(*viewer) == expected)
     }
 
-    /// Whether all of `viewers` see `member` in `state`.
+    /// Returns whether all of `viewers` see `member` in `state`.
     pub(crate) fn all_see(&self, viewers: &[usize], member: usize, state: MemberState) -> bool {
         viewers
             .iter()
@@ -422,7 +424,7 @@
             .collect()
     }
 
-    /// Whether all VMs agree on all owners.
+    /// Returns whether all of `viewers` compute the same owners for all shards.
     pub(crate) fn agree_on_owners(&self, viewers: &[usize]) -> bool {
         self.shards().iter().all(|shard| {
             let mut owners: HashMap<Option<&Name>, usize> = HashMap::new();
--- a/crates/pistachiotrack-core/tests/membership_join.rs
+++ b/crates/pistachiotrack-core/tests/membership_join.rs
@@ -1,5 +1,4 @@
-//! VMs that find each other through addresses in their settings, and tell each
-//! other of a new configuration at once.
+//! Joining through seeds, and announcements of a new configuration.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -27,7 +26,7 @@
     }
 }
 
-/// VMs whose datagrams arrive at once.
+/// VMs between which datagrams are delivered without delay.
 struct Fleet {
     now: Time,
     vms: BTreeMap<SocketAddr, Membership>,
@@ -80,20 +79,20 @@
     }
 }
 
-/// All VMs lose power and start again at once. Nothing tells them of each other but
-/// three addresses, one of which is stale. Callers come back within a second, and
-/// VMs that know only themselves would each dispatch as if they were alone.
+/// All VMs restart at once after a power loss and know only three seeds, one of which is
+/// stale. Callers return within a second, and VMs that know only themselves would each
+/// dispatch as if they were alone.
 #[test]
-fn a_fleet_finds_itself_through_its_seeds_within_two_seconds() {
+fn a_fleet_joins_through_its_seeds_within_two_seconds() {
     let mut fleet = Fleet::start(48, &[3, 17, 99]);
     fleet.run(Duration::from_secs(2));
     assert!(fleet.all_see_all());
 }
 
-/// The settings of a VM name only seeds that are down. A VM that others know is
-/// found by them, since they look for it where it was.
+/// All seeds of a restarted VM are down. Members that know its previous incarnation still
+/// probe its address and find it.
 #[test]
-fn a_vm_whose_seeds_are_down_is_found_by_those_that_know_it() {
+fn a_vm_whose_seeds_are_down_is_found_by_members_that_know_it() {
     let mut fleet = Fleet::start(6, &[0]);
     fleet.run(Duration::from_secs(3));
     assert!(fleet.all_see_all());
@@ -103,8 +102,8 @@
         verify_burst: 64,
         ..MembershipSettings::default()
     };
-    let again = Vm { incarnation: 2_000, ..vm(4) };
-    fleet.vms.insert(address(4), Membership::new(fleet.now, again, settings, 44));
+    let restarted = Vm { incarnation: 2_000, ..vm(4) };
+    fleet.vms.insert(address(4), Membership::new(fleet.now, restarted, settings, 44));
     fleet.run(Duration::from_secs(8));
     let sees = |number: u16| {
         let members = fleet.vms[&address(number)].members();
@@ -113,16 +112,17 @@
     assert_eq!(sees(4), 4, "the VMs 1, 2, 3 and 5");
 }
 
-/// A VM reads a new configuration. The others must have it within 2 s, which the
-/// regular messages don't ensure: it tells those that are behind, and only them.
+/// A VM reads a new configuration. The others must have it within 2 s, which the regular
+/// datagrams don't ensure: the VM announces it to the members with an older version, and only
+/// to these.
 #[test]
-fn a_new_version_is_announced_to_those_that_are_behind() {
+fn a_new_version_is_announced_to_members_with_an_older_one() {
     let mut fleet = Fleet::start(4, &[0]);
     fleet.run(Duration::from_secs(2));
-    let (now, informed) = (fleet.now, address(2));
-    fleet.vms.get_mut(&informed).unwrap().set_config_version(7);
-    let actions = fleet.vms.get_mut(&informed).unwrap().announce(now, Vec::new());
-    fleet.deliver(informed, actions);
+    let (now, announcer) = (fleet.now, address(2));
+    fleet.vms.get_mut(&announcer).unwrap().set_config_version(7);
+    let actions = fleet.vms.get_mut(&announcer).unwrap().announce(now, Vec::new());
+    fleet.deliver(announcer, actions);
     fleet.vms.get_mut(&address(0)).unwrap().set_config_version(7);
     let actions = fleet.vms.get_mut(&address(0)).unwrap().announce(now, Vec::new());
     let to: Vec<SocketAddr> = actions
@@ -136,29 +136,31 @@
 }
 
 #[test]
-fn listeners_are_told_when_the_platform_last_answered() {
+fn recipients_get_the_time_of_the_last_platform_response() {
     let mut fleet = Fleet::start(4, &[0]);
     fleet.run(Duration::from_secs(2));
-    let answered = fleet.now;
-    let informed = fleet.vms.get_mut(&address(2)).unwrap();
-    informed.on_platform_response(answered);
-    let actions = informed.announce(answered + Duration::from_millis(40), vec![vm(3).name]);
+    let responded_at = fleet.now;
+    let announcer = fleet.vms.get_mut(&address(2)).unwrap();
+    announcer.on_platform_response(responded_at);
+    let actions = announcer.announce(responded_at + Duration::from_millis(40), vec![vm(3).name]);
     fleet.deliver(address(2), actions);
     let seen_by = |number: u16| {
         let seen = fleet.vms[&address(number)].member(&vm(2).name).unwrap();
         seen.last_platform_response
     };
-    let seen = seen_by(3).expect("VM 3 was told");
-    assert!(seen <= answered && answered.since(seen) <= Duration::from_millis(40), "{seen:?}");
+    let seen = seen_by(3).expect("VM 3 got the announcement");
+    assert!(
+        seen <= responded_at && responded_at.since(seen) <= Duration::from_millis(40),
+        "{seen:?}"
+    );
     assert_eq!(seen_by(1), None);
 }
 
-/// A VM is paused for a little more than the others wait before they declare it
-/// dead, and they give its shards to another. It had missed answers before, so that
-/// it is slower itself to declare others dead; if it took the others to be as slow,
-/// it would go on as the owner beside its heir.
+/// A VM is paused for the time after which healthy VMs declare it dead, and another VM takes
+/// its shards over. It missed responses before, so its own suspicion time is longer; if it
+/// assumed the same for the others, it would continue as an owner besides its successor.
 #[test]
-fn a_vm_in_ill_health_reckons_with_others_that_are_well() {
+fn an_unhealthy_vm_assumes_that_others_are_healthy() {
     let mut fleet = Fleet::start(3, &[0]);
     fleet.run(Duration::from_secs(3));
     let paused = address(1);
@@ -167,12 +169,12 @@
     while vm.local_health_factor() < 3 {
         now += STEP;
         vm.on_tick(now);
-        assert!(now.since(fleet.now) < Duration::from_secs(60), "it misses answers");
+        assert!(now.since(fleet.now) < Duration::from_secs(60), "it misses responses");
     }
     let settings = MembershipSettings::default();
-    let others_wait = settings.suspicion_intervals * settings.probe_interval_ms as f64;
-    let gap = Duration::from_millis(others_wait as u64);
-    let woken = now + gap;
-    vm.on_pause(woken, gap);
-    assert_eq!(vm.alive_since(), woken);
+    let suspicion_ms = settings.suspicion_intervals * settings.probe_interval_ms as f64;
+    let gap = Duration::from_millis(suspicion_ms as u64);
+    let resumed = now + gap;
+    vm.on_pause(resumed, gap);
+    assert_eq!(vm.alive_since(), resumed);
 }
