--- a/crates/pistachiotrack-core/src/ownership/candidate.rs
+++ b/crates/pistachiotrack-core/src/ownership/candidate.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 pub(super) struct CandidateChanges {
     /// Whether a VM is gone, or was replaced by another incarnation.
-    pub(super) gone: bool,
+    pub(super) any_gone: bool,
     /// VMs that may take shards over now and couldn't before.
     pub(super) newly_eligible: Vec<Name>,
     /// VMs that became present, settled or not.
@@ -54,7 +54,7 @@
 
 impl CandidateChanges {
     pub(super) fn is_empty(&self) -> bool {
-        !self.gone && self.newly_eligible.is_empty() && self.joined.is_empty()
+        !self.any_gone && self.newly_eligible.is_empty() && self.joined.is_empty()
     }
 }
 
@@ -160,7 +160,7 @@
         let replaced = candidate.vm.incarnation != observation.vm.incarnation;
         let was_eligible = candidate.is_eligible() && !replaced;
         let was_present = candidate.present && !replaced;
-        changes.gone |= candidate.present && (replaced || !observation.present);
+        changes.any_gone |= candidate.present && (replaced || !observation.present);
         if replaced {
             candidate.vm = observation.vm.clone();
         }
@@ -200,7 +200,7 @@
                 candidate.present = false;
                 candidate.alive = false;
                 candidate.changed_at = now;
-                changes.gone = true;
+                changes.any_gone = true;
             }
             candidate.present || now.since(candidate.changed_at) < reset
         });
--- a/crates/pistachiotrack-core/tests/membership.rs
+++ b/crates/pistachiotrack-core/tests/membership.rs
@@ -256,7 +256,7 @@
 
 #[test]
 fn removed_member_is_not_restored_by_a_resumed_vm() {
-    // A VM died and was removed. A VM that was paused meanwhile resumes and still has the dead
+    // A VM died and was removed. A VM that was paused during this resumes and still has the dead
     // one as alive.
     let mut fleet = Fleet::new(12, 1);
     fleet.settings.forget_ms = 20_000;
--- a/crates/pistachiotrack-core/tests/membership_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/membership_fuzz.rs
@@ -124,8 +124,9 @@
     fleet.network = Default::default();
     for number in 0..VMS {
         let leaves = fleet.nodes.get(&number).is_some_and(|node| node.membership.is_leaving());
-        let gone = fleet.nodes.get(&number).is_none_or(|node| node.membership.is_superseded());
-        if leaves || gone {
+        let superseded =
+            fleet.nodes.get(&number).is_none_or(|node| node.membership.is_superseded());
+        if leaves || superseded {
             fleet.crash(number);
         }
     }
