--- a/crates/pistachiotrack-core/examples/rule_index.rs
+++ b/crates/pistachiotrack-core/examples/rule_index.rs
@@ -1,4 +1,4 @@
-//! Measures decisions of [`RuleSet`] against the plain scan by number of rules.
+//! Measures the time of decisions by [`RuleSet`] and by an ordered scan, by number of rules.
 //!
 //! Run with `cargo run --release -p pistachiotrack-core --example rule_index`.
 
@@ -8,22 +8,22 @@
     name::Name,
     request::Class,
     rule::{
-        Conditions, Facts, HeaderCondition, QueueWaitCondition, Refuse, Rule, RuleAction, RuleSet,
-        Subject,
+        Conditions, HeaderCondition, QueueWaitCondition, Refuse, RequestAttributes, Rule,
+        RuleAction, RuleSet, ServiceState,
     },
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const SIZES: [u32; 3] = [1_000, 20_000, 210_000];
+const RULE_COUNTS: [u32; 3] = [1_000, 20_000, 210_000];
 const CUSTOMERS: u32 = 460_000;
 const SERVICES: u32 = 4_700;
 const DECISIONS: usize = 200_000;
 const SCANS: usize = 100;
 
-struct Calm;
+struct IdleServices;
 
-impl Facts for Calm {
+impl ServiceState for IdleServices {
     fn service_at_floor(&self, _service: &str) -> bool {
         false
     }
@@ -41,8 +41,8 @@
 }
 
 fn main() {
-    println!("rules shapes build_ms index_p50_ns index_p99_ns index_mean_ns scan_mean_ns");
-    for size in SIZES {
+    println!("rules condition_sets build_ms index_p50_ns index_p99_ns index_mean_ns scan_mean_ns");
+    for size in RULE_COUNTS {
         measure(size);
     }
 }
@@ -58,24 +58,28 @@
     let mut times_ns: Vec<u64> = Vec::with_capacity(requests.len());
     for request in &requests {
         let begin = Instant::now();
-        black_box(request.with(|subject| set.decide(subject, &Calm).is_some()));
+        black_box(request.with(|attributes| set.decide(attributes, &IdleServices).is_some()));
         times_ns.push(begin.elapsed().as_nanos() as u64);
     }
     let mean_ns = times_ns.iter().sum::<u64>() / times_ns.len() as u64;
     times_ns.sort_unstable();
-    let at = |percent: usize| times_ns[times_ns.len() * percent / 100];
+    let percentile = |percent: usize| times_ns[times_ns.len() * percent / 100];
 
     let begin = Instant::now();
     for request in &requests[..SCANS] {
-        black_box(request.with(|subject| scan(&rules, subject)));
+        black_box(request.with(|attributes| scan(&rules, attributes)));
     }
     let scan_ns = begin.elapsed().as_nanos() / SCANS as u128;
-    let shapes = set.shape_count();
-    println!("{size} {shapes} {build_ms} {} {} {mean_ns} {scan_ns}", at(50), at(99));
+    let condition_sets = set.condition_set_count();
+    println!(
+        "{size} {condition_sets} {build_ms} {} {} {mean_ns} {scan_ns}",
+        percentile(50),
+        percentile(99)
+    );
 }
 
-/// Most rules route one customer's path; some go by service, header, class or
-/// live facts, and the last one takes the rest.
+/// Most rules route one customer's path. Some match on service, header, class or
+/// queue wait, and the last rule matches every request.
 fn rule(index: u32, size: u32, rng: &mut Pcg64Mcg) -> Rule {
     let customer = Some(Name::from(format!("customer-{}", rng.random_range(0..CUSTOMERS))));
     let service = Name::from(format!("service-{}", rng.random_range(0..SERVICES)));
@@ -106,21 +110,22 @@
     Rule { name: Name::from(format!("rule-{index}")), when, then }
 }
 
-/// A request that fits a rule taken at random, or only the last one.
+/// A request that matches a randomly chosen rule, or only the last one.
 fn request(rules: &[Rule], rng: &mut Pcg64Mcg) -> Request {
     let when = &rules[rng.random_range(0..rules.len())].when;
-    let or_any = |value: &Option<Name>, any: &str| value.as_deref().unwrap_or(any).to_owned();
+    let or_default =
+        |value: &Option<Name>, default: &str| value.as_deref().unwrap_or(default).to_owned();
     Request {
-        customer: or_any(&when.customer, "customer-1"),
-        path: or_any(&when.path_prefix, "/v1/slots") + "/2026-12-02/morning",
-        service: or_any(&when.service, "service-1"),
-        data_centre: or_any(&when.data_centre, "dc-1"),
+        customer: or_default(&when.customer, "customer-1"),
+        path: or_default(&when.path_prefix, "/v1/slots") + "/2026-12-02/morning",
+        service: or_default(&when.service, "service-1"),
+        data_centre: or_default(&when.data_centre, "dc-1"),
     }
 }
 
 impl Request {
-    fn with<T>(&self, test: impl FnOnce(&Subject<'_>) -> T) -> T {
-        test(&Subject {
+    fn with<T>(&self, test: impl FnOnce(&RequestAttributes<'_>) -> T) -> T {
+        test(&RequestAttributes {
             customer: &self.customer,
             host: "host",
             method: "GET",
@@ -138,23 +143,23 @@
     }
 }
 
-/// The ordered scan over the same rules.
-fn scan(rules: &[Rule], subject: &Subject<'_>) -> bool {
+/// Scans the rules in order.
+fn scan(rules: &[Rule], attributes: &RequestAttributes<'_>) -> bool {
     rules.iter().any(|rule| {
         let when = &rule.when;
         let header_holds = |header: &HeaderCondition| {
-            subject.headers.contains(&(header.name.as_str(), header.value.as_str()))
+            attributes.headers.contains(&(header.name.as_str(), header.value.as_str()))
         };
-        when.customer.as_deref().is_none_or(|it| it == subject.customer)
-            && when.method.as_deref().is_none_or(|it| it == subject.method)
+        when.customer.as_deref().is_none_or(|it| it == attributes.customer)
+            && when.method.as_deref().is_none_or(|it| it == attributes.method)
             && when
                 .path_prefix
                 .as_deref()
-                .is_none_or(|it| pistachiotrack_core::rule::path_starts_with(subject.path, it))
+                .is_none_or(|it| pistachiotrack_core::rule::path_starts_with(attributes.path, it))
             && when.header.as_ref().is_none_or(header_holds)
-            && when.class.is_none_or(|it| it == subject.class)
-            && when.service.as_deref().is_none_or(|it| Some(it) == subject.service)
-            && when.data_centre.as_deref().is_none_or(|it| it == subject.data_centre)
+            && when.class.is_none_or(|it| it == attributes.class)
+            && when.service.as_deref().is_none_or(|it| Some(it) == attributes.service)
+            && when.data_centre.as_deref().is_none_or(|it| it == attributes.data_centre)
             && when.queue_wait_at_least.is_none()
     })
 }
--- a/crates/pistachiotrack-core/src/rule.rs
+++ b/crates/pistachiotrack-core/src/rule.rs
@@ -1,4 +1,4 @@
-//! Ordered rules: the first one whose conditions hold decides.
+//! Ordered routing rules: the first rule whose conditions match decides a request.
 
 mod condition;
 mod index;
@@ -9,46 +9,46 @@
 pub use self::{condition::path_starts_with, set::RuleSet};
 use crate::{name::Name, request::Class};
 
-/// A rule: when all conditions hold, then do that.
+/// A routing rule: an action and the conditions under which it applies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// Unique name within the deployment.
     pub name: Name,
-    /// Conditions; a missing one always holds.
+    /// Conditions; a condition that isn't set always matches.
     #[serde(default)]
     pub when: Conditions,
-    /// What happens to the request.
+    /// Action for a matching request.
     pub then: RuleAction,
 }
 
-/// Conditions of a rule, all of which must hold.
+/// Conditions of a rule, all of which must match.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Conditions {
-    /// Customer that the caller names.
+    /// Customer named in the request.
     pub customer: Option<Name>,
-    /// Host that the request names, in lower case and without a port.
+    /// Host named in the request, in lower case and without a port.
     pub host: Option<Name>,
     /// HTTP method.
     pub method: Option<Name>,
-    /// Start of the path, at a segment boundary.
+    /// Path prefix, matched at segment boundaries.
     pub path_prefix: Option<Name>,
     /// Header that must be present with this value.
     pub header: Option<HeaderCondition>,
-    /// Class that the caller asks for.
+    /// Class requested by the caller.
     pub class: Option<Class>,
-    /// Service named by the caller.
+    /// Service requested by the caller.
     pub service: Option<Name>,
-    /// Data centre of the VM that the request entered at.
+    /// Data centre of the VM that received the request.
     pub data_centre: Option<Name>,
-    /// Service whose floor is reached: every further ejection is held back.
+    /// Service that is at its floor, so that further ejections are held back.
     pub service_at_floor: Option<Name>,
-    /// Expected wait in the queue of a service is at least this.
+    /// Lower bound of the expected queue wait of a service.
     pub queue_wait_at_least: Option<QueueWaitCondition>,
 }
 
-/// A header and the value it must have.
+/// A header and the value that it must have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeaderCondition {
@@ -58,85 +58,85 @@
     pub value: Name,
 }
 
-/// A service and the expected wait in its queue.
+/// A service and a lower bound of the expected wait in its queue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueueWaitCondition {
-    /// Service whose queue is meant.
+    /// Service whose queue is checked.
     pub service: Name,
-    /// Expected wait.
+    /// Smallest expected wait that matches.
     pub wait_ms: u64,
 }
 
-/// What a matching rule does.
+/// Action of a matching rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum RuleAction {
-    /// Sends the request to a service.
+    /// Routes the request to a service.
     Route(Route),
-    /// Refuses the request; it was not run.
+    /// Refuses the request without running it.
     Refuse(Refuse),
 }
 
-/// How a request is sent to a service.
+/// How a request is routed to a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Service that gets the request.
+    /// Target service.
     pub service: Name,
-    /// Services that share the requests in proportion to their weights; where
-    /// there are any, they stand in place of `service`.
+    /// Weighted traffic split between services; replaces `service` unless it is
+    /// empty.
     #[serde(default)]
     pub split: Vec<ServiceShare>,
-    /// Class that replaces the caller's.
+    /// Class that overrides the class requested by the caller.
     #[serde(default)]
     pub class: Option<Class>,
-    /// Time allowed; the caller's deadline wins where it is sooner.
+    /// Request timeout; the caller's deadline takes precedence if it is earlier.
     #[serde(default)]
     pub timeout_ms: Option<u64>,
-    /// Whether the request may be run more than once.
+    /// Whether the request may be executed more than once.
     #[serde(default)]
     pub idempotent: bool,
-    /// Whether a second endpoint may be asked when the first is slow; needs
-    /// `idempotent`.
+    /// Whether a hedged request may be sent to a second endpoint when the first
+    /// one is slow; requires `idempotent`.
     #[serde(default)]
     pub hedge: bool,
-    /// Endpoints that one request may be sent to; the default where it is
-    /// missing.
+    /// Maximum number of endpoints that a request is sent to; the default
+    /// applies if it is missing.
     #[serde(default)]
     pub attempts: Option<u32>,
 }
 
-/// A service that gets a part of a route's requests.
+/// A service and its share of a traffic split.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceShare {
-    /// The service.
+    /// Target service.
     pub service: Name,
-    /// Its part, relative to the sum of all weights.
+    /// Weight, relative to the sum of all weights.
     pub weight: u32,
 }
 
 impl Route {
-    /// Returns the service of one request; `draw` is a number spread evenly over
-    /// all values, such as a hash of the request's identity.
+    /// Returns the target service of one request. `draw` is uniformly
+    /// distributed, such as a hash of the request's identity.
     pub fn service_for(&self, draw: u64) -> &Name {
         let sum: u64 = self.split.iter().map(|share| u64::from(share.weight)).sum();
         if sum == 0 {
             return &self.service;
         }
-        let mut place = draw % sum;
+        let mut remaining = draw % sum;
         for share in &self.split {
             let weight = u64::from(share.weight);
-            if place < weight {
+            if remaining < weight {
                 return &share.service;
             }
-            place -= weight;
+            remaining -= weight;
         }
         &self.service
     }
 
-    /// Returns all services that may get the route's requests.
+    /// Returns all services that the route can select.
     pub fn services(&self) -> impl Iterator<Item = &Name> {
         let single = self.split.is_empty().then_some(&self.service);
         single.into_iter().chain(self.split.iter().map(|share| &share.service))
@@ -149,37 +149,38 @@
 pub struct Refuse {
     /// HTTP status, 400 to 599.
     pub status: u16,
-    /// Time after which the caller may ask again.
+    /// Time after which the caller may retry.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
 }
 
-/// The part of a request that rules look at.
+/// Attributes of a request that rules match.
 #[derive(Clone, Debug)]
-pub struct Subject<'a> {
-    /// Customer that the caller names.
+pub struct RequestAttributes<'a> {
+    /// Customer named in the request.
     pub customer: &'a str,
-    /// Host that the request names, in lower case and without a port.
+    /// Host named in the request, in lower case and without a port.
     pub host: &'a str,
     /// HTTP method.
     pub method: &'a str,
     /// Path without query.
     pub path: &'a str,
-    /// Header lookup results: lower-case name and value.
+    /// Headers as pairs of lower-case name and value.
     pub headers: &'a [(&'a str, &'a str)],
-    /// Class that the caller asks for.
+    /// Class requested by the caller.
     pub class: Class,
-    /// Service named by the caller, if any.
+    /// Service requested by the caller, if any.
     pub service: Option<&'a str>,
-    /// Data centre of the VM that the request entered at.
+    /// Data centre of the VM that received the request.
     pub data_centre: &'a str,
 }
 
-/// Live facts that rules may ask for.
-pub trait Facts {
-    /// Returns whether further ejections of the service are held back.
+/// Current state of services, for the conditions that depend on it.
+pub trait ServiceState {
+    /// Returns whether the service is at its floor, so that further ejections
+    /// are held back.
     fn service_at_floor(&self, service: &str) -> bool;
-    /// Returns the expected wait in the service's queue.
+    /// Returns the expected wait in the queue of the service.
     fn queue_wait_ms(&self, service: &str) -> u64;
 }
 
@@ -188,15 +189,15 @@
 pub struct Mismatch {
     /// Name of the rule.
     pub rule: Name,
-    /// Condition that did not hold, with the wanted and the found value.
+    /// First condition that did not match, with the wanted and the found value.
     pub condition: String,
 }
 
-/// Which rule decides a request and why no earlier one does.
+/// The rule that decides a request, and why no earlier rule matches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The rule that decides, if any.
+    /// Rule that decides, if any.
     pub matched: Option<Rule>,
-    /// The rules before it.
+    /// Rules before it, in order.
     pub skipped: Vec<Mismatch>,
 }
--- a/crates/pistachiotrack-core/src/rule/condition.rs
+++ b/crates/pistachiotrack-core/src/rule/condition.rs
@@ -1,18 +1,20 @@
-//! Whether the conditions of a rule hold.
+//! Matching of rule conditions against a request and the state of services.
 
-use crate::rule::{Conditions, Facts, HeaderCondition, QueueWaitCondition, Subject};
+use crate::rule::{
+    Conditions, HeaderCondition, QueueWaitCondition, RequestAttributes, ServiceState,
+};
 
 /// Returns whether `path` lies under `prefix`, at a segment boundary.
 ///
-/// `/a` holds for `/a` and `/a/b`, but not for `/ab`.
+/// The prefix `/a` matches `/a` and `/a/b`, but not `/ab`.
 pub fn path_starts_with(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else { return false };
     rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/')
 }
 
-/// The first condition of a rule that doesn't hold, and what was found.
+/// A condition of a rule that doesn't match, and the value found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Failure<'a> {
+pub(super) enum FailedCondition<'a> {
     Customer { wanted: &'a str, found: &'a str },
     Host { wanted: &'a str, found: &'a str },
     Method { wanted: &'a str, found: &'a str },
@@ -26,71 +28,74 @@
 }
 
 impl Conditions {
-    /// Returns the first condition that doesn't hold, in the order of the
-    /// fields; live facts are asked for last.
-    pub(super) fn first_failure<'a>(
+    /// Returns the first condition that doesn't match, in the order of the
+    /// fields. The conditions on the state of services come last.
+    pub(super) fn first_failed<'a>(
         &'a self,
-        subject: &Subject<'a>,
-        facts: &dyn Facts,
-    ) -> Option<Failure<'a>> {
-        self.static_failure(subject).or_else(|| self.live_failure(facts))
+        request: &RequestAttributes<'a>,
+        services: &dyn ServiceState,
+    ) -> Option<FailedCondition<'a>> {
+        self.failed_by_request(request).or_else(|| self.failed_by_services(services))
     }
 
-    fn static_failure<'a>(&'a self, subject: &Subject<'a>) -> Option<Failure<'a>> {
-        if let Some(wanted) = differs(self.customer.as_deref(), subject.customer) {
-            return Some(Failure::Customer { wanted, found: subject.customer });
+    fn failed_by_request<'a>(
+        &'a self,
+        request: &RequestAttributes<'a>,
+    ) -> Option<FailedCondition<'a>> {
+        if let Some(wanted) = unequal(self.customer.as_deref(), request.customer) {
+            return Some(FailedCondition::Customer { wanted, found: request.customer });
         }
-        if let Some(wanted) = differs(self.host.as_deref(), subject.host) {
-            return Some(Failure::Host { wanted, found: subject.host });
+        if let Some(wanted) = unequal(self.host.as_deref(), request.host) {
+            return Some(FailedCondition::Host { wanted, found: request.host });
         }
-        if let Some(wanted) = differs(self.method.as_deref(), subject.method) {
-            return Some(Failure::Method { wanted, found: subject.method });
+        if let Some(wanted) = unequal(self.method.as_deref(), request.method) {
+            return Some(FailedCondition::Method { wanted, found: request.method });
         }
         if let Some(wanted) = self.path_prefix.as_deref()
-            && !path_starts_with(subject.path, wanted)
+            && !path_starts_with(request.path, wanted)
         {
-            return Some(Failure::Path { wanted, found: subject.path });
+            return Some(FailedCondition::Path { wanted, found: request.path });
         }
         if let Some(wanted) = &self.header
-            && !has_header(subject, wanted)
+            && !has_header(request, wanted)
         {
-            let named = subject.headers.iter().find(|(name, _)| *name == &*wanted.name);
-            return Some(Failure::Header { wanted, found: named.map(|(_, value)| *value) });
+            let named = request.headers.iter().find(|(name, _)| *name == &*wanted.name);
+            return Some(FailedCondition::Header { wanted, found: named.map(|(_, value)| *value) });
         }
         if let Some(wanted) = self.class
-            && wanted != subject.class
+            && wanted != request.class
         {
-            let (wanted, found) = (wanted.as_str(), subject.class.as_str());
-            return Some(Failure::Class { wanted, found });
+            let (wanted, found) = (wanted.as_str(), request.class.as_str());
+            return Some(FailedCondition::Class { wanted, found });
         }
         if let Some(wanted) = self.service.as_deref()
-            && Some(wanted) != subject.service
+            && Some(wanted) != request.service
         {
-            return Some(Failure::Service { wanted, found: subject.service });
+            return Some(FailedCondition::Service { wanted, found: request.service });
         }
-        if let Some(wanted) = differs(self.data_centre.as_deref(), subject.data_centre) {
-            return Some(Failure::DataCentre { wanted, found: subject.data_centre });
+        if let Some(wanted) = unequal(self.data_centre.as_deref(), request.data_centre) {
+            return Some(FailedCondition::DataCentre { wanted, found: request.data_centre });
         }
         None
     }
 
-    fn live_failure(&self, facts: &dyn Facts) -> Option<Failure<'_>> {
+    fn failed_by_services(&self, services: &dyn ServiceState) -> Option<FailedCondition<'_>> {
         if let Some(service) = self.service_at_floor.as_deref()
-            && !facts.service_at_floor(service)
+            && !services.service_at_floor(service)
         {
-            return Some(Failure::Floor { service });
+            return Some(FailedCondition::Floor { service });
         }
         if let Some(wanted) = &self.queue_wait_at_least {
-            let found_ms = facts.queue_wait_ms(&wanted.service);
+            let found_ms = services.queue_wait_ms(&wanted.service);
             if found_ms < wanted.wait_ms {
-                return Some(Failure::QueueWait { wanted, found_ms });
+                return Some(FailedCondition::QueueWait { wanted, found_ms });
             }
         }
         None
     }
 
-    /// Returns whether every request that fulfils `other` fulfils this too,
-    /// whatever the live facts are.
+    /// Returns whether every request that matches `other` also matches these
+    /// conditions, whatever the state of services.
     pub(super) fn covers(&self, other: &Conditions) -> bool {
         covers(&self.customer, &other.customer, |mine, theirs| mine == theirs)
             && covers(&self.host, &other.host, |mine, theirs| mine == theirs)
@@ -111,25 +116,33 @@
     }
 }
 
-impl Failure<'_> {
-    /// Returns the condition with the wanted and the found value.
+impl FailedCondition<'_> {
+    /// Returns a text with the condition, the wanted and the found value.
     pub(super) fn describe(&self) -> String {
         match self {
-            Failure::Customer { wanted, found } => plain("customer", wanted, found),
-            Failure::Host { wanted, found } => plain("host", wanted, found),
-            Failure::Method { wanted, found } => plain("method", wanted, found),
-            Failure::Path { wanted, found } => plain("path_prefix", wanted, found),
-            Failure::Header { wanted, found } => {
+            FailedCondition::Customer { wanted, found } => {
+                describe_values("customer", wanted, found)
+            }
+            FailedCondition::Host { wanted, found } => describe_values("host", wanted, found),
+            FailedCondition::Method { wanted, found } => describe_values("method", wanted, found),
+            FailedCondition::Path { wanted, found } => {
+                describe_values("path_prefix", wanted, found)
+            }
+            FailedCondition::Header { wanted, found } => {
                 let name = wanted.name.as_str();
-                optional(&format!("header {name}"), &wanted.value, *found)
+                describe_optional(&format!("header {name}"), &wanted.value, *found)
+            }
+            FailedCondition::Class { wanted, found } => describe_values("class", wanted, found),
+            FailedCondition::Service { wanted, found } => {
+                describe_optional("service", wanted, *found)
+            }
+            FailedCondition::DataCentre { wanted, found } => {
+                describe_values("data_centre", wanted, found)
             }
-            Failure::Class { wanted, found } => plain("class", wanted, found),
-            Failure::Service { wanted, found } => optional("service", wanted, *found),
-            Failure::DataCentre { wanted, found } => plain("data_centre", wanted, found),
-            Failure::Floor { service } => {
+            FailedCondition::Floor { service } => {
                 format!("service_at_floor wanted={service:?} found=not at its floor")
             }
-            Failure::QueueWait { wanted, found_ms } => {
+            FailedCondition::QueueWait { wanted, found_ms } => {
                 let QueueWaitCondition { service, wait_ms } = wanted;
                 let service = service.as_str();
                 format!("queue_wait_at_least {service:?} wanted_ms={wait_ms} found_ms={found_ms}")
@@ -138,13 +151,13 @@
     }
 }
 
-fn differs<'a>(wanted: Option<&'a str>, found: &str) -> Option<&'a str> {
+fn unequal<'a>(wanted: Option<&'a str>, found: &str) -> Option<&'a str> {
     wanted.filter(|wanted| *wanted != found)
 }
 
-fn has_header(subject: &Subject<'_>, wanted: &HeaderCondition) -> bool {
+fn has_header(request: &RequestAttributes<'_>, wanted: &HeaderCondition) -> bool {
     let HeaderCondition { name, value } = wanted;
-    subject.headers.iter().any(|header| *header == (name.as_str(), value.as_str()))
+    request.headers.iter().any(|header| *header == (name.as_str(), value.as_str()))
 }
 
 fn covers<T>(mine: &Option<T>, theirs: &Option<T>, holds: impl Fn(&T, &T) -> bool) -> bool {
@@ -155,13 +168,13 @@
     }
 }
 
-fn plain(condition: &str, wanted: &str, found: &str) -> String {
+fn describe_values(condition: &str, wanted: &str, found: &str) -> String {
     format!("{condition} wanted={wanted:?} found={found:?}")
 }
 
-fn optional(condition: &str, wanted: &str, found: Option<&str>) -> String {
+fn describe_optional(condition: &str, wanted: &str, found: Option<&str>) -> String {
     match found {
-        Some(found) => plain(condition, wanted, found),
+        Some(found) => describe_values(condition, wanted, found),
         None => format!("{condition} wanted={wanted:?} found=none"),
     }
 }
--- a/crates/pistachiotrack-core/src/rule/index.rs
+++ b/crates/pistachiotrack-core/src/rule/index.rs
@@ -1,10 +1,10 @@
-//! An index over the conditions of rules that a request alone decides.
+//! An index over the rule conditions that depend on the request alone.
 //!
-//! Rules are grouped by *shape*: the set of conditions that they have. All
-//! rules of one shape are found by one hash of the request's values for these
-//! conditions, so a look-up costs a few hashes for each shape in use, whatever
-//! the number of rules. What a hash finds is checked against the rule itself,
-//! and the smallest position wins: the meaning is that of the ordered scan.
+//! This is a tuple space search: rules are grouped by the set of conditions that
+//! they have, as a bit mask. All rules of a group are found with one hash of the
+//! request's values for these conditions, so that a lookup costs a few hashes per
+//! group, independent of the number of rules. Each rule found is checked against
+//! all its conditions, and the smallest position wins, as in an ordered scan.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -23,10 +23,10 @@
 const DATA_CENTRE: u8 = 1 << 6;
 const HOST: u8 = 1 << 7;
 
-/// The values that a look-up goes by; an absent one excludes every rule with a
-/// condition on it.
+/// The values of a lookup. A missing value excludes every rule with a condition
+/// on it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Probe<'a> {
+pub(super) struct Lookup<'a> {
     pub(super) customer: Option<&'a str>,
     pub(super) host: Option<&'a str>,
     pub(super) method: Option<&'a str>,
@@ -40,21 +40,21 @@
 /// The index of a list of rules.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RuleIndex {
-    /// Shapes in use, the one with the earliest rule first.
-    shapes: Vec<Shape>,
-    /// Positions of rules; buckets are runs of it, each in ascending order.
+    /// Groups, sorted by their first rule.
+    groups: Vec<MaskGroup>,
+    /// Positions of rules. Each bucket is a range of it in ascending order.
     positions: Vec<u32>,
-    /// Hashes of all values in use, so that most values of a request are
-    /// dropped before they are combined.
+    /// Hashes of all values in the rules, so that most values of a request are
+    /// discarded before they are combined.
     values: FxHashSet<u64>,
-    longest_prefix_bytes: usize,
+    max_prefix_bytes: usize,
     has_headers: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Shape {
-    conditions: u8,
-    first: u32,
+struct MaskGroup {
+    mask: u8,
+    first_rule: u32,
     buckets: FxHashMap<u64, Bucket>,
 }
 
@@ -70,52 +70,52 @@
         let mut index = RuleIndex::default();
         let mut keys: Vec<(u8, u64, u32)> = Vec::with_capacity(rules.len());
         for (position, rule) in rules.iter().enumerate() {
-            let (shape, key) = index.enter(&rule.when);
-            keys.push((shape, key, position as u32));
+            let (mask, key) = index.insert(&rule.when);
+            keys.push((mask, key, position as u32));
         }
         keys.sort_unstable();
         for bucket in keys.chunk_by(|left, right| (left.0, left.1) == (right.0, right.1)) {
             index.push_bucket(rules, bucket);
         }
-        index.shapes.sort_by_key(|shape| shape.first);
+        index.groups.sort_by_key(|group| group.first_rule);
         index
     }
 
-    /// Returns the smallest position before `limit` that `accept` agrees to,
-    /// among the rules whose conditions the probe may fulfil.
+    /// Returns the smallest position before `end` that `accept` holds for, among
+    /// the rules whose indexed conditions may match the lookup.
     pub(super) fn find(
         &self,
-        probe: &Probe<'_>,
-        limit: usize,
+        lookup: &Lookup<'_>,
+        end: usize,
         accept: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let values = Values::new(self, probe);
-        let mut best = limit;
-        for shape in &self.shapes {
-            if shape.first as usize >= best {
+        let values = LookupHashes::new(self, lookup);
+        let mut best = end;
+        for group in &self.groups {
+            if group.first_rule as usize >= best {
                 break;
             }
-            let Some(fixed) = values.fixed(shape.conditions) else { continue };
-            for path in values.paths(shape.conditions) {
-                for header in values.headers(shape.conditions) {
-                    let key = fixed ^ path ^ header;
-                    let Some(bucket) = shape.buckets.get(&key) else { continue };
-                    best = self.first_in(*bucket, best, &accept).unwrap_or(best);
+            let Some(base_key) = values.single_value_key(group.mask) else { continue };
+            for path in values.paths(group.mask) {
+                for header in values.headers(group.mask) {
+                    let key = base_key ^ path ^ header;
+                    let Some(bucket) = group.buckets.get(&key) else { continue };
+                    best = self.first_match(*bucket, best, &accept).unwrap_or(best);
                 }
             }
         }
-        (best < limit).then_some(best)
+        (best < end).then_some(best)
     }
 
-    /// Returns the number of shapes in use.
-    pub(super) fn shape_count(&self) -> usize {
-        self.shapes.len()
+    /// Returns the number of distinct sets of conditions.
+    pub(super) fn condition_set_count(&self) -> usize {
+        self.groups.len()
     }
 
-    fn first_in(
+    fn first_match(
         &self,
         bucket: Bucket,
-        limit: usize,
+        end: usize,
         accept: impl Fn(usize) -> bool,
     ) -> Option<usize> {
         let start = bucket.start as usize;
@@ -123,16 +123,16 @@
         positions
             .iter()
             .map(|position| *position as usize)
-            .take_while(|position| *position < limit)
+            .take_while(|position| *position < end)
             .find(|position| accept(*position))
     }
 
-    fn enter(&mut self, when: &Conditions) -> (u8, u64) {
-        let mut shape = 0;
+    fn insert(&mut self, when: &Conditions) -> (u8, u64) {
+        let mut mask = 0;
         let mut key = 0;
         let mut add = |condition: u8, hash: Option<u64>| {
             let Some(hash) = hash else { return };
-            shape |= condition;
+            mask |= condition;
             key ^= hash;
             self.values.insert(hash);
         };
@@ -148,44 +148,44 @@
         add(SERVICE, when.service.as_deref().map(|value| hash(SERVICE, value)));
         add(DATA_CENTRE, when.data_centre.as_deref().map(|value| hash(DATA_CENTRE, value)));
         let prefix_bytes = when.path_prefix.as_ref().map_or(0, |prefix| prefix.len());
-        self.longest_prefix_bytes = self.longest_prefix_bytes.max(prefix_bytes);
+        self.max_prefix_bytes = self.max_prefix_bytes.max(prefix_bytes);
         self.has_headers |= when.header.is_some();
-        (shape, key)
+        (mask, key)
     }
 
     fn push_bucket(&mut self, rules: &[Rule], entries: &[(u8, u64, u32)]) {
-        let (conditions, key, first) = entries[0];
+        let (mask, key, first) = entries[0];
         let start = self.positions.len() as u32;
-        let mut kept: Vec<u32> = Vec::new();
+        let mut reachable: Vec<u32> = Vec::new();
         for &(_, _, position) in entries {
             let when = &rules[position as usize].when;
-            // Many rules with the same conditions would make the bucket a long
-            // scan; those that an earlier one covers are never reached.
+            // Many rules with the same conditions would turn the bucket into a long
+            // scan. Rules that an earlier one covers are unreachable and left out.
             let covered =
-                kept.last().is_some_and(|earlier| rules[*earlier as usize].when.covers(when));
+                reachable.last().is_some_and(|earlier| rules[*earlier as usize].when.covers(when));
             if !covered {
-                kept.push(position);
+                reachable.push(position);
             }
         }
-        let bucket = Bucket { start, count: kept.len() as u32 };
-        self.positions.extend(kept);
-        let shape = match self.shapes.last_mut() {
-            Some(shape) if shape.conditions == conditions => shape,
+        let bucket = Bucket { start, count: reachable.len() as u32 };
+        self.positions.extend(reachable);
+        let group = match self.groups.last_mut() {
+            Some(group) if group.mask == mask => group,
             _ => {
                 let buckets = FxHashMap::default();
-                self.shapes.push(Shape { conditions, first, buckets });
-                let last = self.shapes.len() - 1;
-                &mut self.shapes[last]
+                self.groups.push(MaskGroup { mask, first_rule: first, buckets });
+                let last = self.groups.len() - 1;
+                &mut self.groups[last]
             }
         };
-        shape.first = shape.first.min(first);
-        shape.buckets.insert(key, bucket);
+        group.first_rule = group.first_rule.min(first);
+        group.buckets.insert(key, bucket);
     }
 }
 
-/// Hashes of a probe's values, as far as any rule has them.
-struct Values {
-    /// Conditions that the probe can fulfil, without path and header.
+/// Hashes of the lookup's values that occur in any rule.
+struct LookupHashes {
+    /// Mask of the conditions that the lookup can match, without path and header.
     present: u8,
     customer: u64,
     host: u64,
@@ -197,13 +197,13 @@
     headers: Vec<u64>,
 }
 
-/// Stands for a condition that a shape doesn't have.
-const ABSENT: &[u64] = &[0];
+/// Placeholder hash for a condition that a group doesn't have.
+const NO_CONDITION: &[u64] = &[0];
 
-impl Values {
-    fn new(index: &RuleIndex, probe: &Probe<'_>) -> Values {
+impl LookupHashes {
+    fn new(index: &RuleIndex, lookup: &Lookup<'_>) -> LookupHashes {
         let mut present = 0;
-        let mut known = |condition: u8, value: Option<&str>| {
+        let mut hash_value = |condition: u8, value: Option<&str>| {
             let Some(value) = value else { return 0 };
             let hash = hash(condition, value);
             if index.values.contains(&hash) {
@@ -211,63 +211,73 @@
             }
             hash
         };
-        let customer = known(CUSTOMER, probe.customer);
-        let host = known(HOST, probe.host);
-        let method = known(METHOD, probe.method);
-        let class = known(CLASS, probe.class.map(Class::as_str));
-        let service = known(SERVICE, probe.service);
-        let data_centre = known(DATA_CENTRE, probe.data_centre);
-        let paths = prefixes(probe.path, index.longest_prefix_bytes)
+        let customer = hash_value(CUSTOMER, lookup.customer);
+        let host = hash_value(HOST, lookup.host);
+        let method = hash_value(METHOD, lookup.method);
+        let class = hash_value(CLASS, lookup.class.map(Class::as_str));
+        let service = hash_value(SERVICE, lookup.service);
+        let data_centre = hash_value(DATA_CENTRE, lookup.data_centre);
+        let paths = prefixes(lookup.path, index.max_prefix_bytes)
             .map(|prefix| hash(PATH, prefix))
             .filter(|hash| index.values.contains(hash))
             .collect();
-        let headers = if index.has_headers { probe.headers } else { &[] };
+        let headers = if index.has_headers { lookup.headers } else { &[] };
         let headers = headers
             .iter()
             .map(|(name, value)| header_hash(name, value))
             .filter(|hash| index.values.contains(hash))
             .collect();
-        Values { present, customer, host, method, class, service, data_centre, paths, headers }
+        LookupHashes {
+            present,
+            customer,
+            host,
+            method,
+            class,
+            service,
+            data_centre,
+            paths,
+            headers,
+        }
     }
 
-    /// Returns the combined hash of the conditions with one value each, or
-    /// `None` if the probe can't fulfil them.
-    fn fixed(&self, conditions: u8) -> Option<u64> {
-        let wanted = conditions & !(PATH | HEADER);
+    /// Returns the combined hash of the conditions with a single value each, or
+    /// `None` if the lookup can't match them.
+    fn single_value_key(&self, mask: u8) -> Option<u64> {
+        let wanted = mask & !(PATH | HEADER);
         if wanted & !self.present != 0 {
             return None;
         }
-        let part = |condition: u8, hash: u64| if wanted & condition != 0 { hash } else { 0 };
+        let term = |condition: u8, hash: u64| if wanted & condition != 0 { hash } else { 0 };
         Some(
-            part(CUSTOMER, self.customer)
-                ^ part(HOST, self.host)
-                ^ part(METHOD, self.method)
-                ^ part(CLASS, self.class)
-                ^ part(SERVICE, self.service)
-                ^ part(DATA_CENTRE, self.data_centre),
+            term(CUSTOMER, self.customer)
+                ^ term(HOST, self.host)
+                ^ term(METHOD, self.method)
+                ^ term(CLASS, self.class)
+                ^ term(SERVICE, self.service)
+                ^ term(DATA_CENTRE, self.data_centre),
         )
     }
 
-    fn paths(&self, conditions: u8) -> impl Iterator<Item = u64> {
-        let hashes = if conditions & PATH != 0 { &self.paths } else { ABSENT };
+    fn paths(&self, mask: u8) -> impl Iterator<Item = u64> {
+        let hashes = if mask & PATH != 0 { &self.paths } else { NO_CONDITION };
         hashes.iter().copied()
     }
 
-    fn headers(&self, conditions: u8) -> impl Iterator<Item = u64> {
-        let hashes = if conditions & HEADER != 0 { &self.headers } else { ABSENT };
+    fn headers(&self, mask: u8) -> impl Iterator<Item = u64> {
+        let hashes = if mask & HEADER != 0 { &self.headers } else { NO_CONDITION };
         hashes.iter().copied()
     }
 }
 
-/// Returns every prefix that [`crate::rule::path_starts_with`] holds for, up
-/// to a length: a caller's path may have thousands of segments.
-fn prefixes(path: Option<&str>, longest_bytes: usize) -> impl Iterator<Item = &str> {
+/// Returns every prefix for which [`crate::rule::path_starts_with`] holds, up to
+/// a length limit, since a caller's path may have thousands of segments.
+fn prefixes(path: Option<&str>, max_bytes: usize) -> impl Iterator<Item = &str> {
     let path = path.unwrap_or_default();
-    let boundaries = path.match_indices('/').flat_map(|(at, _)| [at, at + 1]);
+    let boundaries = path.match_indices('/').flat_map(|(slash, _)| [slash, slash + 1]);
     let inner = boundaries.filter(|end| *end < path.len());
     inner
-        .take_while(move |end| *end <= longest_bytes)
-        .chain((path.len() <= longest_bytes).then_some(path.len()))
+        .take_while(move |end| *end <= max_bytes)
+        .chain((path.len() <= max_bytes).then_some(path.len()))
         .map(|end| &path[..end])
 }
 
--- a/crates/pistachiotrack-core/src/rule/set.rs
+++ b/crates/pistachiotrack-core/src/rule/set.rs
@@ -1,16 +1,16 @@
-//! The rules of a configuration, ready to decide.
+//! The rules of a configuration with their index.
 
 use std::{ops::Deref, sync::Arc};
 
 use crate::{
     config::Config,
     rule::{
-        Conditions, Explanation, Facts, Mismatch, Rule, Subject,
-        index::{Probe, RuleIndex},
+        Conditions, Explanation, Mismatch, RequestAttributes, Rule, ServiceState,
+        index::{Lookup, RuleIndex},
     },
 };
 
-/// The rules of a configuration, ready to decide.
+/// The rules of a configuration with their index.
 #[derive(Clone, Debug, Default)]
 pub struct RuleSet {
     rules: Rules,
@@ -41,88 +41,96 @@
 }
 
 impl RuleSet {
-    /// Prepares a copy of the rules.
+    /// Indexes a copy of the rules.
     pub fn new(rules: &[Rule]) -> RuleSet {
         RuleSet { index: RuleIndex::new(rules), rules: Rules::Owned(rules.to_vec()) }
     }
 
-    /// Prepares the rules of a configuration without copying them.
+    /// Indexes the rules of a configuration without copying them.
     pub fn of_config(config: Arc<Config>) -> RuleSet {
         RuleSet { index: RuleIndex::new(&config.rules), rules: Rules::Shared(config) }
     }
 
-    /// Returns the first rule whose conditions hold.
-    pub fn decide(&self, subject: &Subject<'_>, facts: &dyn Facts) -> Option<&Rule> {
+    /// Returns the first rule whose conditions match.
+    pub fn decide(
+        &self,
+        request: &RequestAttributes<'_>,
+        services: &dyn ServiceState,
+    ) -> Option<&Rule> {
         let holds =
-            |position: usize| self.rules[position].when.first_failure(subject, facts).is_none();
-        let probe = Probe::of_subject(subject);
-        let position = self.index.find(&probe, self.rules.len(), holds)?;
+            |position: usize| self.rules[position].when.first_failed(request, services).is_none();
+        let lookup = Lookup::for_request(request);
+        let position = self.index.find(&lookup, self.rules.len(), holds)?;
         Some(&self.rules[position])
     }
 
     /// Returns the rule that decides and, for each rule before it, the first
-    /// condition that doesn't hold.
+    /// condition that doesn't match.
     ///
-    /// This is the plain ordered scan: it is for operators and takes time in
-    /// proportion to the number of rules.
-    pub fn explain(&self, subject: &Subject<'_>, facts: &dyn Facts) -> Explanation {
+    /// Scans the rules in order, in time proportional to their number, so it is
+    /// for operators and not for the path of a request.
+    pub fn explain(
+        &self,
+        request: &RequestAttributes<'_>,
+        services: &dyn ServiceState,
+    ) -> Explanation {
         let mut skipped = Vec::new();
         for rule in self.rules.iter() {
-            let Some(failure) = rule.when.first_failure(subject, facts) else {
+            let Some(failed) = rule.when.first_failed(request, services) else {
                 return Explanation { matched: Some(rule.clone()), skipped };
             };
-            skipped.push(Mismatch { rule: rule.name.clone(), condition: failure.describe() });
+            skipped.push(Mismatch { rule: rule.name.clone(), condition: failed.describe() });
         }
         Explanation { matched: None, skipped }
     }
 
-    /// Returns the rules that no request can reach, each with an earlier rule
-    /// that matches whatever it matches, as positions.
+    /// Returns the rules that no request can reach, as pairs of positions: the
+    /// rule and an earlier rule that matches every request it would match.
     ///
-    /// Rules that only several earlier ones together make unreachable are not
-    /// found.
+    /// Doesn't find rules that are covered only by several earlier rules
+    /// together.
     pub fn unreachable(&self) -> Vec<(usize, usize)> {
         (0..self.rules.len())
-            .filter_map(|position| Some((position, self.covering(position)?)))
+            .filter_map(|position| Some((position, self.covering_rule(position)?)))
             .collect()
     }
 
-    /// Returns the rules in their order.
+    /// Returns the rules in order.
     pub fn rules(&self) -> &[Rule] {
         &self.rules
     }
 
-    /// Returns how many different sets of conditions the rules have; the time
-    /// of a decision grows with it.
-    pub fn shape_count(&self) -> usize {
-        self.index.shape_count()
+    /// Returns the number of distinct sets of conditions among the rules. The
+    /// time of a decision grows with it.
+    pub fn condition_set_count(&self) -> usize {
+        self.index.condition_set_count()
     }
 
-    fn covering(&self, position: usize) -> Option<usize> {
+    fn covering_rule(&self, position: usize) -> Option<usize> {
         let when = &self.rules[position].when;
         let header = when.header.as_ref().map(|header| [(&*header.name, &*header.value)]);
         let headers = header.as_ref().map_or(&[][..], |header| &header[..]);
-        let probe = Probe::of_conditions(when, headers);
-        self.index.find(&probe, position, |earlier| self.rules[earlier].when.covers(when))
+        let lookup = Lookup::for_conditions(when, headers);
+        self.index.find(&lookup, position, |earlier| self.rules[earlier].when.covers(when))
     }
 }
 
-impl<'a> Probe<'a> {
-    fn of_subject(subject: &Subject<'a>) -> Probe<'a> {
-        Probe {
-            customer: Some(subject.customer),
-            host: Some(subject.host),
-            method: Some(subject.method),
-            path: Some(subject.path),
-            headers: subject.headers,
-            class: Some(subject.class),
-            service: subject.service,
-            data_centre: Some(subject.data_centre),
+impl<'a> Lookup<'a> {
+    fn for_request(request: &RequestAttributes<'a>) -> Lookup<'a> {
+        Lookup {
+            customer: Some(request.customer),
+            host: Some(request.host),
+            method: Some(request.method),
+            path: Some(request.path),
+            headers: request.headers,
+            class: Some(request.class),
+            service: request.service,
+            data_centre: Some(request.data_centre),
         }
     }
 
-    fn of_conditions(when: &'a Conditions, headers: &'a [(&'a str, &'a str)]) -> Probe<'a> {
-        Probe {
+    fn for_conditions(when: &'a Conditions, headers: &'a [(&'a str, &'a str)]) -> Lookup<'a> {
+        Lookup {
             customer: when.customer.as_deref(),
             host: when.host.as_deref(),
             method: when.method.as_deref(),
--- a/crates/pistachiotrack-core/tests/rule_set.rs
+++ b/crates/pistachiotrack-core/tests/rule_set.rs
@@ -1,22 +1,22 @@
-//! The meaning of rules, and the index against the plain ordered scan.
+//! Matching of rules, and the index compared with an ordered scan.
 
 use pistachiotrack_core::{
     name::Name,
     request::Class,
     rule::{
-        Conditions, Facts, HeaderCondition, QueueWaitCondition, Refuse, Rule, RuleAction, RuleSet,
-        Subject, path_starts_with,
+        Conditions, HeaderCondition, QueueWaitCondition, Refuse, RequestAttributes, Rule,
+        RuleAction, RuleSet, ServiceState, path_starts_with,
     },
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck, empty_shrinker};
 
 #[derive(Clone, Copy, Debug, Default)]
-struct FixedFacts {
+struct FixedServiceState {
     at_floor: bool,
     wait_ms: u64,
 }
 
-impl Facts for FixedFacts {
+impl ServiceState for FixedServiceState {
     fn service_at_floor(&self, service: &str) -> bool {
         self.at_floor && service == "s0"
     }
@@ -26,7 +26,7 @@
     }
 }
 
-const CALM: FixedFacts = FixedFacts { at_floor: false, wait_ms: 0 };
+const IDLE: FixedServiceState = FixedServiceState { at_floor: false, wait_ms: 0 };
 
 fn rule(index: usize, when: Conditions) -> Rule {
     let then = RuleAction::Refuse(Refuse { status: 503, retry_after_ms: None });
@@ -43,7 +43,7 @@
     Some(Name::from(name))
 }
 
-const SUBJECT: Subject<'static> = Subject {
+const REQUEST: RequestAttributes<'static> = RequestAttributes {
     customer: "c0",
     host: "host",
     method: "GET",
@@ -54,12 +54,16 @@
     data_centre: "d0",
 };
 
-fn decided(when: Conditions, subject: &Subject<'_>, facts: FixedFacts) -> bool {
-    rules([when]).decide(subject, &facts).is_some()
+fn matches_alone(
+    when: Conditions,
+    attributes: &RequestAttributes<'_>,
+    services: FixedServiceState,
+) -> bool {
+    rules([when]).decide(attributes, &services).is_some()
 }
 
 #[test]
-fn prefixes_end_at_a_segment_boundary() {
+fn prefixes_match_at_segment_boundaries() {
     let cases = [
         ("/a", "/a", true),
         ("/a", "/a/b", true),
@@ -78,18 +82,22 @@
     for (prefix, path, holds) in cases {
         let when = Conditions { path_prefix: some(prefix), ..Conditions::default() };
         assert_eq!(path_starts_with(path, prefix), holds, "{prefix} {path}");
-        assert_eq!(decided(when, &Subject { path, ..SUBJECT }, CALM), holds, "{prefix} {path}");
+        assert_eq!(
+            matches_alone(when, &RequestAttributes { path, ..REQUEST }, IDLE),
+            holds,
+            "{prefix} {path}"
+        );
     }
 }
 
 #[test]
-fn each_condition_holds_for_its_value_alone() {
+fn each_condition_matches_only_its_value() {
     let header = |value: &str| {
         Some(HeaderCondition { name: Name::from("x-mode"), value: Name::from(value) })
     };
     let wait = |wait_ms| Some(QueueWaitCondition { service: Name::from("s0"), wait_ms });
     let none = Conditions::default;
-    let facts = FixedFacts { at_floor: true, wait_ms: 20 };
+    let services = FixedServiceState { at_floor: true, wait_ms: 20 };
     let cases = [
         (none(), true),
         (Conditions { customer: some("c0"), ..none() }, true),
@@ -113,14 +121,14 @@
         (Conditions { queue_wait_at_least: wait(21), ..none() }, false),
     ];
     for (when, holds) in cases {
-        assert_eq!(decided(when.clone(), &SUBJECT, facts), holds, "{when:?}");
+        assert_eq!(matches_alone(when.clone(), &REQUEST, services), holds, "{when:?}");
     }
     let when = Conditions { service: some("s0"), ..none() };
-    assert!(!decided(when, &Subject { service: None, ..SUBJECT }, facts));
+    assert!(!matches_alone(when, &RequestAttributes { service: None, ..REQUEST }, services));
 }
 
 #[test]
-fn the_first_match_decides_and_the_explanation_says_why() {
+fn explains_the_first_match_and_each_skipped_rule() {
     let none = Conditions::default;
     let wait = QueueWaitCondition { service: Name::from("s0"), wait_ms: 50 };
     let header = HeaderCondition { name: Name::from("x-mode"), value: Name::from("slow") };
@@ -133,9 +141,9 @@
         Conditions { customer: some("c0"), ..none() },
         none(),
     ]);
-    let facts = FixedFacts { at_floor: false, wait_ms: 12 };
-    let explanation = set.explain(&SUBJECT, &facts);
-    assert_eq!(explanation.matched.as_ref(), set.decide(&SUBJECT, &facts));
+    let services = FixedServiceState { at_floor: false, wait_ms: 12 };
+    let explanation = set.explain(&REQUEST, &services);
+    assert_eq!(explanation.matched.as_ref(), set.decide(&REQUEST, &services));
     assert_eq!(explanation.matched.unwrap().name.as_str(), "rule-5");
     let skipped: Vec<&str> = explanation.skipped.iter().map(|it| it.condition.as_str()).collect();
     assert_eq!(
@@ -153,13 +161,13 @@
 #[test]
 fn no_rule_decides_where_none_matches() {
     let set = rules([Conditions { customer: some("c9"), ..Conditions::default() }]);
-    assert_eq!(set.decide(&SUBJECT, &CALM), None);
-    assert_eq!(set.explain(&SUBJECT, &CALM).skipped.len(), 1);
-    assert_eq!(RuleSet::new(&[]).decide(&SUBJECT, &CALM), None);
+    assert_eq!(set.decide(&REQUEST, &IDLE), None);
+    assert_eq!(set.explain(&REQUEST, &IDLE).skipped.len(), 1);
+    assert_eq!(RuleSet::new(&[]).decide(&REQUEST, &IDLE), None);
 }
 
 #[test]
-fn rules_behind_a_wider_one_are_unreachable() {
+fn rules_after_a_covering_rule_are_unreachable() {
     let none = Conditions::default;
     let wait = |wait_ms| {
         let service = Name::from("s0");
@@ -178,35 +186,38 @@
     assert_eq!(set.unreachable(), [(2, 1), (5, 0), (7, 6)]);
 }
 
-/// Conditions from few values, so that rules overlap often.
+/// Conditions drawn from a small set of values, so that rules often overlap.
 #[derive(Clone, Debug)]
 struct AnyConditions(Conditions);
 
 const PATHS: [&str; 10] = ["/", "/a", "/a/", "/a/b", "/ab", "/a//b", "/a/b/c/d", "", "a", "/a/b/"];
 const VALUES: [&str; 3] = ["0", "1", "2"];
 
-fn one(g: &mut Gen, kind: &str) -> Name {
+fn numbered(g: &mut Gen, kind: &str) -> Name {
     Name::from(format!("{kind}{}", g.choose(&VALUES).unwrap()))
 }
 
-fn maybe<T>(g: &mut Gen, value: impl FnOnce(&mut Gen) -> T) -> Option<T> {
+fn optional<T>(g: &mut Gen, value: impl FnOnce(&mut Gen) -> T) -> Option<T> {
     u8::arbitrary(g).is_multiple_of(3).then(|| value(g))
 }
 
 impl Arbitrary for AnyConditions {
     fn arbitrary(g: &mut Gen) -> AnyConditions {
         AnyConditions(Conditions {
-            customer: maybe(g, |g| one(g, "c")),
-            host: maybe(g, |g| one(g, "x")),
-            method: maybe(g, |g| one(g, "m")),
-            path_prefix: maybe(g, |g| Name::from(*g.choose(&PATHS).unwrap())),
-            header: maybe(g, |g| HeaderCondition { name: one(g, "h"), value: one(g, "v") }),
-            class: maybe(g, |g| *g.choose(&Class::ALL).unwrap()),
-            service: maybe(g, |g| one(g, "s")),
-            data_centre: maybe(g, |g| one(g, "d")),
-            service_at_floor: maybe(g, |g| one(g, "s")),
-            queue_wait_at_least: maybe(g, |g| QueueWaitCondition {
-                service: one(g, "s"),
+            customer: optional(g, |g| numbered(g, "c")),
+            host: optional(g, |g| numbered(g, "x")),
+            method: optional(g, |g| numbered(g, "m")),
+            path_prefix: optional(g, |g| Name::from(*g.choose(&PATHS).unwrap())),
+            header: optional(g, |g| HeaderCondition {
+                name: numbered(g, "h"),
+                value: numbered(g, "v"),
+            }),
+            class: optional(g, |g| *g.choose(&Class::ALL).unwrap()),
+            service: optional(g, |g| numbered(g, "s")),
+            data_centre: optional(g, |g| numbered(g, "d")),
+            service_at_floor: optional(g, |g| numbered(g, "s")),
+            queue_wait_at_least: optional(g, |g| QueueWaitCondition {
+                service: numbered(g, "s"),
                 wait_ms: u64::from(u8::arbitrary(g) % 4),
             }),
         })
@@ -245,9 +256,11 @@
 impl Arbitrary for AnyRequest {
     fn arbitrary(g: &mut Gen) -> AnyRequest {
         AnyRequest {
-            names: ["c", "m", "s", "d", "x"].map(|kind| one(g, kind)),
+            names: ["c", "m", "s", "d", "x"].map(|kind| numbered(g, kind)),
             path: g.choose(&PATHS).unwrap(),
-            headers: (0..u8::arbitrary(g) % 4).map(|_| (one(g, "h"), one(g, "v"))).collect(),
+            headers: (0..u8::arbitrary(g) % 4)
+                .map(|_| (numbered(g, "h"), numbered(g, "v")))
+                .collect(),
             class: *g.choose(&Class::ALL).unwrap(),
             with_service: bool::arbitrary(g),
             at_floor: bool::arbitrary(g),
@@ -261,10 +274,10 @@
 }
 
 impl AnyRequest {
-    fn with<T>(&self, test: impl FnOnce(&Subject<'_>, FixedFacts) -> T) -> T {
+    fn with<T>(&self, test: impl FnOnce(&RequestAttributes<'_>, FixedServiceState) -> T) -> T {
         let headers: Vec<(&str, &str)> =
             self.headers.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-        let subject = Subject {
+        let attributes = RequestAttributes {
             customer: &self.names[0],
             host: &self.names[4],
             method: &self.names[1],
@@ -274,14 +287,17 @@
             service: self.with_service.then_some(&*self.names[2]),
             data_centre: &self.names[3],
         };
-        test(&subject, FixedFacts { at_floor: self.at_floor, wait_ms: self.wait_ms })
+        test(&attributes, FixedServiceState { at_floor: self.at_floor, wait_ms: self.wait_ms })
     }
 }
 
-/// The ordered scan, written from the meaning of the conditions and not from
-/// the code under test.
-fn scan<'r>(rules: &'r [Rule], subject: &Subject<'_>, facts: FixedFacts) -> Option<&'r Rule> {
-    let under = |path: &str, prefix: &str| {
+/// An ordered scan, implemented independently of the code under test.
+fn scan<'r>(
+    rules: &'r [Rule],
+    attributes: &RequestAttributes<'_>,
+    services: FixedServiceState,
+) -> Option<&'r Rule> {
+    let is_under = |path: &str, prefix: &str| {
         path == prefix
             || (path.starts_with(prefix)
                 && (prefix.ends_with('/') || path.as_bytes()[prefix.len()] == b'/'))
@@ -289,41 +305,41 @@
     rules.iter().find(|rule| {
         let when = &rule.when;
         let mut holds = true;
-        holds &= when.customer.as_ref().is_none_or(|it| it.as_str() == subject.customer);
-        holds &= when.host.as_ref().is_none_or(|it| it.as_str() == subject.host);
-        holds &= when.method.as_ref().is_none_or(|it| it.as_str() == subject.method);
-        holds &= when.path_prefix.as_ref().is_none_or(|it| under(subject.path, it));
+        holds &= when.customer.as_ref().is_none_or(|it| it.as_str() == attributes.customer);
+        holds &= when.host.as_ref().is_none_or(|it| it.as_str() == attributes.host);
+        holds &= when.method.as_ref().is_none_or(|it| it.as_str() == attributes.method);
+        holds &= when.path_prefix.as_ref().is_none_or(|it| is_under(attributes.path, it));
         holds &= when
             .header
             .as_ref()
-            .is_none_or(|it| subject.headers.contains(&(it.name.as_str(), it.value.as_str())));
-        holds &= when.class.is_none_or(|it| it == subject.class);
-        holds &= when.service.as_ref().is_none_or(|it| Some(it.as_str()) == subject.service);
-        holds &= when.data_centre.as_ref().is_none_or(|it| it.as_str() == subject.data_centre);
-        holds &= when.service_at_floor.as_ref().is_none_or(|it| facts.service_at_floor(it));
+            .is_none_or(|it| attributes.headers.contains(&(it.name.as_str(), it.value.as_str())));
+        holds &= when.class.is_none_or(|it| it == attributes.class);
+        holds &= when.service.as_ref().is_none_or(|it| Some(it.as_str()) == attributes.service);
+        holds &= when.data_centre.as_ref().is_none_or(|it| it.as_str() == attributes.data_centre);
+        holds &= when.service_at_floor.as_ref().is_none_or(|it| services.service_at_floor(it));
         holds &= when
             .queue_wait_at_least
             .as_ref()
-            .is_none_or(|it| facts.queue_wait_ms(&it.service) >= it.wait_ms);
+            .is_none_or(|it| services.queue_wait_ms(&it.service) >= it.wait_ms);
         holds
     })
 }
 
 #[test]
-fn the_index_means_what_the_scan_means() {
+fn index_and_ordered_scan_agree() {
     fn property(conditions: Vec<AnyConditions>, requests: Vec<AnyRequest>) -> bool {
         let rules: Vec<Rule> =
             conditions.into_iter().enumerate().map(|(index, it)| rule(index, it.0)).collect();
         let set = RuleSet::new(&rules);
         requests.iter().all(|request| {
-            request.with(|subject, facts| {
-                let wanted = scan(&rules, subject, facts);
-                let explanation = set.explain(subject, &facts);
-                let before = wanted.map_or(rules.len(), |wanted| {
-                    rules.iter().position(|rule| rule.name == wanted.name).unwrap()
+            request.with(|attributes, services| {
+                let expected = scan(&rules, attributes, services);
+                let explanation = set.explain(attributes, &services);
+                let before = expected.map_or(rules.len(), |expected| {
+                    rules.iter().position(|rule| rule.name == expected.name).unwrap()
                 });
-                set.decide(subject, &facts) == wanted
-                    && explanation.matched.as_ref() == wanted
+                set.decide(attributes, &services) == expected
+                    && explanation.matched.as_ref() == expected
                     && explanation.skipped.len() == before
             })
         })
@@ -336,16 +352,16 @@
 }
 
 #[test]
-fn a_rule_called_unreachable_never_decides() {
+fn unreachable_rules_never_decide() {
     fn property(conditions: Vec<AnyConditions>, requests: Vec<AnyRequest>) -> bool {
         let rules: Vec<Rule> =
             conditions.into_iter().enumerate().map(|(index, it)| rule(index, it.0)).collect();
         let unreachable = RuleSet::new(&rules).unreachable();
         requests.iter().all(|request| {
-            request.with(|subject, facts| {
-                let decides = scan(&rules, subject, facts);
+            request.with(|attributes, services| {
+                let first_match = scan(&rules, attributes, services);
                 unreachable.iter().all(|(rule, by)| {
-                    by < rule && decides.is_none_or(|it| it.name != rules[*rule].name)
+                    by < rule && first_match.is_none_or(|it| it.name != rules[*rule].name)
                 })
             })
         })
--- a/crates/pistachiotrack-standins/src/slopes/decisions.rs
+++ b/crates/pistachiotrack-standins/src/slopes/decisions.rs
@@ -8,7 +8,7 @@
     membership::{Member, MemberState},
     ownership::{Ownership, OwnershipSettings, ShardId, shard_count},
     request::Class,
-    rule::{Facts, RuleSet, Subject},
+    rule::{RequestAttributes, RuleSet, ServiceState},
     steering,
     time::Time,
 };
@@ -36,7 +36,7 @@
 
 struct QuietFacts;
 
-impl Facts for QuietFacts {
+impl ServiceState for QuietFacts {
     fn service_at_floor(&self, _service: &str) -> bool {
         false
     }
@@ -56,7 +56,7 @@
         let config = Arc::new(sample::config(shape));
         let (rules, heap_bytes) = heap(|| RuleSet::of_config(Arc::clone(&config)));
         let customer = sample::customer_name(routes - 1);
-        let subject = Subject {
+        let subject = RequestAttributes {
             customer: &customer,
             host: "host",
             method: "GET",
--- a/crates/pistachiotrack/src/explain.rs
+++ b/crates/pistachiotrack/src/explain.rs
@@ -5,7 +5,9 @@
 use anyhow::Context as _;
 use pistachiotrack_core::{
     config::Config,
-    rule::{Explanation, Facts, Refuse, Route, Rule, RuleAction, RuleSet, Subject},
+    rule::{
+        Explanation, Refuse, RequestAttributes, Route, Rule, RuleAction, RuleSet, ServiceState,
+    },
 };
 
 use crate::{
@@ -42,7 +44,7 @@
 fn explain(rules: &[Rule], config: &ExplainConfig) -> Explanation {
     let headers: Vec<(&str, &str)> =
         config.headers.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-    let subject = Subject {
+    let subject = RequestAttributes {
         customer: &config.customer,
         host: &config.host,
         method: &config.method,
@@ -58,7 +60,7 @@
 /// The live facts as the command line gives them.
 struct AssumedFacts<'a>(&'a ExplainConfig);
 
-impl Facts for AssumedFacts<'_> {
+impl ServiceState for AssumedFacts<'_> {
     fn service_at_floor(&self, service: &str) -> bool {
         self.0.services_at_floor.iter().any(|name| name == service)
     }
--- a/crates/pistachiotrackd/src/proxy.rs
+++ b/crates/pistachiotrackd/src/proxy.rs
@@ -19,7 +19,7 @@
     ownership::{ShardId, rendezvous_shard, shard_count},
     refusal::{Execution, Reason},
     request::{Class, DEFAULT_MAX_ATTEMPTS, RequestId},
-    rule::{Route, RuleAction, Subject},
+    rule::{RequestAttributes, Route, RuleAction},
     service::Service,
     shard::ShardMode,
     time::Time,
@@ -256,7 +256,7 @@
 ) -> Option<&'c RuleAction> {
     let fields = text_fields(&parts.headers);
     let host = host(parts);
-    let subject = Subject {
+    let subject = RequestAttributes {
         customer: asked.customer.as_deref().unwrap_or_default(),
         host: &host,
         method: parts.method.as_str(),
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -15,7 +15,7 @@
     mechanism::Mechanisms,
     name::Name,
     ownership::{ShardId, shard_count},
-    rule::Facts,
+    rule::ServiceState,
     shard::ShardMode,
     vm::Vm,
 };
@@ -196,7 +196,7 @@
     }
 }
 
-impl Facts for ShardTable {
+impl ServiceState for ShardTable {
     fn service_at_floor(&self, service: &str) -> bool {
         let facts = self.facts.read().unwrap_or_else(PoisonError::into_inner);
         ShardTable::facts_of(&facts, service).any(|facts| facts.at_floor)
