--- a/crates/pistachiotrack-core/examples/config_spread.rs
+++ b/crates/pistachiotrack-core/examples/config_spread.rs
@@ -13,7 +13,7 @@
 
 use config_support::{DESIGN, Sizes, TODAY, config, fleet::Fleet, json, name};
 use pistachiotrack_core::{
-    config::{Config, Content, Delta, IndexedConfig, MAX_VALUE_BYTES},
+    config::{Config, ContentSummary, Delta, IndexedConfig, MAX_VALUE_BYTES},
     config_sync::ConfigSyncSettings,
     rule::RuleSet,
 };
@@ -89,7 +89,7 @@
 fn whole(label: &str, sizes: Sizes) {
     let config = config(1, sizes);
     let json_bytes = json(&config).len();
-    let content = Content::of(&config).expect("an encoding");
+    let content = ContentSummary::of(&config).expect("an encoding");
     println!("{label} {json_bytes} {} {}", content.encoded_bytes, json_bytes <= MAX_VALUE_BYTES);
 }
 
@@ -97,7 +97,7 @@
 
 fn changes(label: &str, sizes: Sizes) {
     let base = Arc::new(config(1, sizes));
-    let base_content = Content::of(&base).expect("an encoding");
+    let base_content = ContentSummary::of(&base).expect("an encoding");
     let edits: [(&str, Edit); 4] = [
         ("endpoint_leaving", |new| new.services[1].endpoints[1].leaving = true),
         ("rule_added", |new| {
@@ -117,7 +117,7 @@
         let mut new = Config::clone(&base);
         new.version += 1;
         edit(&mut new);
-        let content = Content::of(&new).expect("an encoding");
+        let content = ContentSummary::of(&new).expect("an encoding");
 
         let begin = Instant::now();
         let delta = Delta::between(&base, base_content.hash, &new, content.hash);
--- a/crates/pistachiotrack-core/examples/rule_index.rs
+++ b/crates/pistachiotrack-core/examples/rule_index.rs
@@ -113,8 +113,7 @@
 /// A request that matches a randomly chosen rule, or only the last one.
 fn request(rules: &[Rule], rng: &mut Pcg64Mcg) -> Request {
     let when = &rules[rng.random_range(0..rules.len())].when;
-    let or_default =
-        |value: &Option<Name>, default: &str| value.as_deref().unwrap_or(default).to_owned();
+    let or_default = |value: &Option<Name>, any: &str| value.as_deref().unwrap_or(any).to_owned();
     Request {
         customer: or_default(&when.customer, "customer-1"),
         path: or_default(&when.path_prefix, "/v1/slots") + "/2026-12-02/morning",
--- a/crates/pistachiotrack-core/src/config.rs
+++ b/crates/pistachiotrack-core/src/config.rs
@@ -11,7 +11,7 @@
 
 pub use self::{
     check::{MAX_DURATION_MS, MAX_ENTRY_LIFETIME_MS},
-    content::{Content, ContentHash},
+    content::{ContentHash, ContentSummary},
     delta::{Delta, DeltaError},
     index::IndexedConfig,
     warning::ConfigWarning,
--- a/crates/pistachiotrack-core/src/config/content.rs
+++ b/crates/pistachiotrack-core/src/config/content.rs
@@ -26,21 +26,21 @@
 
 /// Hash and size of a configuration's encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Content {
+pub struct ContentSummary {
     /// Hash of the encoding.
     pub hash: ContentHash,
     /// Length of the encoding.
     pub encoded_bytes: usize,
 }
 
-impl Content {
+impl ContentSummary {
     /// Returns the content of `config`.
     ///
     /// # Errors
     ///
     /// Returns an error if the configuration can't be encoded.
-    pub fn of(config: &Config) -> Result<Content, postcard::Error> {
+    pub fn of(config: &Config) -> Result<ContentSummary, postcard::Error> {
         let bytes = postcard::to_stdvec(config)?;
-        Ok(Content { hash: ContentHash::of_bytes(&bytes), encoded_bytes: bytes.len() })
+        Ok(ContentSummary { hash: ContentHash::of_bytes(&bytes), encoded_bytes: bytes.len() })
     }
 }
--- a/crates/pistachiotrack-core/src/config/delta.rs
+++ b/crates/pistachiotrack-core/src/config/delta.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    config::{Config, Content, ContentHash},
+    config::{Config, ContentHash, ContentSummary},
     customer::Customer,
     data_centre::DataCentre,
     endpoint::Endpoint,
@@ -25,16 +25,16 @@
     /// Version that the delta applies to.
     pub base_version: u64,
     /// Content that the delta applies to.
-    pub base: ContentHash,
+    pub base_hash: ContentHash,
     /// Version of the result.
     pub version: u64,
     /// Content of the result.
-    pub result: ContentHash,
+    pub result_hash: ContentHash,
     entry_lifetime_ms: u64,
-    data_centres: Vec<Piece<DataCentre>>,
-    services: Vec<Piece<ServiceDelta>>,
-    customers: Vec<Piece<Customer>>,
-    rules: Vec<Piece<Rule>>,
+    data_centres: Vec<DeltaOp<DataCentre>>,
+    services: Vec<DeltaOp<ServiceDelta>>,
+    customers: Vec<DeltaOp<Customer>>,
+    rules: Vec<DeltaOp<Rule>>,
 }
 
 /// Why a delta can't be applied.
@@ -42,20 +42,20 @@
 pub enum DeltaError {
     /// The delta belongs to another base.
     #[error("the delta belongs to another base")]
-    OtherBase,
+    BaseMismatch,
     /// A piece names items that the base doesn't have, or names them twice.
-    #[error("a piece of the delta doesn't fit its base")]
-    Piece,
+    #[error("an operation of the delta doesn't fit its base")]
+    InvalidOp,
     /// The result is not what the sender has.
     #[error("the result of the delta is not what the sender has")]
-    OtherResult,
+    ResultMismatch,
     /// The result can't be encoded.
     #[error("the result can't be encoded")]
     Encoding,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-enum Piece<T> {
+enum DeltaOp<T> {
     /// A run of items of the base.
     Copy { from: u32, count: u32 },
     /// Items that the base doesn't have.
@@ -69,7 +69,7 @@
     base: Option<u32>,
     /// The service without its endpoints.
     settings: Service,
-    endpoints: Vec<Piece<Endpoint>>,
+    endpoints: Vec<DeltaOp<Endpoint>>,
 }
 
 impl Delta {
@@ -82,14 +82,14 @@
     ) -> Delta {
         Delta {
             base_version: base.version,
-            base: base_hash,
+            base_hash,
             version: new.version,
-            result: new_hash,
+            result_hash: new_hash,
             entry_lifetime_ms: new.entry_lifetime_ms,
-            data_centres: pieces(&base.data_centres, &new.data_centres, |item| &item.name),
-            services: service_pieces(&base.services, &new.services),
-            customers: pieces(&base.customers, &new.customers, |item| &item.name),
-            rules: pieces(&base.rules, &new.rules, |item| &item.name),
+            data_centres: diff(&base.data_centres, &new.data_centres, |item| &item.name),
+            services: diff_services(&base.services, &new.services),
+            customers: diff(&base.customers, &new.customers, |item| &item.name),
+            rules: diff(&base.rules, &new.rules, |item| &item.name),
         }
     }
 
@@ -99,17 +99,17 @@
     ///
     /// Returns an error if the delta doesn't belong to `base` or doesn't fit.
     pub fn apply(self, base: &Config, base_hash: ContentHash) -> Result<Config, DeltaError> {
-        if self.base_version != base.version || self.base != base_hash {
-            return Err(DeltaError::OtherBase);
+        if self.base_version != base.version || self.base_hash != base_hash {
+            return Err(DeltaError::BaseMismatch);
         }
         Ok(Config {
             version: self.version,
             deployment: base.deployment.clone(),
             entry_lifetime_ms: self.entry_lifetime_ms,
-            data_centres: assemble(&base.data_centres, self.data_centres)?,
-            services: assemble_services(&base.services, self.services)?,
-            customers: assemble(&base.customers, self.customers)?,
-            rules: assemble(&base.rules, self.rules)?,
+            data_centres: apply_ops(&base.data_centres, self.data_centres)?,
+            services: apply_service_ops(&base.services, self.services)?,
+            customers: apply_ops(&base.customers, self.customers)?,
+            rules: apply_ops(&base.rules, self.rules)?,
         })
     }
 
@@ -123,125 +123,127 @@
         deltas: Vec<Delta>,
         base: &Arc<Config>,
         base_hash: ContentHash,
-    ) -> Result<(Config, Content), DeltaError> {
+    ) -> Result<(Config, ContentSummary), DeltaError> {
         let mut config = Config::clone(base);
         let mut hash = base_hash;
         for delta in deltas {
-            let result = delta.result;
+            let result_hash = delta.result_hash;
             config = delta.apply(&config, hash)?;
-            hash = result;
+            hash = result_hash;
         }
-        let content = Content::of(&config).map_err(|_| DeltaError::Encoding)?;
-        if content.hash != hash { Err(DeltaError::OtherResult) } else { Ok((config, content)) }
+        let summary = ContentSummary::of(&config).map_err(|_| DeltaError::Encoding)?;
+        if summary.hash != hash { Err(DeltaError::ResultMismatch) } else { Ok((config, summary)) }
     }
 }
 
-fn pieces<T: Clone + PartialEq>(base: &[T], new: &[T], name: fn(&T) -> &Name) -> Vec<Piece<T>> {
-    let head = base.iter().zip(new).take_while(|(old, new)| old == new).count();
-    let (base_rest, new_rest) = (&base[head..], &new[head..]);
-    let tail = base_rest
+fn diff<T: Clone + PartialEq>(base: &[T], new: &[T], name: fn(&T) -> &Name) -> Vec<DeltaOp<T>> {
+    let prefix = base.iter().zip(new).take_while(|(old, new)| old == new).count();
+    let (base_rest, new_rest) = (&base[prefix..], &new[prefix..]);
+    let suffix = base_rest
         .iter()
         .rev()
         .zip(new_rest.iter().rev())
         .take_while(|(old, new)| old == new)
         .count();
-    let middle = head..base.len() - tail;
+    let middle = prefix..base.len() - suffix;
     let by_name: FxHashMap<&str, usize> =
         middle.map(|index| (name(&base[index]).as_str(), index)).collect();
 
-    let mut pieces = Vec::new();
-    copy(&mut pieces, 0, head);
-    for item in &new_rest[..new_rest.len() - tail] {
+    let mut ops = Vec::new();
+    push_copy(&mut ops, 0, prefix);
+    for item in &new_rest[..new_rest.len() - suffix] {
         match by_name.get(name(item).as_str()) {
-            Some(&index) if base[index] == *item => copy(&mut pieces, index, 1),
-            _ => insert(&mut pieces, item.clone()),
+            Some(&index) if base[index] == *item => push_copy(&mut ops, index, 1),
+            _ => push_insert(&mut ops, item.clone()),
         }
     }
-    copy(&mut pieces, base.len() - tail, tail);
-    pieces
+    push_copy(&mut ops, base.len() - suffix, suffix);
+    ops
 }
 
-fn copy<T>(pieces: &mut Vec<Piece<T>>, index: usize, items: usize) {
-    if items == 0 {
+fn push_copy<T>(ops: &mut Vec<DeltaOp<T>>, index: usize, len: usize) {
+    if len == 0 {
         return;
     }
-    if let Some(Piece::Copy { from, count }) = pieces.last_mut()
+    if let Some(DeltaOp::Copy { from, count }) = ops.last_mut()
         && (*from + *count) as usize == index
     {
-        *count += items as u32;
+        *count += len as u32;
         return;
     }
-    pieces.push(Piece::Copy { from: index as u32, count: items as u32 });
+    ops.push(DeltaOp::Copy { from: index as u32, count: len as u32 });
 }
 
-fn insert<T>(pieces: &mut Vec<Piece<T>>, item: T) {
-    if let Some(Piece::Insert(items)) = pieces.last_mut() {
+fn push_insert<T>(ops: &mut Vec<DeltaOp<T>>, item: T) {
+    if let Some(DeltaOp::Insert(items)) = ops.last_mut() {
         items.push(item);
         return;
     }
-    pieces.push(Piece::Insert(vec![item]));
+    ops.push(DeltaOp::Insert(vec![item]));
 }
 
-fn service_pieces(base: &[Service], new: &[Service]) -> Vec<Piece<ServiceDelta>> {
+fn diff_services(base: &[Service], new: &[Service]) -> Vec<DeltaOp<ServiceDelta>> {
     let by_name: FxHashMap<&str, usize> =
         base.iter().enumerate().map(|(index, service)| (service.name.as_str(), index)).collect();
-    let describe = |service: Service| {
+    let service_delta = |service: Service| {
         let old = by_name.get(service.name.as_str()).copied();
         let old_endpoints = old.map_or(&[][..], |index| &base[index].endpoints);
-        let endpoints = pieces(old_endpoints, &service.endpoints, |endpoint| &endpoint.name);
+        let endpoints = diff(old_endpoints, &service.endpoints, |endpoint| &endpoint.name);
         let settings = Service { endpoints: Vec::new(), ..service };
         ServiceDelta { base: old.map(|index| index as u32), settings, endpoints }
     };
-    pieces(base, new, |service| &service.name)
+    diff(base, new, |service| &service.name)
         .into_iter()
-        .map(|piece| match piece {
-            Piece::Copy { from, count } => Piece::Copy { from, count },
-            Piece::Insert(services) => Piece::Insert(services.into_iter().map(describe).collect()),
+        .map(|op| match op {
+            DeltaOp::Copy { from, count } => DeltaOp::Copy { from, count },
+            DeltaOp::Insert(services) => {
+                DeltaOp::Insert(services.into_iter().map(service_delta).collect())
+            }
         })
         .collect()
 }
 
-fn assemble<T: Clone>(base: &[T], pieces: Vec<Piece<T>>) -> Result<Vec<T>, DeltaError> {
-    assemble_with(base, pieces, Ok)
+fn apply_ops<T: Clone>(base: &[T], ops: Vec<DeltaOp<T>>) -> Result<Vec<T>, DeltaError> {
+    apply_ops_with(base, ops, Ok)
 }
 
-fn assemble_services(
+fn apply_service_ops(
     base: &[Service],
-    pieces: Vec<Piece<ServiceDelta>>,
+    ops: Vec<DeltaOp<ServiceDelta>>,
 ) -> Result<Vec<Service>, DeltaError> {
     let mut used = FxHashSet::default();
-    assemble_with(base, pieces, |delta| {
+    apply_ops_with(base, ops, |delta| {
         // A damaged delta that names one large service many times would grow
         // without limit; in a sound one each service of the base occurs once.
         if delta.base.is_some_and(|index| !used.insert(index)) {
-            return Err(DeltaError::Piece);
+            return Err(DeltaError::InvalidOp);
         }
         let old = match delta.base {
-            Some(index) => &base.get(index as usize).ok_or(DeltaError::Piece)?.endpoints[..],
+            Some(index) => &base.get(index as usize).ok_or(DeltaError::InvalidOp)?.endpoints[..],
             None => &[],
         };
-        Ok(Service { endpoints: assemble(old, delta.endpoints)?, ..delta.settings })
+        Ok(Service { endpoints: apply_ops(old, delta.endpoints)?, ..delta.settings })
     })
 }
 
-fn assemble_with<T: Clone, P>(
+fn apply_ops_with<T: Clone, P>(
     base: &[T],
-    pieces: Vec<Piece<P>>,
+    ops: Vec<DeltaOp<P>>,
     mut build: impl FnMut(P) -> Result<T, DeltaError>,
 ) -> Result<Vec<T>, DeltaError> {
     // Names are unique, so no sound delta copies more than the base holds. A
     // damaged one could otherwise ask for endless copies of it.
-    let mut left = base.len();
+    let mut copyable = base.len();
     let mut items = Vec::new();
-    for piece in pieces {
-        match piece {
-            Piece::Copy { from, count } => {
+    for op in ops {
+        match op {
+            DeltaOp::Copy { from, count } => {
                 let (from, count) = (from as usize, count as usize);
-                left = left.checked_sub(count).ok_or(DeltaError::Piece)?;
-                let run = base.get(from..from + count).ok_or(DeltaError::Piece)?;
+                copyable = copyable.checked_sub(count).ok_or(DeltaError::InvalidOp)?;
+                let run = base.get(from..from + count).ok_or(DeltaError::InvalidOp)?;
                 items.extend_from_slice(run);
             }
-            Piece::Insert(new) => {
+            DeltaOp::Insert(new) => {
                 for item in new {
                     items.push(build(item)?);
                 }
--- a/crates/pistachiotrack-core/src/config_sync.rs
+++ b/crates/pistachiotrack-core/src/config_sync.rs
@@ -1,13 +1,13 @@
 //! How a configuration gets to every VM: a few watch the platform, the others
 //! pull from peers, and versions only go up.
 
-mod history;
-mod list_reads;
-mod offers;
-mod packed;
-mod platform;
-mod pull;
-mod serving;
+mod candidates;
+mod delta_log;
+mod list_schedule;
+mod payload;
+mod platform_schedule;
+mod pull_client;
+mod pull_server;
 mod settings;
 mod standby;
 mod store;
@@ -20,15 +20,16 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 pub use self::{
-    list_reads::ListReads, platform::Role, settings::ConfigSyncSettings, wire::MAX_ANSWER_BYTES,
+    list_schedule::ListReadSchedule, platform_schedule::Role, settings::ConfigSyncSettings,
+    wire::MAX_PULL_RESPONSE_BYTES,
 };
 use self::{
-    platform::PlatformSchedule,
-    pull::{PullTimeouts, Pulls},
-    serving::Serving,
-    standby::Ahead,
-    store::{Offer, Store},
-    wire::{Answer, Question},
+    platform_schedule::PlatformSchedule,
+    pull_client::{PullClient, PullTimeouts},
+    pull_server::PullServer,
+    standby::HigherRanked,
+    store::{ConfigCandidate, ConfigStore},
+    wire::{PullRequest, PullResponse},
 };
 use crate::{
     config::{Config, ConfigError, ContentHash},
@@ -61,7 +62,7 @@
         request: Vec<u8>,
     },
     /// A newer configuration is in force.
-    InForce(Arc<Config>),
+    Activate(Arc<Config>),
     /// A published configuration isn't valid; the old one stays in force.
     Rejected(ConfigError),
     /// A value older than the one in force was offered and left aside.
@@ -73,15 +74,15 @@
 
 /// A version that this VM has heard of and doesn't hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Behind {
+pub struct VersionLag {
     /// The version.
     pub version: u64,
     /// Moment at which it was first heard of.
     pub since: Time,
     /// Peers known to hold a newer version than this VM.
-    pub holders: usize,
+    pub holder_count: usize,
     /// Peer that is being asked.
-    pub asking: Option<Name>,
+    pub pulling_from: Option<Name>,
 }
 
 /// The configuration of this VM and where to get a newer one.
@@ -91,24 +92,24 @@
     deployment: Name,
     settings: ConfigSyncSettings,
     rng: Pcg64Mcg,
-    store: Store,
-    platform: PlatformSchedule,
-    pulls: Pulls,
-    serving: Serving,
+    store: ConfigStore,
+    platform_schedule: PlatformSchedule,
+    pull_client: PullClient,
+    pull_server: PullServer,
     rejected: Option<RejectedValue>,
-    listed_vms: Option<usize>,
-    began_unlisted: Option<bool>,
-    first: Option<FirstValue>,
-    peer_heard: bool,
+    listed_vm_count: Option<usize>,
+    started_without_list: Option<bool>,
+    first_value: Option<FirstValue>,
+    has_peer_contact: bool,
     role: Option<Role>,
     /// Oldest version heard of and not held, and when.
-    heard: Option<(u64, Time)>,
+    missing_version: Option<(u64, Time)>,
 }
 
 /// The platform's value at a VM that has none yet and has heard no peer.
 #[derive(Clone, Debug)]
 struct FirstValue {
-    offer: Offer,
+    candidate: ConfigCandidate,
     until: Time,
 }
 
@@ -125,23 +126,23 @@
     /// Creates the spread of one deployment, without a configuration.
     pub fn new(me: Vm, deployment: Name, settings: ConfigSyncSettings, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let platform = PlatformSchedule::new(settings.clone(), &mut rng);
+        let platform_schedule = PlatformSchedule::new(settings.clone(), &mut rng);
         ConfigSync {
             me,
             deployment,
-            serving: Serving::new(settings.answer_bytes_per_second),
+            pull_server: PullServer::new(settings.answer_bytes_per_second),
             settings,
             rng,
-            store: Store::default(),
-            platform,
-            pulls: Pulls::default(),
+            store: ConfigStore::default(),
+            platform_schedule,
+            pull_client: PullClient::default(),
             rejected: None,
-            listed_vms: None,
-            began_unlisted: None,
-            first: None,
-            peer_heard: false,
+            listed_vm_count: None,
+            started_without_list: None,
+            first_value: None,
+            has_peer_contact: false,
             role: None,
-            heard: None,
+            missing_version: None,
         }
     }
 
@@ -149,7 +150,7 @@
     /// first reads of a large fleet are spread before its members have found
     /// each other, and a VM that is alone doesn't wait for peers.
     pub fn on_listed_vms(&mut self, count: usize) {
-        self.listed_vms = Some(count);
+        self.listed_vm_count = Some(count);
     }
 
     /// Does what is due.
@@ -159,35 +160,38 @@
         members: impl Iterator<Item = &'a Member>,
     ) -> Vec<ConfigAction> {
         let mut count = 0;
-        let mut ahead = Ahead::default();
-        let mut alone = true;
+        let mut higher_ranked = HigherRanked::default();
+        let mut is_alone = true;
         let my_score = watch_score(&self.deployment, &self.me);
         for member in members {
             if member.vm.name == self.me.name {
                 continue;
             }
             count += 1;
-            alone &= member.state != MemberState::Alive;
-            self.peer_heard |= member.state != MemberState::Dead && member.config_version.is_some();
-            self.note_member(now, member);
-            if self.is_near(member) && watch_score(&self.deployment, &member.vm) > my_score {
-                ahead.note(member, self.may_watch(member));
+            is_alone &= member.state != MemberState::Alive;
+            self.has_peer_contact |=
+                member.state != MemberState::Dead && member.config_version.is_some();
+            self.update_from_member(now, member);
+            if self.in_same_data_centre(member)
+                && watch_score(&self.deployment, &member.vm) > my_score
+            {
+                higher_ranked.add(member, self.is_watcher_candidate(member));
             }
         }
-        self.pulls.on_tick(now, &mut self.rng);
-        let mut actions = self.release_first(now);
-        actions.extend(self.pull(now));
-        let unlisted = self.listed_vms.is_none();
-        let began_unlisted = *self.began_unlisted.get_or_insert(unlisted);
-        let role = match alone {
-            true if began_unlisted && self.listed_vms != Some(1) => Role::Unlisted,
+        self.pull_client.on_tick(now, &mut self.rng);
+        let mut actions = self.activate_first_value(now);
+        actions.extend(self.start_pull(now));
+        let unlisted = self.listed_vm_count.is_none();
+        let started_without_list = *self.started_without_list.get_or_insert(unlisted);
+        let role = match is_alone {
+            true if started_without_list && self.listed_vm_count != Some(1) => Role::Unlisted,
             true => Role::Alone,
-            false => self.role(now, &ahead),
+            false => self.determine_role(now, &higher_ranked),
         };
         self.role = Some(role);
-        let fleet_vms = self.fleet_vms(count);
-        if self.platform.begin(now, role, fleet_vms, &mut self.rng) {
-            let after = self.watch_after(now);
+        let fleet_size = self.fleet_size(count);
+        if self.platform_schedule.start_call(now, role, fleet_size, &mut self.rng) {
+            let after = self.newest_known_version(now);
             actions.push(match role {
                 Role::Watcher | Role::Standby | Role::Alone | Role::Unlisted => {
                     ConfigAction::Watch { after }
@@ -203,11 +207,11 @@
     /// Takes the platform's answer to a watch; `None` if nothing newer came.
     pub fn on_platform_value(&mut self, now: Time, value: Option<&[u8]>) -> Vec<ConfigAction> {
         let Some(value) = value else {
-            self.platform.on_answer(now);
-            self.platform.on_nothing_newer();
+            self.platform_schedule.on_response(now);
+            self.platform_schedule.on_unchanged();
             return Vec::new();
         };
-        self.on_newer_answer(now, |sync| sync.take_platform_value(now, value))
+        self.on_newer_value(now, |sync| sync.take_platform_value(now, value))
     }
 
     /// Takes a configuration that this VM made of what it read on the platform.
@@ -218,80 +222,80 @@
     /// The guard holds because it never becomes a value: only what VMs pass on to each
     /// other has a limit, which no value of the platform can exceed.
     pub fn on_platform_config(&mut self, now: Time, config: Config) -> Vec<ConfigAction> {
-        self.on_newer_answer(now, |sync| {
-            let Some(offer) = Offer::whole(config) else { return Vec::new() };
-            let fingerprint = offer.content.hash;
-            match sync.is_rejected(now, fingerprint) {
+        self.on_newer_value(now, |sync| {
+            let Some(candidate) = ConfigCandidate::new(config) else { return Vec::new() };
+            let fingerprint = candidate.summary.hash;
+            match sync.extend_rejection(now, fingerprint) {
                 true => Vec::new(),
-                false => sync.take_platform_offer(now, fingerprint, offer),
+                false => sync.take_platform_candidate(now, fingerprint, candidate),
             }
         })
     }
 
-    fn on_newer_answer(
+    fn on_newer_value(
         &mut self,
         now: Time,
         take: impl FnOnce(&mut Self) -> Vec<ConfigAction>,
     ) -> Vec<ConfigAction> {
-        self.platform.on_answer(now);
-        let held_back = self.first_version();
+        self.platform_schedule.on_response(now);
+        let previous_version = self.first_value_version();
         let actions = take(self);
-        if actions.iter().any(|action| matches!(action, ConfigAction::InForce(_)))
-            || self.first_version() > held_back
+        if actions.iter().any(|action| matches!(action, ConfigAction::Activate(_)))
+            || self.first_value_version() > previous_version
         {
-            self.platform.on_newer(now);
+            self.platform_schedule.on_newer(now);
         } else {
             // A platform that sends an unusable value answers every watch at
             // once; without a wait the same megabyte would come in a loop.
-            self.platform.on_failure(now, &mut self.rng);
+            self.platform_schedule.on_failure(now, &mut self.rng);
         }
         actions
     }
 
     /// Notes that a watch failed.
     pub fn on_platform_error(&mut self, now: Time) {
-        self.platform.on_failure(now, &mut self.rng);
+        self.platform_schedule.on_failure(now, &mut self.rng);
     }
 
     /// Notes the version that a peer reports.
     pub fn on_peer_version(&mut self, now: Time, peer: &Vm, version: u64) -> Vec<ConfigAction> {
-        self.peer_heard = true;
+        self.has_peer_contact = true;
         if Some(version) <= self.version() {
-            self.pulls.forget(&peer.name);
+            self.pull_client.forget(&peer.name);
             return Vec::new();
         }
-        self.pulls.hear(now, peer, version, &mut self.rng);
-        self.note_heard(now, version);
-        let mut actions = self.release_first(now);
-        actions.extend(self.pull(now));
+        self.pull_client.on_announcement(now, peer, version, &mut self.rng);
+        self.record_missing_version(now, version);
+        let mut actions = self.activate_first_value(now);
+        actions.extend(self.start_pull(now));
         actions
     }
 
     /// Takes a peer's answer; `None` if it could not be had.
-    pub fn on_peer_answer(
+    pub fn on_pull_response(
         &mut self,
         now: Time,
         peer: &Name,
-        answer: Option<&[u8]>,
+        response: Option<&[u8]>,
     ) -> Vec<ConfigAction> {
-        self.pulls.on_end(peer);
-        if answer.is_none() {
-            self.pulls.mark_silent(peer);
+        self.pull_client.on_finished(peer);
+        if response.is_none() {
+            self.pull_client.mark_unresponsive(peer);
         }
-        let answer = answer.and_then(decode_answer);
-        if let Some(Answer::Elsewhere { version, holders }) = answer {
-            self.pulls.on_put_off(now, peer, version, &holders, &mut self.rng);
-            return self.pull(now);
+        let response = response.and_then(decode_response);
+        if let Some(PullResponse::Redirect { version, holders }) = response {
+            self.pull_client.on_redirect(now, peer, version, &holders, &mut self.rng);
+            return self.start_pull(now);
         }
-        let offer = answer.and_then(|answer| self.open(answer));
-        let mut actions = match offer {
-            Some(offer) => self.take_peer_offer(now, peer, offer),
+        let candidate = response.and_then(|response| self.candidate_from_response(response));
+        let mut actions = match candidate {
+            Some(candidate) => self.take_peer_candidate(now, peer, candidate),
             None => {
-                self.pulls.pause_peer(now, peer, &mut self.rng);
+                self.pull_client.back_off_unusable(now, peer, &mut self.rng);
                 Vec::new()
             }
         };
-        actions.extend(self.pull(now));
+        actions.extend(self.start_pull(now));
         actions
     }
 
@@ -306,8 +310,8 @@
     }
 
     /// Returns the content hash of the configuration in force.
-    pub fn content(&self) -> Option<ContentHash> {
-        self.store.held().map(|(_, content)| content)
+    pub fn content_hash(&self) -> Option<ContentHash> {
+        self.store.active_version().map(|(_, hash)| hash)
     }
 
     /// Returns why the newest published value isn't in force, if it isn't.
@@ -317,114 +321,115 @@
 
     /// Returns the time since the platform last answered this VM, or `None` if
     /// it never has; VMs that don't watch ask it rarely.
-    pub fn platform_silent_for(&self, now: Time) -> Option<Duration> {
-        self.platform.silent_for(now)
+    pub fn time_since_platform_response(&self, now: Time) -> Option<Duration> {
+        self.platform_schedule.time_since_response(now)
     }
 
     /// Returns why this VM reads the platform; `None` before the first tick.
-    pub fn role_now(&self) -> Option<Role> {
+    pub fn role(&self) -> Option<Role> {
         self.role
     }
 
     /// Returns the oldest version that this VM has heard of and doesn't hold.
-    pub fn behind(&self) -> Option<Behind> {
-        let (version, since) = self.heard?;
-        let (holders, asking) = (self.pulls.holders(), self.pulls.asking().cloned());
-        Some(Behind { version, since, holders, asking })
+    pub fn version_lag(&self) -> Option<VersionLag> {
+        let (version, since) = self.missing_version?;
+        let (holder_count, pulling_from) =
+            (self.pull_client.holder_count(), self.pull_client.current_peer().cloned());
+        Some(VersionLag { version, since, holder_count, pulling_from })
     }
 
-    fn role(&self, now: Time, ahead: &Ahead) -> Role {
-        if ahead.alive < self.watchers() {
+    fn determine_role(&self, now: Time, higher_ranked: &HigherRanked) -> Role {
+        if higher_ranked.alive_count < self.watcher_count() {
             return Role::Watcher;
         }
         if self.store.config().is_none() {
             return Role::Cold;
         }
-        if self.stands_in(now, ahead) { Role::Standby } else { Role::Follower }
+        if self.reads_as_standby(now, higher_ranked) { Role::Standby } else { Role::Follower }
     }
 
-    fn watchers(&self) -> u32 {
+    fn watcher_count(&self) -> u32 {
         self.settings.watchers_per_data_centre.max(1)
     }
 
-    fn is_near(&self, member: &Member) -> bool {
+    fn in_same_data_centre(&self, member: &Member) -> bool {
         member.vm.data_centre == self.me.data_centre
     }
 
-    fn may_watch(&self, member: &Member) -> bool {
-        member.state == MemberState::Alive && self.is_near(member)
+    fn is_watcher_candidate(&self, member: &Member) -> bool {
+        member.state == MemberState::Alive && self.in_same_data_centre(member)
     }
 
-    fn fleet_vms(&self, members: usize) -> usize {
-        match self.listed_vms {
+    fn fleet_size(&self, members: usize) -> usize {
+        match self.listed_vm_count {
             Some(listed) => listed.max(members + 1),
             None => (members + 1).max(self.settings.assumed_fleet_vms as usize),
         }
     }
 
-    fn watch_after(&self, now: Time) -> Option<u64> {
-        let held_back = self.rejected.as_ref().filter(|rejected| now < rejected.hold_until);
-        let rejected = held_back.and_then(|rejected| rejected.version);
-        self.version().max(rejected).max(self.first_version())
+    fn newest_known_version(&self, now: Time) -> Option<u64> {
+        let held_rejection = self.rejected.as_ref().filter(|rejected| now < rejected.hold_until);
+        let rejected = held_rejection.and_then(|rejected| rejected.version);
+        self.version().max(rejected).max(self.first_value_version())
     }
 
     /// Notes since when a newer version than the one held has been heard of.
-    fn note_heard(&mut self, now: Time, version: u64) {
-        let first = self.heard.get_or_insert((version, now));
+    fn record_missing_version(&mut self, now: Time, version: u64) {
+        let first = self.missing_version.get_or_insert((version, now));
         first.0 = first.0.min(version);
     }
 
-    fn note_member(&mut self, now: Time, member: &Member) {
+    fn update_from_member(&mut self, now: Time, member: &Member) {
         match (member.state, member.config_version) {
-            (MemberState::Dead, _) => self.pulls.forget(&member.vm.name),
+            (MemberState::Dead, _) => self.pull_client.forget(&member.vm.name),
             (MemberState::Alive | MemberState::Leaving, Some(version))
                 if Some(version) > self.version() =>
             {
-                self.pulls.note(now, &member.vm, version);
-                self.note_heard(now, version);
+                self.pull_client.record_holder(now, &member.vm, version);
+                self.record_missing_version(now, version);
             }
             _ => {}
         }
     }
 
-    fn pull(&mut self, now: Time) -> Vec<ConfigAction> {
-        self.pulls.whole |= self.version().is_none();
+    fn start_pull(&mut self, now: Time) -> Vec<ConfigAction> {
+        self.pull_client.wants_full |= self.version().is_none();
         let timeouts = PullTimeouts {
-            early: Duration::from_millis(self.settings.delta_timeout_ms),
-            late: Duration::from_millis(self.settings.pull_timeout_ms),
+            delta: Duration::from_millis(self.settings.delta_timeout_ms),
+            full: Duration::from_millis(self.settings.pull_timeout_ms),
         };
-        let near = &self.me.data_centre;
-        let Some(vm) = self.pulls.begin(now, near, timeouts, &mut self.rng) else {
+        let data_centre = &self.me.data_centre;
+        let Some(vm) = self.pull_client.start(now, data_centre, timeouts, &mut self.rng) else {
             return Vec::new();
         };
-        let question = Question {
+        let pull = PullRequest {
             deployment: self.deployment.clone(),
-            asker: self.me.clone(),
-            held: self.store.held().filter(|_| !self.pulls.whole),
+            requester: self.me.clone(),
+            base: self.store.active_version().filter(|_| !self.pull_client.wants_full),
             newer_than: self.version(),
         };
-        match postcard::to_stdvec(&question) {
+        match postcard::to_stdvec(&pull) {
             Ok(request) => vec![ConfigAction::Pull { vm, request }],
             Err(_) => {
-                self.pulls.on_end(&vm.name);
+                self.pull_client.on_finished(&vm.name);
                 Vec::new()
             }
         }
     }
 
     /// Turns a peer's answer into a configuration, or notes why it can't.
-    fn open(&mut self, answer: Answer) -> Option<Offer> {
-        match answer {
-            Answer::Nothing | Answer::Elsewhere { .. } => None,
-            Answer::Whole { content: hash, config } => {
-                Offer::open(&config).filter(|offer| offer.content.hash == hash)
+    fn candidate_from_response(&mut self, response: PullResponse) -> Option<ConfigCandidate> {
+        match response {
+            PullResponse::NoUpdate | PullResponse::Redirect { .. } => None,
+            PullResponse::Full { hash, payload } => {
+                ConfigCandidate::decode(&payload).filter(|candidate| candidate.summary.hash == hash)
             }
-            Answer::Deltas(encoded) => {
-                let offer = self.store.open_deltas(encoded);
+            PullResponse::Deltas(payloads) => {
+                let candidate = self.store.apply_deltas(payloads);
                 // The base differs from the peer's although the version is the
                 // same, or the delta is damaged: only the whole value helps.
-                self.pulls.whole = offer.is_none();
-                offer
+                self.pull_client.wants_full = candidate.is_none();
+                candidate
             }
         }
     }
@@ -436,10 +441,10 @@
     xxh3_64_with_seed(vm.name.as_bytes(), seed)
 }
 
-fn decode_answer(bytes: &[u8]) -> Option<Answer> {
-    if bytes.len() > MAX_ANSWER_BYTES {
+fn decode_response(bytes: &[u8]) -> Option<PullResponse> {
+    if bytes.len() > MAX_PULL_RESPONSE_BYTES {
         return None;
     }
-    let (answer, rest) = postcard::take_from_bytes(bytes).ok()?;
-    rest.is_empty().then_some(answer)
+    let (response, rest) = postcard::take_from_bytes(bytes).ok()?;
+    rest.is_empty().then_some(response)
 }
--- a/crates/pistachiotrack-core/src/config_sync/offers.rs
+++ b/crates/pistachiotrack-core/src/config_sync/candidates.rs
@@ -5,7 +5,7 @@
 
 use super::{
     ConfigAction, ConfigSync, FirstValue, RejectedValue,
-    store::{Offer, Verdict},
+    store::{ConfigCandidate, VersionComparison},
 };
 use crate::{
     config::{Config, ConfigError, ContentHash, MAX_ENCODED_BYTES},
@@ -14,31 +14,31 @@
 };
 
 impl ConfigSync {
-    pub(super) fn take_peer_offer(
+    pub(super) fn take_peer_candidate(
         &mut self,
         now: Time,
         peer: &Name,
-        offer: Offer,
+        candidate: ConfigCandidate,
     ) -> Vec<ConfigAction> {
         let source = format!("peer {peer}");
-        let (version, fingerprint) = (offer.config.version, offer.content.hash);
-        if let Some(error) = self.problem(&source, &offer) {
-            self.pulls.pause_peer(now, peer, &mut self.rng);
-            self.pulls.refuse_version(now, version);
+        let (version, fingerprint) = (candidate.config.version, candidate.summary.hash);
+        if let Some(error) = self.validate(&source, &candidate) {
+            self.pull_client.back_off_unusable(now, peer, &mut self.rng);
+            self.pull_client.back_off_version(now, version);
             return self.reject(now, Some(version), fingerprint, error);
         }
-        let actions = self.compare(now, &source, offer);
-        if actions.iter().any(|action| matches!(action, ConfigAction::InForce(_))) {
-            self.platform.on_peer_change(now);
+        let actions = self.apply_candidate(now, &source, candidate);
+        if actions.iter().any(|action| matches!(action, ConfigAction::Activate(_))) {
+            self.platform_schedule.on_peer_version(now);
         } else {
-            self.pulls.pause_peer(now, peer, &mut self.rng);
+            self.pull_client.back_off_unusable(now, peer, &mut self.rng);
         }
         actions
     }
 
     pub(super) fn take_platform_value(&mut self, now: Time, value: &[u8]) -> Vec<ConfigAction> {
         let fingerprint = ContentHash::of_bytes(value);
-        if self.is_rejected(now, fingerprint) {
+        if self.extend_rejection(now, fingerprint) {
             return Vec::new();
         }
         let parsed = Config::parse("platform", value);
@@ -46,38 +46,38 @@
             Ok(config) => config,
             Err(error) => return self.reject(now, version_of(value), fingerprint, error),
         };
-        let Some(offer) = Offer::whole(config) else { return Vec::new() };
-        self.take_platform_offer(now, fingerprint, offer)
+        let Some(candidate) = ConfigCandidate::new(config) else { return Vec::new() };
+        self.take_platform_candidate(now, fingerprint, candidate)
     }
 
     /// Returns whether this was rejected before; if so, it isn't read again for a while.
-    pub(super) fn is_rejected(&mut self, now: Time, fingerprint: ContentHash) -> bool {
+    pub(super) fn extend_rejection(&mut self, now: Time, fingerprint: ContentHash) -> bool {
         let known = self.rejected.as_mut().filter(|known| known.fingerprint == fingerprint);
         let Some(known) = known else { return false };
         known.hold_until = now + Duration::from_millis(self.settings.rejected_hold_ms);
         true
     }
 
-    pub(super) fn take_platform_offer(
+    pub(super) fn take_platform_candidate(
         &mut self,
         now: Time,
         fingerprint: ContentHash,
-        offer: Offer,
+        candidate: ConfigCandidate,
     ) -> Vec<ConfigAction> {
-        if let Some(error) = self.problem("platform", &offer) {
-            return self.reject(now, Some(offer.config.version), fingerprint, error);
+        if let Some(error) = self.validate("platform", &candidate) {
+            return self.reject(now, Some(candidate.config.version), fingerprint, error);
         }
         if self.version().is_some() {
-            return self.compare(now, "platform", offer);
+            return self.apply_candidate(now, "platform", candidate);
         }
         let grace = Duration::from_millis(self.settings.first_value_grace_ms);
-        let until = self.first.as_ref().map_or(now + grace, |first| first.until);
-        self.first = Some(FirstValue { offer, until });
-        self.release_first(now)
+        let until = self.first_value.as_ref().map_or(now + grace, |first| first.until);
+        self.first_value = Some(FirstValue { candidate, until });
+        self.activate_first_value(now)
     }
 
-    pub(super) fn first_version(&self) -> Option<u64> {
-        self.first.as_ref().map(|first| first.offer.config.version)
+    pub(super) fn first_value_version(&self) -> Option<u64> {
+        self.first_value.as_ref().map(|first| first.candidate.config.version)
     }
 
     /// Puts the platform's first value in force unless a peer has a newer one.
@@ -87,29 +87,34 @@
     /// has left. It shows as one VM at an older version than all others. The
     /// guard holds because the value waits until a peer's version is heard, the
     /// list shows nobody else, or the grace is over.
-    pub(super) fn release_first(&mut self, now: Time) -> Vec<ConfigAction> {
-        let alone = self.listed_vms.is_some_and(|listed| listed <= 1);
-        let may_go = |first: &mut FirstValue| self.peer_heard || alone || now >= first.until;
-        let Some(first) = self.first.take_if(may_go) else { return Vec::new() };
-        let offered = first.offer.config.version;
-        if self.version().is_none() && self.pulls.newest(now) > Some(offered) {
+    pub(super) fn activate_first_value(&mut self, now: Time) -> Vec<ConfigAction> {
+        let is_alone = self.listed_vm_count.is_some_and(|listed| listed <= 1);
+        let is_released =
+            |first: &mut FirstValue| self.has_peer_contact || is_alone || now >= first.until;
+        let Some(first) = self.first_value.take_if(is_released) else { return Vec::new() };
+        let offered = first.candidate.config.version;
+        if self.version().is_none() && self.pull_client.newest_available(now) > Some(offered) {
             let mut actions = vec![ConfigAction::Stale { offered }];
-            actions.extend(self.pull(now));
+            actions.extend(self.start_pull(now));
             return actions;
         }
-        self.compare(now, "platform", first.offer)
+        self.apply_candidate(now, "platform", first.candidate)
     }
 
-    pub(super) fn problem(&self, source: &str, offer: &Offer) -> Option<ConfigError> {
-        let config = &offer.config;
+    pub(super) fn validate(
+        &self,
+        source: &str,
+        candidate: &ConfigCandidate,
+    ) -> Option<ConfigError> {
+        let config = &candidate.config;
         // In force here and too long for the others, it would never reach them.
-        if offer.content.encoded_bytes > MAX_ENCODED_BYTES {
+        if candidate.summary.encoded_bytes > MAX_ENCODED_BYTES {
             return Some(ConfigError {
                 file: Name::from(source),
                 field: "configuration".to_owned(),
                 problem: format!(
                     "{} bytes long once encoded; at most {MAX_ENCODED_BYTES} are passed on",
-                    offer.content.encoded_bytes
+                    candidate.summary.encoded_bytes
                 ),
             });
         }
@@ -124,35 +129,40 @@
         config.check(source).into_iter().next()
     }
 
-    pub(super) fn compare(&mut self, now: Time, source: &str, offer: Offer) -> Vec<ConfigAction> {
-        let version = offer.config.version;
-        match self.store.verdict(&offer) {
-            Verdict::Newer => self.accept(offer),
-            Verdict::Same => Vec::new(),
-            Verdict::Older => vec![ConfigAction::Stale { offered: version }],
-            Verdict::Conflict => {
+    pub(super) fn apply_candidate(
+        &mut self,
+        now: Time,
+        source: &str,
+        candidate: ConfigCandidate,
+    ) -> Vec<ConfigAction> {
+        let version = candidate.config.version;
+        match self.store.compare(&candidate) {
+            VersionComparison::Newer => self.activate(candidate),
+            VersionComparison::Same => Vec::new(),
+            VersionComparison::Older => vec![ConfigAction::Stale { offered: version }],
+            VersionComparison::Conflict => {
                 let error = ConfigError {
                     file: Name::from(source),
                     field: "version".to_owned(),
                     problem: format!("{version} is in force with another content"),
                 };
-                self.reject(now, Some(version), offer.content.hash, error)
+                self.reject(now, Some(version), candidate.summary.hash, error)
             }
         }
     }
 
-    pub(super) fn accept(&mut self, offer: Offer) -> Vec<ConfigAction> {
-        let config = self.store.accept(offer);
-        let overtakes = |rejected: &RejectedValue| {
+    pub(super) fn activate(&mut self, candidate: ConfigCandidate) -> Vec<ConfigAction> {
+        let config = self.store.activate(candidate);
+        let supersedes = |rejected: &RejectedValue| {
             rejected.version.is_none_or(|version| config.version > version)
         };
-        if self.rejected.as_ref().is_some_and(overtakes) {
+        if self.rejected.as_ref().is_some_and(supersedes) {
             self.rejected = None;
         }
-        self.pulls.on_held(config.version);
-        self.heard.take_if(|(version, _)| *version <= config.version);
-        self.serving.on_newer();
-        vec![ConfigAction::InForce(config)]
+        self.pull_client.on_activated(config.version);
+        self.missing_version.take_if(|(version, _)| *version <= config.version);
+        self.pull_server.on_activated();
+        vec![ConfigAction::Activate(config)]
     }
 
     pub(super) fn reject(
--- a/crates/pistachiotrack-core/src/config_sync/packed.rs
+++ b/crates/pistachiotrack-core/src/config_sync/payload.rs
@@ -19,38 +19,38 @@
 /// Rules repeat the names of hosts and services, so that many new ones are a fraction as
 /// long once compressed, which matters on the link of a VM that all others ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) enum Packed {
+pub(super) enum Payload {
     /// The value as it is.
     Plain(Vec<u8>),
     /// The value as a raw deflate stream; whoever opens it compares the content.
     Deflated(Vec<u8>),
 }
 
-impl Packed {
+impl Payload {
     /// Packs an encoded value.
-    pub(super) fn new(bytes: Vec<u8>) -> Packed {
+    pub(super) fn new(bytes: Vec<u8>) -> Payload {
         if bytes.len() < COMPRESS_FROM_BYTES {
-            return Packed::Plain(bytes);
+            return Payload::Plain(bytes);
         }
         match deflate(&bytes) {
-            Ok(deflated) if deflated.len() < bytes.len() => Packed::Deflated(deflated),
+            Ok(compressed) if compressed.len() < bytes.len() => Payload::Deflated(compressed),
             // Random bytes grow; writing to memory doesn't fail.
-            _ => Packed::Plain(bytes),
+            _ => Payload::Plain(bytes),
         }
     }
 
     /// Returns the encoded value, or `None` if the stream is damaged or longer than
     /// any sound value.
-    pub(super) fn open(&self) -> Option<Cow<'_, [u8]>> {
+    pub(super) fn decode(&self) -> Option<Cow<'_, [u8]>> {
         match self {
-            Packed::Plain(bytes) => Some(Cow::Borrowed(bytes)),
-            Packed::Deflated(deflated) => inflate(deflated).map(Cow::Owned),
+            Payload::Plain(bytes) => Some(Cow::Borrowed(bytes)),
+            Payload::Deflated(compressed) => inflate(compressed).map(Cow::Owned),
         }
     }
 
     /// Returns the number of bytes that go over the network.
     pub(super) fn len(&self) -> usize {
-        let (Packed::Plain(bytes) | Packed::Deflated(bytes)) = self;
+        let (Payload::Plain(bytes) | Payload::Deflated(bytes)) = self;
         bytes.len()
     }
 }
@@ -63,9 +63,9 @@
 
 /// A few bytes of deflate can stand for gigabytes, so that no more is read than the
 /// largest configuration takes.
-fn inflate(deflated: &[u8]) -> Option<Vec<u8>> {
+fn inflate(compressed: &[u8]) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     let limit = MAX_ENCODED_BYTES as u64 + 1;
-    DeflateDecoder::new(deflated).take(limit).read_to_end(&mut bytes).ok()?;
+    DeflateDecoder::new(compressed).take(limit).read_to_end(&mut bytes).ok()?;
     (bytes.len() <= MAX_ENCODED_BYTES).then_some(bytes)
 }
--- a/crates/pistachiotrack-core/src/config_sync/store.rs
+++ b/crates/pistachiotrack-core/src/config_sync/store.rs
@@ -3,25 +3,25 @@
 use std::{cell::OnceCell, cmp::Ordering, sync::Arc};
 
 use crate::{
-    config::{Config, Content, ContentHash, Delta},
+    config::{Config, ContentHash, ContentSummary, Delta},
     config_sync::{
-        history::{History, Step},
-        packed::Packed,
-        wire::{AnswerRef, Question},
+        delta_log::{DeltaLog, EncodedDelta},
+        payload::Payload,
+        wire::{PullRequest, PullResponseRef},
     },
 };
 
 /// A checked configuration that was offered.
 #[derive(Clone, Debug)]
-pub(super) struct Offer {
+pub(super) struct ConfigCandidate {
     pub(super) config: Config,
-    pub(super) content: Content,
+    pub(super) summary: ContentSummary,
     /// The deltas that it came by, to be passed on as they are.
-    steps: Vec<Step>,
+    encoded_deltas: Vec<EncodedDelta>,
 }
 
 /// How an offer compares with the configuration in force.
-pub(super) enum Verdict {
+pub(super) enum VersionComparison {
     Newer,
     Same,
     Older,
@@ -31,107 +31,116 @@
 
 /// The configuration in force with its latest deltas.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Store {
-    held: Option<Held>,
-    history: History,
+pub(super) struct ConfigStore {
+    active: Option<ActiveConfig>,
+    delta_log: DeltaLog,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct ActiveConfig {
     config: Arc<Config>,
-    content: Content,
+    summary: ContentSummary,
     /// The whole for peers, once one has asked for it.
-    whole: OnceCell<Option<Packed>>,
+    encoded: OnceCell<Option<Payload>>,
 }
 
-impl Held {
-    fn whole(&self) -> Option<&Packed> {
-        let pack = || postcard::to_stdvec(&*self.config).ok().map(Packed::new);
-        self.whole.get_or_init(pack).as_ref()
+impl ActiveConfig {
+    fn encoded(&self) -> Option<&Payload> {
+        let encode = || postcard::to_stdvec(&*self.config).ok().map(Payload::new);
+        self.encoded.get_or_init(encode).as_ref()
     }
 }
 
-impl Offer {
+impl ConfigCandidate {
     /// Offers a configuration that came as a whole.
-    pub(super) fn whole(config: Config) -> Option<Offer> {
-        let content = Content::of(&config).ok()?;
-        Some(Offer { config, content, steps: Vec::new() })
+    pub(super) fn new(config: Config) -> Option<ConfigCandidate> {
+        let summary = ContentSummary::of(&config).ok()?;
+        Some(ConfigCandidate { config, summary, encoded_deltas: Vec::new() })
     }
 
     /// Opens a whole configuration that a peer has encoded.
-    pub(super) fn open(packed: &Packed) -> Option<Offer> {
-        Offer::whole(postcard::from_bytes(&packed.open()?).ok()?)
+    pub(super) fn decode(payload: &Payload) -> Option<ConfigCandidate> {
+        ConfigCandidate::new(postcard::from_bytes(&payload.decode()?).ok()?)
     }
 }
 
-impl Store {
+impl ConfigStore {
     pub(super) fn config(&self) -> Option<&Arc<Config>> {
-        self.held.as_ref().map(|held| &held.config)
+        self.active.as_ref().map(|active| &active.config)
     }
 
     /// Returns version and content in force.
-    pub(super) fn held(&self) -> Option<(u64, ContentHash)> {
-        self.held.as_ref().map(|held| (held.config.version, held.content.hash))
+    pub(super) fn active_version(&self) -> Option<(u64, ContentHash)> {
+        self.active.as_ref().map(|active| (active.config.version, active.summary.hash))
     }
 
     /// Answers a peer of the same deployment.
-    pub(super) fn answer(&self, question: &Question) -> AnswerRef<'_> {
-        let newer = |held: &&Held| Some(held.config.version) > question.newer_than;
-        let Some(held) = self.held.as_ref().filter(newer) else { return AnswerRef::Nothing };
-        let deltas = question.held.and_then(|(version, hash)| self.history.since(version, hash));
+    pub(super) fn respond(&self, request: &PullRequest) -> PullResponseRef<'_> {
+        let newer = |active: &&ActiveConfig| Some(active.config.version) > request.newer_than;
+        let Some(active) = self.active.as_ref().filter(newer) else {
+            return PullResponseRef::NoUpdate;
+        };
+        let deltas = request.base.and_then(|(version, hash)| self.delta_log.since(version, hash));
         if let Some(deltas) = deltas
-            && total_bytes(&deltas) < held.content.encoded_bytes
+            && total_bytes(&deltas) < active.summary.encoded_bytes
         {
-            return AnswerRef::Deltas(deltas);
+            return PullResponseRef::Deltas(deltas);
         }
-        let whole = |config| AnswerRef::Whole { content: held.content.hash, config };
-        held.whole().map_or(AnswerRef::Nothing, whole)
+        let full = |payload| PullResponseRef::Full { hash: active.summary.hash, payload };
+        active.encoded().map_or(PullResponseRef::NoUpdate, full)
     }
 
     /// Applies encoded deltas to the configuration in force, if they fit.
-    pub(super) fn open_deltas(&self, packed: Vec<Packed>) -> Option<Offer> {
-        let held = self.held.as_ref()?;
-        let decode = |packed: &Packed| postcard::from_bytes::<Delta>(&packed.open()?).ok();
-        let deltas: Vec<Delta> = packed.iter().map(decode).collect::<Option<_>>()?;
-        let steps =
-            deltas.iter().zip(packed).map(|(delta, packed)| Step::new(delta, packed)).collect();
-        let (config, content) = Delta::apply_all(deltas, &held.config, held.content.hash).ok()?;
-        Some(Offer { config, content, steps })
+    pub(super) fn apply_deltas(&self, payloads: Vec<Payload>) -> Option<ConfigCandidate> {
+        let active = self.active.as_ref()?;
+        let decode = |payload: &Payload| postcard::from_bytes::<Delta>(&payload.decode()?).ok();
+        let deltas: Vec<Delta> = payloads.iter().map(decode).collect::<Option<_>>()?;
+        let encoded_deltas = deltas
+            .iter()
+            .zip(payloads)
+            .map(|(delta, payload)| EncodedDelta::new(delta, payload))
+            .collect();
+        let (config, summary) =
+            Delta::apply_all(deltas, &active.config, active.summary.hash).ok()?;
+        Some(ConfigCandidate { config, summary, encoded_deltas })
     }
 
     /// Compares an offer with what is in force.
-    pub(super) fn verdict(&self, offer: &Offer) -> Verdict {
-        let Some(held) = &self.held else { return Verdict::Newer };
-        match offer.config.version.cmp(&held.config.version) {
-            Ordering::Greater => Verdict::Newer,
-            Ordering::Less => Verdict::Older,
-            Ordering::Equal if offer.content.hash == held.content.hash => Verdict::Same,
-            Ordering::Equal => Verdict::Conflict,
+    pub(super) fn compare(&self, candidate: &ConfigCandidate) -> VersionComparison {
+        let Some(active) = &self.active else { return VersionComparison::Newer };
+        match candidate.config.version.cmp(&active.config.version) {
+            Ordering::Greater => VersionComparison::Newer,
+            Ordering::Less => VersionComparison::Older,
+            Ordering::Equal if candidate.summary.hash == active.summary.hash => {
+                VersionComparison::Same
+            }
+            Ordering::Equal => VersionComparison::Conflict,
         }
     }
 
     /// Puts an offer in force.
-    pub(super) fn accept(&mut self, offer: Offer) -> Arc<Config> {
-        let Offer { config, content, steps } = offer;
+    pub(super) fn activate(&mut self, candidate: ConfigCandidate) -> Arc<Config> {
+        let ConfigCandidate { config, summary, encoded_deltas } = candidate;
         let config = Arc::new(config);
-        if steps.is_empty() {
-            self.keep_step(&config, content.hash);
+        if encoded_deltas.is_empty() {
+            self.record_delta(&config, summary.hash);
         }
-        steps.into_iter().for_each(|step| self.history.push(step));
-        self.held = Some(Held { config: Arc::clone(&config), content, whole: OnceCell::new() });
+        encoded_deltas.into_iter().for_each(|delta| self.delta_log.push(delta));
+        self.active =
+            Some(ActiveConfig { config: Arc::clone(&config), summary, encoded: OnceCell::new() });
         config
     }
 
-    fn keep_step(&mut self, config: &Config, hash: ContentHash) {
-        let Some(held) = &self.held else { return };
-        let delta = Delta::between(&held.config, held.content.hash, config, hash);
+    fn record_delta(&mut self, config: &Config, hash: ContentHash) {
+        let Some(active) = &self.active else { return };
+        let delta = Delta::between(&active.config, active.summary.hash, config, hash);
         match postcard::to_stdvec(&delta) {
-            Ok(bytes) => self.history.push(Step::new(&delta, Packed::new(bytes))),
-            Err(_) => self.history.clear(),
+            Ok(bytes) => self.delta_log.push(EncodedDelta::new(&delta, Payload::new(bytes))),
+            Err(_) => self.delta_log.clear(),
         }
     }
 }
 
-fn total_bytes(deltas: &[&Packed]) -> usize {
+fn total_bytes(deltas: &[&Payload]) -> usize {
     deltas.iter().map(|delta| delta.len()).sum()
 }
--- a/crates/pistachiotrack-core/src/rule/index.rs
+++ b/crates/pistachiotrack-core/src/rule/index.rs
@@ -54,7 +54,8 @@
 #[derive(Clone, Debug)]
 struct MaskGroup {
     mask: u8,
-    first_rule: u32,
+    /// Position of the first rule.
+    first: u32,
     buckets: FxHashMap<u64, Bucket>,
 }
 
@@ -77,7 +78,7 @@
         for bucket in keys.chunk_by(|left, right| (left.0, left.1) == (right.0, right.1)) {
             index.push_bucket(rules, bucket);
         }
-        index.groups.sort_by_key(|group| group.first_rule);
+        index.groups.sort_by_key(|group| group.first);
         index
     }
 
@@ -92,7 +93,7 @@
         let values = LookupHashes::new(self, lookup);
         let mut best = end;
         for group in &self.groups {
-            if group.first_rule as usize >= best {
+            if group.first as usize >= best {
                 break;
             }
             let Some(base_key) = values.single_value_key(group.mask) else { continue };
@@ -173,12 +174,12 @@
             Some(group) if group.mask == mask => group,
             _ => {
                 let buckets = FxHashMap::default();
-                self.groups.push(MaskGroup { mask, first_rule: first, buckets });
+                self.groups.push(MaskGroup { mask, first, buckets });
                 let last = self.groups.len() - 1;
                 &mut self.groups[last]
             }
         };
-        group.first_rule = group.first_rule.min(first);
+        group.first = group.first.min(first);
         group.buckets.insert(key, bucket);
     }
 }
--- a/crates/pistachiotrack-core/tests/config_delta.rs
+++ b/crates/pistachiotrack-core/tests/config_delta.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use config_support::{Sizes, config, endpoint, name};
-use pistachiotrack_core::config::{Config, Content, ContentHash, Delta, DeltaError};
+use pistachiotrack_core::config::{Config, ContentHash, ContentSummary, Delta, DeltaError};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const SIZES: Sizes = Sizes { data_centres: 2, services: 4, endpoints: 12, customers: 6, rules: 8 };
@@ -113,7 +113,7 @@
 }
 
 fn hash(config: &Config) -> ContentHash {
-    Content::of(config).unwrap().hash
+    ContentSummary::of(config).unwrap().hash
 }
 
 fn delta(base: &Config, new: &Config) -> Delta {
@@ -155,7 +155,7 @@
             encoded.truncate(keep as usize % encoded.len());
         }
         let Ok(damaged) = postcard::from_bytes::<Delta>(&encoded) else { return true };
-        let told = damaged.result;
+        let told = damaged.result_hash;
         match Delta::apply_all(vec![damaged], &base, hash(&base)) {
             Ok((result, content)) => content.hash == told && hash(&result) == told,
             Err(_) => true,
@@ -188,7 +188,7 @@
     let mut other = base.clone();
     other.entry_lifetime_ms += 1;
     let result = Delta::apply_all(vec![delta(&base, &new)], &Arc::new(other.clone()), hash(&other));
-    assert_eq!(result.map(|_| ()), Err(DeltaError::OtherBase));
+    assert_eq!(result.map(|_| ()), Err(DeltaError::BaseMismatch));
 }
 
 /// One endpoint of a large service changes. The delta spells out that endpoint
--- a/crates/pistachiotrack-core/tests/config_first_value.rs
+++ b/crates/pistachiotrack-core/tests/config_first_value.rs
@@ -33,7 +33,7 @@
 
 fn in_force(actions: &[ConfigAction]) -> Option<u64> {
     actions.iter().find_map(|action| match action {
-        ConfigAction::InForce(config) => Some(config.version),
+        ConfigAction::Activate(config) => Some(config.version),
         _ => None,
     })
 }
@@ -60,9 +60,9 @@
         ConfigAction::Pull { request, .. } => Some(request),
         _ => None,
     });
-    let answer = holder.answer(NOW, pull.expect("a pull")).unwrap();
+    let answer = holder.handle_pull(NOW, pull.expect("a pull")).unwrap();
     let later = NOW + Duration::from_millis(310);
-    let actions = node.on_peer_answer(later, &vm(1, 3).name, Some(&answer));
+    let actions = node.on_pull_response(later, &vm(1, 3).name, Some(&answer));
     assert_eq!(in_force(&actions), Some(5));
 }
 
--- a/crates/pistachiotrack-core/tests/config_links.rs
+++ b/crates/pistachiotrack-core/tests/config_links.rs
@@ -55,8 +55,8 @@
     let (mut answered, mut asked_next) = (BTreeSet::new(), BTreeSet::new());
     for index in 2..40 {
         let mut asker = asker(index);
-        let answer = holder.answer(NOW, &question(&mut asker)).unwrap();
-        asker.on_peer_answer(NOW, &vm(1, 3).name, Some(&answer));
+        let answer = holder.handle_pull(NOW, &question(&mut asker)).unwrap();
+        asker.on_pull_response(NOW, &vm(1, 3).name, Some(&answer));
         if asker.version() == Some(2) {
             answered.insert(vm(index, 3).name);
             continue;
@@ -80,14 +80,14 @@
 fn a_cut_compressed_change_does_no_harm() {
     let mut holder = holder(1);
     let mut asker = asker(2);
-    let mut answer = holder.answer(NOW, &question(&mut asker)).unwrap();
+    let mut answer = holder.handle_pull(NOW, &question(&mut asker)).unwrap();
     answer.truncate(answer.len() / 2);
-    asker.on_peer_answer(NOW, &vm(1, 3).name, Some(&answer));
+    asker.on_pull_response(NOW, &vm(1, 3).name, Some(&answer));
     assert_eq!(asker.version(), Some(1));
     let later = NOW + Duration::from_secs(2);
     let question = pull(&asker.on_peer_version(later, &vm(1, 3), 2));
-    let answer = holder.answer(later, &question.expect("another pull")).unwrap();
-    asker.on_peer_answer(later, &vm(1, 3).name, Some(&answer));
+    let answer = holder.handle_pull(later, &question.expect("another pull")).unwrap();
+    asker.on_pull_response(later, &vm(1, 3).name, Some(&answer));
     assert_eq!(asker.version(), Some(2));
 }
 
--- a/crates/pistachiotrack-core/tests/config_made.rs
+++ b/crates/pistachiotrack-core/tests/config_made.rs
@@ -7,8 +7,8 @@
 
 use config_support::{DEPLOYMENT, TODAY, config, json, rule_of_host, vm};
 use pistachiotrack_core::{
-    config::{Config, Content, MAX_ENCODED_BYTES, MAX_VALUE_BYTES},
-    config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, MAX_ANSWER_BYTES},
+    config::{Config, ContentSummary, MAX_ENCODED_BYTES, MAX_VALUE_BYTES},
+    config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, MAX_PULL_RESPONSE_BYTES},
     name::Name,
     time::Time,
 };
@@ -35,10 +35,10 @@
     let version = holder.version().unwrap();
     let actions = asker.on_peer_version(now, &vm(1, 3), version);
     let [ConfigAction::Pull { request, .. }] = &actions[..] else { panic!("{actions:?}") };
-    let answer = holder.answer(now, request).unwrap();
-    let actions = asker.on_peer_answer(now, &vm(1, 3).name, Some(&answer));
-    assert!(actions.iter().any(|action| matches!(action, ConfigAction::InForce(_))));
-    assert_eq!((asker.version(), asker.content()), (Some(version), holder.content()));
+    let answer = holder.handle_pull(now, request).unwrap();
+    let actions = asker.on_pull_response(now, &vm(1, 3).name, Some(&answer));
+    assert!(actions.iter().any(|action| matches!(action, ConfigAction::Activate(_))));
+    assert_eq!((asker.version(), asker.content_hash()), (Some(version), holder.content_hash()));
     answer.len()
 }
 
@@ -74,11 +74,11 @@
         rule.when.path_prefix = Some(Name::from(format!("/{index}/")));
         rule
     }));
-    let encoded_bytes = Content::of(&longest).unwrap().encoded_bytes;
+    let encoded_bytes = ContentSummary::of(&longest).unwrap().encoded_bytes;
     assert!(encoded_bytes <= MAX_ENCODED_BYTES, "{encoded_bytes}");
     let (mut reader, mut newcomer) = (node(1), node(2));
     reader.on_platform_config(NOW, longest);
-    assert!(pull(NOW, &mut newcomer, &mut reader) <= MAX_ANSWER_BYTES);
+    assert!(pull(NOW, &mut newcomer, &mut reader) <= MAX_PULL_RESPONSE_BYTES);
 }
 
 /// A configuration that the others would not take must not come into force on one VM
--- a/crates/pistachiotrack-core/tests/config_pulls.rs
+++ b/crates/pistachiotrack-core/tests/config_pulls.rs
@@ -42,7 +42,7 @@
     node.on_peer_version(NOW, &far, 6);
     let late = NOW + PULL_TIMEOUT;
     assert_eq!(asked(&node.on_tick(late, std::iter::empty())), Some(&far.name));
-    node.on_peer_answer(late, &far.name, Some(&[]));
+    node.on_pull_response(late, &far.name, Some(&[]));
     let later = late + PAUSES;
     assert_eq!(asked(&node.on_tick(later, std::iter::empty())), Some(&far.name));
 }
--- a/crates/pistachiotrack-core/tests/config_support/fleet.rs
+++ b/crates/pistachiotrack-core/tests/config_support/fleet.rs
@@ -315,14 +315,14 @@
                     return;
                 }
                 let answer =
-                    self.nodes[to].sync.answer(self.now, &request).expect("a sound question");
+                    self.nodes[to].sync.handle_pull(self.now, &request).expect("a sound question");
                 let answer = self.damage(answer);
                 let event = Event::Answer { from: self.nodes[to].vm.name.clone(), answer };
                 self.send(to, from, event);
             }
             Event::Answer { from, answer } => {
                 self.nodes[to].pulled_bytes += answer.len() as u64;
-                let actions = self.nodes[to].sync.on_peer_answer(self.now, &from, Some(&answer));
+                let actions = self.nodes[to].sync.on_pull_response(self.now, &from, Some(&answer));
                 self.perform(to, actions);
             }
         }
@@ -369,7 +369,7 @@
                 }
             };
             self.nodes[index].platform_answered = Some(self.now);
-            let is_news = actions.iter().any(|it| matches!(it, ConfigAction::InForce(_)));
+            let is_news = actions.iter().any(|it| matches!(it, ConfigAction::Activate(_)));
             self.perform(index, actions);
             if is_news && self.announces {
                 self.announce(index);
@@ -396,7 +396,7 @@
                     let event = Event::Question { from: index, request };
                     self.send(index, to.expect("a known peer"), event);
                 }
-                ConfigAction::InForce(config) => self.nodes[index].accepted.push(config),
+                ConfigAction::Activate(config) => self.nodes[index].accepted.push(config),
                 ConfigAction::Rejected(_) => self.nodes[index].rejected += 1,
                 ConfigAction::Stale { .. } => {}
             }
--- a/crates/pistachiotrack-core/tests/config_sync.rs
+++ b/crates/pistachiotrack-core/tests/config_sync.rs
@@ -37,7 +37,7 @@
 }
 
 fn in_force(actions: &[ConfigAction]) -> u64 {
-    let [ConfigAction::InForce(config), ..] = actions else { panic!("{actions:?}") };
+    let [ConfigAction::Activate(config), ..] = actions else { panic!("{actions:?}") };
     config.version
 }
 
@@ -157,7 +157,8 @@
     assert!(fleet.all_hold(1));
     assert!(fleet.nodes.iter().all(|node| node.accepted.len() == 1));
     assert!(fleet.nodes.iter().all(|node| node.sync.last_error().is_none()));
-    let silent = fleet.nodes.iter().filter_map(|node| node.sync.platform_silent_for(fleet.now));
+    let silent =
+        fleet.nodes.iter().filter_map(|node| node.sync.time_since_platform_response(fleet.now));
     assert!(silent.max().unwrap() >= 59 * MINUTE);
     let per_second = (fleet.platform.calls - calls) as f64 / 3_600.0;
     assert!(per_second < 6.0 / 2.0 + 48.0 / 60.0, "{per_second}");
@@ -191,8 +192,8 @@
     assert_eq!(actions, [ConfigAction::Stale { offered: 4 }]);
     assert_eq!(newcomer.version(), None);
     let (peer, request) = question(&asked);
-    let answer = holder.answer(NOW, request).unwrap();
-    assert_eq!(in_force(&newcomer.on_peer_answer(NOW, peer, Some(&answer))), 5);
+    let answer = holder.handle_pull(NOW, request).unwrap();
+    assert_eq!(in_force(&newcomer.on_pull_response(NOW, peer, Some(&answer))), 5);
 }
 
 /// An operator publishes a value with a fault. The old one must stay in force,
@@ -289,7 +290,7 @@
     let mut node = node_with(0, 5);
     let asked = node.on_peer_version(NOW, &vm(1, 3), 6);
     let (peer, _) = question(&asked);
-    let actions = node.on_peer_answer(NOW, peer, Some(&answer));
+    let actions = node.on_pull_response(NOW, peer, Some(&answer));
     assert_eq!(rejection(&actions).field, "services[0].sensitivity");
     assert_eq!(actions.len(), 1, "the same version is asked for again at once");
     assert_eq!(node.version(), Some(5));
@@ -303,7 +304,7 @@
 
 /// Encodes a peer's answer with the whole of a value that no sound VM holds.
 fn whole_answer(config: &Config) -> Vec<u8> {
-    let hash = pistachiotrack_core::config::Content::of(config).unwrap().hash;
+    let hash = pistachiotrack_core::config::ContentSummary::of(config).unwrap().hash;
     let encoded = postcard::to_stdvec(config).unwrap();
     postcard::to_stdvec(&(WHOLE, hash, PLAIN, encoded)).unwrap()
 }
@@ -317,18 +318,18 @@
     }
     let asked = near.on_peer_version(NOW, &vm(1, 3), 5);
     let (peer, request) = question(&asked);
-    let small = holder.answer(NOW, request).unwrap();
-    assert_eq!(in_force(&near.on_peer_answer(NOW, peer, Some(&small))), 5);
+    let small = holder.handle_pull(NOW, request).unwrap();
+    assert_eq!(in_force(&near.on_pull_response(NOW, peer, Some(&small))), 5);
 
     for version in 6..=60 {
         holder.on_platform_value(NOW, Some(&json(&config(version, TODAY))));
     }
     let asked = near.on_peer_version(NOW, &vm(1, 3), 60);
     let (peer, request) = question(&asked);
-    let large = holder.answer(NOW, request).unwrap();
-    assert_eq!(in_force(&near.on_peer_answer(NOW, peer, Some(&large))), 60);
+    let large = holder.handle_pull(NOW, request).unwrap();
+    assert_eq!(in_force(&near.on_pull_response(NOW, peer, Some(&large))), 60);
     assert!(small.len() * 3 < large.len(), "{} {}", small.len(), large.len());
-    assert_eq!(near.content(), holder.content());
+    assert_eq!(near.content_hash(), holder.content_hash());
 }
 
 /// Two VMs hold version 5 with different content, and only one gets version 6
@@ -344,8 +345,8 @@
     node.on_platform_value(NOW, Some(&json(&other)));
     let asked = node.on_peer_version(NOW, &vm(1, 3), 6);
     let (peer, request) = question(&asked);
-    let answer = holder.answer(NOW, request).unwrap();
-    assert_eq!(in_force(&node.on_peer_answer(NOW, peer, Some(&answer))), 6);
+    let answer = holder.handle_pull(NOW, request).unwrap();
+    assert_eq!(in_force(&node.on_pull_response(NOW, peer, Some(&answer))), 6);
 }
 
 /// The connection damages a delta. The result must not come into force; the
@@ -357,15 +358,15 @@
     let mut node = node_with(0, 5);
     let asked = node.on_peer_version(NOW, &vm(1, 3), 6);
     let (peer, request) = question(&asked);
-    let mut answer = holder.answer(NOW, request).unwrap();
+    let mut answer = holder.handle_pull(NOW, request).unwrap();
     let last = answer.len() - 1;
     answer[last] ^= 1;
-    let actions = node.on_peer_answer(NOW, peer, Some(&answer));
+    let actions = node.on_pull_response(NOW, peer, Some(&answer));
     let actions = if actions.is_empty() { after_pause(&mut node) } else { actions };
     let (peer, request) = question(&actions);
-    let whole = holder.answer(NOW, request).unwrap();
+    let whole = holder.handle_pull(NOW, request).unwrap();
     assert!(whole.len() > answer.len());
-    assert_eq!(in_force(&node.on_peer_answer(NOW, peer, Some(&whole))), 6);
+    assert_eq!(in_force(&node.on_pull_response(NOW, peer, Some(&whole))), 6);
 }
 
 fn after_pause(node: &mut ConfigSync) -> Vec<ConfigAction> {
@@ -389,22 +390,22 @@
     let pull = second.iter().find(|action| matches!(action, ConfigAction::Pull { .. }));
     let (peer, request) = question(std::slice::from_ref(pull.unwrap()));
     assert_eq!(peer, &vm(2, 3).name);
-    let answer = holder.answer(NOW, request).unwrap();
-    assert_eq!(in_force(&node.on_peer_answer(later, &vm(1, 3).name, Some(&answer))), 6);
-    assert_eq!(node.on_peer_answer(later, &vm(2, 3).name, Some(&answer)), []);
+    let answer = holder.handle_pull(NOW, request).unwrap();
+    assert_eq!(in_force(&node.on_pull_response(later, &vm(1, 3).name, Some(&answer))), 6);
+    assert_eq!(node.on_pull_response(later, &vm(2, 3).name, Some(&answer)), []);
 }
 
 #[test]
 fn a_version_that_peers_hold_and_this_vm_lacks_is_told() {
     let mut node = node_with(0, 5);
-    assert_eq!(node.behind(), None);
+    assert_eq!(node.version_lag(), None);
     node.on_peer_version(NOW, &vm(1, 3), 6);
     node.on_peer_version(NOW + Duration::from_secs(1), &vm(2, 3), 7);
-    let behind = node.behind().unwrap();
-    assert_eq!((behind.version, behind.since, behind.holders), (6, NOW, 2));
-    assert_eq!(behind.asking, Some(vm(1, 3).name));
+    let behind = node.version_lag().unwrap();
+    assert_eq!((behind.version, behind.since, behind.holder_count), (6, NOW, 2));
+    assert_eq!(behind.pulling_from, Some(vm(1, 3).name));
     node.on_platform_value(NOW, Some(&json(&config(7, TODAY))));
-    assert_eq!(node.behind(), None);
+    assert_eq!(node.version_lag(), None);
 }
 
 /// A watch's connection goes silent and its end is never reported. Changes
@@ -436,7 +437,7 @@
     fleet.run_until(MINUTE, |fleet| fleet.all_hold(1)).expect("a first version");
     fleet.run(MINUTE);
     for node in &mut fleet.nodes {
-        let silent = node.sync.platform_silent_for(fleet.now);
+        let silent = node.sync.time_since_platform_response(fleet.now);
         node.cut_from_platform = silent.is_some_and(|silent| silent < MINUTE / 2);
     }
     assert!(fleet.nodes.iter().filter(|node| node.cut_from_platform).count() >= 2);
@@ -480,9 +481,9 @@
 fn questions_and_answers_that_are_noise_do_no_harm() {
     fn property(bytes: Vec<u8>) -> bool {
         let mut node = node_with(0, 5);
-        let _ = node.answer(NOW, &bytes);
+        let _ = node.handle_pull(NOW, &bytes);
         node.on_peer_version(NOW, &vm(1, 3), 6);
-        node.on_peer_answer(NOW, &vm(1, 3).name, Some(&bytes));
+        node.on_pull_response(NOW, &vm(1, 3).name, Some(&bytes));
         node.on_platform_value(NOW, Some(&bytes));
         **node.config().unwrap() == config(5, TODAY)
     }
--- a/crates/pistachiotrack-core/tests/platform_reads.rs
+++ b/crates/pistachiotrack-core/tests/platform_reads.rs
@@ -6,7 +6,7 @@
 
 use config_support::{DEPLOYMENT, TODAY, config, fleet::Fleet, vm};
 use pistachiotrack_core::{
-    config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, ListReads},
+    config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, ListReadSchedule},
     membership::{Member, MemberState},
     name::Name,
     time::Time,
@@ -39,12 +39,12 @@
 const PLATFORM_READS: u32 = 2_000;
 
 /// Returns a VM of one of many deployments, with its schedule of the list.
-fn node_of_many(deployment: u64, index: u32) -> (ConfigSync, ListReads) {
+fn node_of_many(deployment: u64, index: u32) -> (ConfigSync, ListReadSchedule) {
     let settings = ConfigSyncSettings::default();
     let seed = deployment * 1_000 + u64::from(index);
     let name = Name::from(DEPLOYMENT);
     let node = ConfigSync::new(vm(index, 3), name, settings.clone(), seed);
-    (node, ListReads::new(settings, !seed))
+    (node, ListReadSchedule::new(settings, !seed))
 }
 
 /// A power cut ends and 121 deployments of 48 VMs start at the same moment. Each
@@ -59,7 +59,7 @@
     for deployment in 0..DEPLOYMENTS {
         for index in 0..DEPLOYMENT_VMS {
             let (mut node, mut list) = node_of_many(deployment, index);
-            let listed = list.first_wait();
+            let listed = list.first_delay();
             reads_by_second[listed.as_secs() as usize] += 1;
             let first = (0..120).find(|step| {
                 let now = Duration::from_millis(step * 100);
@@ -89,7 +89,7 @@
     for deployment in 0..DEPLOYMENTS {
         for index in 0..DEPLOYMENT_VMS {
             let (mut node, mut list) = node_of_many(deployment, index);
-            let mut at = list.first_wait();
+            let mut at = list.first_delay();
             while let Some(second) = reads_by_second.get_mut(at.as_secs() as usize) {
                 *second += 1;
                 at += list.on_failure();
@@ -113,7 +113,7 @@
 fn a_small_fleet_reads_within_a_second() {
     for seed in 0..500 {
         let settings = ConfigSyncSettings { assumed_fleet_vms: 6, ..ConfigSyncSettings::default() };
-        let listed = ListReads::new(settings.clone(), seed).first_wait();
+        let listed = ListReadSchedule::new(settings.clone(), seed).first_delay();
         assert!(listed < Duration::from_millis(601), "{listed:?}");
         let mut node = ConfigSync::new(vm(0, 3), Name::from(DEPLOYMENT), settings, seed);
         node.on_listed_vms(6);
--- a/crates/pistachiotrack-standins/src/slopes/acceptance.rs
+++ b/crates/pistachiotrack-standins/src/slopes/acceptance.rs
@@ -57,7 +57,7 @@
 
     fn indexed(sync: ConfigSync, actions: Vec<ConfigAction>) -> InForce {
         let config = actions.into_iter().find_map(|action| match action {
-            ConfigAction::InForce(config) => Some(config),
+            ConfigAction::Activate(config) => Some(config),
             _ => None,
         });
         let config = config.expect("the sample is valid and newer");
@@ -75,7 +75,7 @@
     /// Takes a further value as a peer's answer.
     fn next_from_peer(&self, answer: &[u8]) -> InForce {
         let mut sync = self.sync.clone();
-        let actions = sync.on_peer_answer(LATER, &sample::vm(1).name, Some(answer));
+        let actions = sync.on_pull_response(LATER, &sample::vm(1).name, Some(answer));
         InForce::indexed(sync, actions)
     }
 }
@@ -234,5 +234,5 @@
         _ => None,
     });
     let question = question.expect("a VM pulls what is newer");
-    peer.sync.answer(LATER, &question).expect("VMs decode what they encode")
+    peer.sync.handle_pull(LATER, &question).expect("VMs decode what they encode")
 }
--- a/crates/pistachiotrack-standins/src/slopes/fleet.rs
+++ b/crates/pistachiotrack-standins/src/slopes/fleet.rs
@@ -6,7 +6,7 @@
 
 use cpu_time::ThreadTime;
 use pistachiotrack_core::{
-    config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, ListReads},
+    config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, ListReadSchedule},
     membership::{MemberState, Membership, MembershipAction, MembershipSettings},
     name::Name,
     time::Time,
@@ -264,7 +264,7 @@
         let vms = self.settings.vms as u32;
         let settings =
             ConfigSyncSettings { assumed_fleet_vms: vms, ..ConfigSyncSettings::default() };
-        let wait = ListReads::new(settings, self.rng.random()).first_wait();
+        let wait = ListReadSchedule::new(settings, self.rng.random()).first_delay();
         self.send(index, wait, Parcel::ListDue);
     }
 
@@ -338,7 +338,7 @@
             Parcel::Datagram { .. } => unreachable!("datagrams are handed over in batches"),
             Parcel::PullRequest { from, request } => {
                 self.nodes[to].traffic.pull(request.len());
-                let answer = self.nodes[to].sync.answer(self.now, &request).ok();
+                let answer = self.nodes[to].sync.handle_pull(self.now, &request).ok();
                 self.nodes[to].traffic.pull(answer.as_ref().map_or(0, Vec::len));
                 let peer = self.nodes[to].vm.name.clone();
                 self.send(from, LATENCY, Parcel::PullAnswer { peer, answer });
@@ -346,7 +346,7 @@
             Parcel::PullAnswer { peer, answer } => {
                 let node = &mut self.nodes[to];
                 node.traffic.pull(answer.as_ref().map_or(0, Vec::len));
-                let actions = node.sync.on_peer_answer(self.now, &peer, answer.as_deref());
+                let actions = node.sync.on_pull_response(self.now, &peer, answer.as_deref());
                 self.perform_config(to, actions);
             }
             Parcel::ListDue => {
@@ -395,7 +395,7 @@
                 }
                 ConfigAction::Read { after } => self.watch(index, after, 0),
                 ConfigAction::Pull { vm, request } => self.pull(index, &vm, request),
-                ConfigAction::InForce(config) => {
+                ConfigAction::Activate(config) => {
                     self.nodes[index].membership.set_config_version(config.version);
                 }
                 ConfigAction::Rejected(error) => panic!("the sample is valid: {error}"),
--- a/crates/pistachiotrack-standins/tests/slopes.rs
+++ b/crates/pistachiotrack-standins/tests/slopes.rs
@@ -93,6 +93,6 @@
     let mut sync = ConfigSync::new(sample::vm(0), sample::deployment_name(), settings, 1);
     let json = sample::json(&sample::config(scale::deployment()));
     let actions = sync.on_platform_value(Time::from_millis(1), Some(&json));
-    let in_force = |action: &ConfigAction| matches!(action, ConfigAction::InForce(_));
+    let in_force = |action: &ConfigAction| matches!(action, ConfigAction::Activate(_));
     assert!(actions.iter().any(in_force), "{} actions", actions.len());
 }
--- a/crates/pistachiotrackd/src/fleet.rs
+++ b/crates/pistachiotrackd/src/fleet.rs
@@ -15,7 +15,7 @@
 };
 use pistachiotrack_core::{
     config::Config,
-    config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, ListReads},
+    config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, ListReadSchedule},
     membership::{Membership, MembershipAction, MembershipSettings},
     name::Name,
     ownership::{Ownership, OwnershipChange, OwnershipSettings, shard_count},
@@ -120,7 +120,7 @@
         let watch_wait = Duration::from_millis(sync_settings.watch_timeout_ms);
         let source = context.source.clone().unwrap_or_else(|| {
             let platform = Platform::new(settings, Arc::clone(&context.traffic));
-            let list_reads = ListReads::new(sync_settings.clone(), seed);
+            let list_reads = ListReadSchedule::new(sync_settings.clone(), seed);
             tokio::spawn(platform.clone().keep_vms(actor_ref.clone(), is_watching, list_reads));
             Arc::new(platform)
         });
@@ -251,7 +251,7 @@
         message: AnswerPull,
         _: &mut MessageContext<Self, Self::Reply>,
     ) -> Option<Vec<u8>> {
-        self.sync.answer(self.context.clock.now(), &message.0).ok()
+        self.sync.handle_pull(self.context.clock.now(), &message.0).ok()
     }
 }
 
@@ -268,7 +268,7 @@
 
     async fn handle(&mut self, message: Pulled, _: &mut MessageContext<Self, ()>) {
         let now = self.context.clock.now();
-        let actions = self.sync.on_peer_answer(now, &message.vm, message.answer.as_deref());
+        let actions = self.sync.on_pull_response(now, &message.vm, message.answer.as_deref());
         self.apply_config(now, actions);
     }
 }
@@ -349,7 +349,7 @@
                 ConfigAction::Watch { after } => self.watch(after),
                 ConfigAction::Read { after } => self.ask_source(after, Duration::ZERO),
                 ConfigAction::Pull { vm, request } => self.pull(vm, request),
-                ConfigAction::InForce(config) => self.put_in_force(now, config),
+                ConfigAction::Activate(config) => self.put_in_force(now, config),
                 ConfigAction::Rejected(error) => {
                     self.context.metrics.count(Event::ConfigRejected);
                     log::error!("event=config_rejected error={:?}", error.to_string());
--- a/crates/pistachiotrackd/src/fleet/config_status.rs
+++ b/crates/pistachiotrackd/src/fleet/config_status.rs
@@ -36,10 +36,10 @@
         _: &mut MessageContext<Self, ConfigStatus>,
     ) -> ConfigStatus {
         let now = self.context.clock.now();
-        let behind = self.sync.behind();
+        let behind = self.sync.version_lag();
         ConfigStatus {
             error: self.sync.last_error().map(ToString::to_string),
-            platform_age_ms: self.sync.platform_silent_for(now).map(millis),
+            platform_age_ms: self.sync.time_since_platform_response(now).map(millis),
             behind_ms: behind.map(|behind| millis(now.since(behind.since))),
         }
     }
@@ -61,7 +61,7 @@
     }
 
     fn tell_role(&mut self, now: Time, sync: &ConfigSync) {
-        let role = sync.role_now();
+        let role = sync.role();
         if std::mem::replace(&mut self.role, role) == role {
             return;
         }
@@ -69,13 +69,13 @@
             log::info!(
                 "event=config_role role={} platform_age_ms={:?}",
                 role.as_str(),
-                sync.platform_silent_for(now).map(millis)
+                sync.time_since_platform_response(now).map(millis)
             );
         }
     }
 
     fn tell_behind(&mut self, now: Time, sync: &ConfigSync) {
-        let Some(behind) = sync.behind() else { return };
+        let Some(behind) = sync.version_lag() else { return };
         let told = self.behind_told.map_or(behind.since, |told| told.max(behind.since));
         if now.since(told) < BEHIND_INTERVAL {
             return;
@@ -86,8 +86,8 @@
             sync.version(),
             behind.version,
             millis(now.since(behind.since)),
-            behind.holders,
-            behind.asking.as_deref().unwrap_or("none")
+            behind.holder_count,
+            behind.pulling_from.as_deref().unwrap_or("none")
         );
     }
 }
--- a/crates/pistachiotrackd/src/peer_client.rs
+++ b/crates/pistachiotrackd/src/peer_client.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Method, Request, StatusCode, header::HOST};
-use pistachiotrack_core::config_sync::MAX_ANSWER_BYTES;
+use pistachiotrack_core::config_sync::MAX_PULL_RESPONSE_BYTES;
 
 use crate::http_call::{self, CallError};
 
@@ -42,7 +42,7 @@
         .uri(path)
         .header(HOST, peer.to_string())
         .body(Full::new(Bytes::from(question)))?;
-    let call = http_call::call(peer, request, MAX_ANSWER_BYTES);
+    let call = http_call::call(peer, request, MAX_PULL_RESPONSE_BYTES);
     let answer = tokio::time::timeout(timeout, call).await;
     let answer = answer.map_err(|_| PeerError::TimedOut(timeout))??;
     match answer.status() {
--- a/crates/pistachiotrackd/src/platform.rs
+++ b/crates/pistachiotrackd/src/platform.rs
@@ -12,7 +12,7 @@
 };
 use kameo::actor::ActorRef;
 use pistachiotrack_core::{
-    config::MAX_VALUE_BYTES, config_sync::ListReads, name::Name, vm::VmList,
+    config::MAX_VALUE_BYTES, config_sync::ListReadSchedule, name::Name, vm::VmList,
 };
 use tokio::sync::watch;
 
@@ -85,19 +85,19 @@
         self,
         fleet: ActorRef<Fleet>,
         watching: watch::Receiver<bool>,
-        mut reads: ListReads,
+        mut reads: ListReadSchedule,
     ) {
         let path = format!("/v1/vms/{}", self.deployment);
         let mut after = None;
-        tokio::time::sleep(reads.first_wait()).await;
+        tokio::time::sleep(reads.first_delay()).await;
         loop {
             if after.is_some() {
-                wait_for_turn(watching.clone(), reads.turn()).await;
+                wait_for_turn(watching.clone(), reads.next_poll_delay()).await;
             }
             let list = match self.watch(&path, after).await {
                 Ok(Some(value)) => parse_vms(&value),
                 Ok(None) => {
-                    reads.on_nothing_newer();
+                    reads.on_unchanged();
                     continue;
                 }
                 Err(error) => Err(error),
