--- a/crates/pistachiotrack-core/src/config/check.rs
+++ b/crates/pistachiotrack-core/src/config/check.rs
@@ -1,4 +1,4 @@
-//! What a configuration must fulfil before it is accepted.
+//! Validation of a configuration.
 
 use std::{fmt::Arguments, net::SocketAddr};
 
@@ -13,15 +13,15 @@
     service::Service,
 };
 
-/// Longest lifetime of an answer about addresses; a stopping VM has to keep
-/// serving for that long.
+/// Maximum caching time of entry addresses. A stopping VM has to keep serving for that
+/// long.
 pub const MAX_ENTRY_LIFETIME_MS: u64 = 10 * 60 * 1000;
-/// Longest timeout, queue wait and retry hint.
+/// Maximum timeout, queue wait and retry delay.
 pub const MAX_DURATION_MS: u64 = 24 * 60 * 60 * 1000;
 
 const STATUS_RANGE: std::ops::RangeInclusive<u16> = 400..=599;
 
-/// Returns every problem of `config`.
+/// Returns all problems of `config`.
 pub(super) fn check(config: &Config, file: &str) -> Vec<ConfigError> {
     let mut checker = Checker::new(config, file);
     checker.deployment();
@@ -43,7 +43,7 @@
     addresses: FxHashMap<SocketAddr, &'a Name>,
 }
 
-/// Names of one kind seen so far.
+/// Names of one kind found so far.
 type Names<'a> = FxHashSet<&'a str>;
 
 impl<'a> Checker<'a> {
@@ -88,11 +88,14 @@
     }
 
     fn service(&mut self, path: Arguments<'_>, service: &Service) {
-        let staying = service.endpoints.iter().filter(|endpoint| !endpoint.leaving).count();
-        // A floor that the endpoints can't fill would be broken from the first
-        // moment, and every later ejection would be held back silently.
-        if service.floor as usize > staying {
-            let problem = format!("{} is above the {staying} endpoints that stay", service.floor);
+        let remaining = service.endpoints.iter().filter(|endpoint| !endpoint.leaving).count();
+        // With a floor above the number of remaining endpoints, every ejection
+        // would be held back without notice.
+        if service.floor as usize > remaining {
+            let problem = format!(
+                "{} is above the number of endpoints that are not leaving, {remaining}",
+                service.floor
+            );
             self.error(format_args!("{path}.floor"), problem);
         }
         if !(0.0..=1.0).contains(&service.sensitivity) {
@@ -113,19 +116,22 @@
     }
 
     fn endpoint(&mut self, path: Arguments<'_>, endpoint: &'a Endpoint) {
-        let fresh = self.endpoints.insert(&endpoint.name);
-        self.unique(fresh, path, &endpoint.name);
+        let is_new = self.endpoints.insert(&endpoint.name);
+        self.unique(is_new, path, &endpoint.name);
         self.positive(format_args!("{path}.slots"), endpoint.slots);
         self.positive(format_args!("{path}.connections"), endpoint.connections);
-        let known = self.data_centres.contains(endpoint.data_centre.as_str());
-        self.known(known, path, "data_centre", &endpoint.data_centre);
+        let is_defined = self.data_centres.contains(endpoint.data_centre.as_str());
+        self.defined(is_defined, path, "data_centre", &endpoint.data_centre);
         if let Some(other) = self.addresses.insert(endpoint.address, &endpoint.name) {
-            let problem =
-                format!("{} is the address of endpoint {:?} too", endpoint.address, other.as_str());
+            let problem = format!(
+                "{} is already the address of endpoint {:?}",
+                endpoint.address,
+                other.as_str()
+            );
             self.error(format_args!("{path}.address"), problem);
         }
         if endpoint.address.port() == 0 || endpoint.address.ip().is_unspecified() {
-            let problem = format!("{} can't be connected to", endpoint.address);
+            let problem = format!("{} is not an address to connect to", endpoint.address);
             self.error(format_args!("{path}.address"), problem);
         }
     }
@@ -146,7 +152,7 @@
             self.service_name(path, "service", &contract.service);
             self.positive(format_args!("{path}.slots"), contract.slots);
             if !services.insert(contract.service.as_str()) {
-                let problem = format!("{:?} has a contract already", contract.service.as_str());
+                let problem = format!("{:?} already has a contract", contract.service.as_str());
                 self.error(format_args!("{path}.service"), problem);
             }
         }
@@ -171,8 +177,8 @@
 
     fn conditions(&mut self, path: Arguments<'_>, when: &Conditions) {
         if let Some(customer) = &when.customer {
-            let known = self.customers.contains(customer.as_str());
-            self.known(known, path, "customer", customer);
+            let is_defined = self.customers.contains(customer.as_str());
+            self.defined(is_defined, path, "customer", customer);
         }
         if let Some(host) = &when.host {
             self.name(format_args!("{path}.host"), host);
@@ -190,8 +196,8 @@
             self.service_name(path, "service", service);
         }
         if let Some(data_centre) = &when.data_centre {
-            let known = self.data_centres.contains(data_centre.as_str());
-            self.known(known, path, "data_centre", data_centre);
+            let is_defined = self.data_centres.contains(data_centre.as_str());
+            self.defined(is_defined, path, "data_centre", data_centre);
         }
         if let Some(service) = &when.service_at_floor {
             self.service_name(path, "service_at_floor", service);
@@ -241,24 +247,24 @@
         });
     }
 
-    fn unique(&mut self, fresh: bool, path: Arguments<'_>, name: &Name) {
+    fn unique(&mut self, is_new: bool, path: Arguments<'_>, name: &Name) {
         let field = format_args!("{path}.name");
         self.name(field, name);
-        if !fresh {
-            let problem = format!("{:?} is the name of an earlier one", name.as_str());
+        if !is_new {
+            let problem = format!("{:?} is already used", name.as_str());
             self.error(field, problem);
         }
     }
 
     fn name(&mut self, field: Arguments<'_>, name: &Name) {
-        // Names stand in log lines and HTTP headers: a line break in one would
-        // forge a line there.
+        // Names are written to log lines and HTTP headers, where a line break would
+        // allow injection of a line.
         let problem = if name.is_empty() {
             "is empty"
         } else if name.chars().any(char::is_control) {
-            "has a control character"
+            "contains a control character"
         } else if name.trim().len() != name.len() {
-            "begins or ends with a blank"
+            "has leading or trailing white space"
         } else {
             return;
         };
@@ -267,8 +273,8 @@
 
     fn header_name(&mut self, field: Arguments<'_>, name: &Name) {
         self.name(field, name);
-        let is_token = |c: char| c.is_ascii_graphic() && !"\"(),/:;<=>?@[\\]{}".contains(c);
-        if name.chars().any(|c| c.is_ascii_uppercase() || !is_token(c)) {
+        let is_token_char = |c: char| c.is_ascii_graphic() && !"\"(),/:;<=>?@[\\]{}".contains(c);
+        if name.chars().any(|c| c.is_ascii_uppercase() || !is_token_char(c)) {
             let problem = format!("{:?} is not a lower-case header name", name.as_str());
             self.error(field, problem);
         }
@@ -276,24 +282,25 @@
 
     fn path(&mut self, field: Arguments<'_>, path: &Name) {
         if !path.starts_with('/') {
-            self.error(field, format!("{:?} doesn't begin with '/'", path.as_str()));
+            self.error(field, format!("{:?} doesn't start with '/'", path.as_str()));
             return;
         }
-        // Rules see the path without its query, so such a prefix never matches.
+        // Rules match the path without its query, so such a prefix never matches.
         if path.contains(['?', '#']) || path.chars().any(char::is_control) {
-            let problem = format!("{:?} has a character that no path has", path.as_str());
+            let problem =
+                format!("{:?} contains a character that is not allowed in a path", path.as_str());
             self.error(field, problem);
         }
     }
 
     fn service_name(&mut self, path: Arguments<'_>, field: &str, name: &Name) {
-        let known = self.services.contains(name.as_str());
-        self.known(known, path, field, name);
+        let is_defined = self.services.contains(name.as_str());
+        self.defined(is_defined, path, field, name);
     }
 
-    fn known(&mut self, known: bool, path: Arguments<'_>, field: &str, name: &Name) {
-        if !known {
-            let problem = format!("{:?} is not in this configuration", name.as_str());
+    fn defined(&mut self, is_defined: bool, path: Arguments<'_>, field: &str, name: &Name) {
+        if !is_defined {
+            let problem = format!("{:?} is not defined in this configuration", name.as_str());
             self.error(format_args!("{path}.{field}"), problem);
         }
     }
--- a/crates/pistachiotrack-core/src/config/content.rs
+++ b/crates/pistachiotrack-core/src/config/content.rs
@@ -1,4 +1,4 @@
-//! The content of a configuration as one number, to tell equal from different.
+//! Hash of a configuration's content, to compare configurations.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::config::Config;
 
-/// Hash of a configuration's whole content, the same on every VM.
+/// Hash of a configuration's encoding, the same on every VM.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ContentHash([u8; 16]);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Hash and size of a configuration's encoding.
+/// Hash and length of a configuration's encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContentSummary {
     /// Hash of the encoding.
@@ -34,7 +34,7 @@
 }
 
 impl ContentSummary {
-    /// Returns the content of `config`.
+    /// Computes the summary of `config`.
     ///
     /// # Errors
     ///
--- a/crates/pistachiotrack-core/src/config/delta.rs
+++ b/crates/pistachiotrack-core/src/config/delta.rs
@@ -1,8 +1,8 @@
-//! The difference between two versions of a configuration.
+//! Deltas between versions of a configuration.
 //!
-//! Each list is described by pieces: runs that are copied from the base and
-//! items that are new. The order of the result is thereby exact, and one
-//! changed item costs that item and two runs.
+//! Each list is encoded as operations: ranges that are copied from the base, and items
+//! that are inserted. This preserves the order exactly, and one changed item costs that
+//! item and two ranges.
 
 use std::sync::Arc;
 
@@ -19,16 +19,16 @@
     service::Service,
 };
 
-/// Turns one version of a configuration into a newer one.
+/// Converts one version of a configuration to a newer one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
     /// Version that the delta applies to.
     pub base_version: u64,
-    /// Content that the delta applies to.
+    /// Content hash of the configuration that the delta applies to.
     pub base_hash: ContentHash,
     /// Version of the result.
     pub version: u64,
-    /// Content of the result.
+    /// Content hash of the result.
     pub result_hash: ContentHash,
     entry_lifetime_ms: u64,
     data_centres: Vec<DeltaOp<DataCentre>>,
@@ -40,13 +40,13 @@
 /// Why a delta can't be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// The delta belongs to another base.
+    /// The delta was made for another base.
     #[error("the delta belongs to another base")]
     BaseMismatch,
-    /// A piece names items that the base doesn't have, or names them twice.
+    /// An operation refers to items that the base doesn't have, or refers to items twice.
     #[error("an operation of the delta doesn't fit its base")]
     InvalidOp,
-    /// The result is not what the sender has.
+    /// The result differs from the sender's configuration.
     #[error("the result of the delta is not what the sender has")]
     ResultMismatch,
     /// The result can't be encoded.
@@ -56,16 +56,16 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum DeltaOp<T> {
-    /// A run of items of the base.
+    /// A range of items of the base.
     Copy { from: u32, count: u32 },
-    /// Items that the base doesn't have.
+    /// Items that are not in the base.
     Insert(Vec<T>),
 }
 
-/// A changed or new service; only its changed endpoints are spelled out.
+/// A changed or new service. Contains only the endpoints that have changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ServiceDelta {
-    /// Position of the service in the base.
+    /// Position of the service in the base, unless it is new.
     base: Option<u32>,
     /// The service without its endpoints.
     settings: Service,
@@ -73,7 +73,7 @@
 }
 
 impl Delta {
-    /// Returns what turns `base` into `new`, whose contents are given.
+    /// Returns the delta from `base` to `new`, given the hashes of their contents.
     pub fn between(
         base: &Config,
         base_hash: ContentHash,
@@ -93,11 +93,11 @@
         }
     }
 
-    /// Applies the delta without looking at the content of the result.
+    /// Applies the delta without verifying the content hash of the result.
     ///
     /// # Errors
     ///
-    /// Returns an error if the delta doesn't belong to `base` or doesn't fit.
+    /// Returns an error if the delta was made for another base or doesn't fit.
     pub fn apply(self, base: &Config, base_hash: ContentHash) -> Result<Config, DeltaError> {
         if self.base_version != base.version || self.base_hash != base_hash {
             return Err(DeltaError::BaseMismatch);
@@ -113,12 +113,12 @@
         })
     }
 
-    /// Applies a chain of deltas, the oldest first, and compares the last
-    /// result with what the sender has.
+    /// Applies a chain of deltas, the oldest first, and verifies the content hash
+    /// of the last result.
     ///
     /// # Errors
     ///
-    /// Returns an error if a delta doesn't fit or the last result differs.
+    /// Returns an error if a delta doesn't fit or the hash of the last result differs.
     pub fn apply_all(
         deltas: Vec<Delta>,
         base: &Arc<Config>,
@@ -213,8 +213,8 @@
 ) -> Result<Vec<Service>, DeltaError> {
     let mut used = FxHashSet::default();
     apply_ops_with(base, ops, |delta| {
-        // A damaged delta that names one large service many times would grow
-        // without limit; in a sound one each service of the base occurs once.
+        // A damaged delta that refers to one large service many times would grow
+        // without bound. In a valid one each service of the base occurs at most once.
         if delta.base.is_some_and(|index| !used.insert(index)) {
             return Err(DeltaError::InvalidOp);
         }
@@ -231,8 +231,8 @@
     ops: Vec<DeltaOp<P>>,
     mut build: impl FnMut(P) -> Result<T, DeltaError>,
 ) -> Result<Vec<T>, DeltaError> {
-    // Names are unique, so no sound delta copies more than the base holds. A
-    // damaged one could otherwise ask for endless copies of it.
+    // Names are unique, so a valid delta copies at most as many items as the base has.
+    // A damaged one could otherwise request an unlimited number of copies.
     let mut copyable = base.len();
     let mut items = Vec::new();
     for op in ops {
--- a/crates/pistachiotrack-core/src/config/index.rs
+++ b/crates/pistachiotrack-core/src/config/index.rs
@@ -1,4 +1,4 @@
-//! Look-ups by name that don't slow down with the size of a configuration.
+//! Lookups by name in constant time.
 
 use std::{ops::Deref, sync::Arc};
 
@@ -9,7 +9,7 @@
 
 /// A configuration with its services and customers indexed by name.
 ///
-/// The tables hold positions only, about five bytes for each name.
+/// The tables contain positions only, about five bytes per name.
 #[derive(Clone, Debug)]
 pub struct IndexedConfig {
     config: Arc<Config>,
--- a/crates/pistachiotrack-core/src/config/warning.rs
+++ b/crates/pistachiotrack-core/src/config/warning.rs
@@ -1,4 +1,4 @@
-//! What a valid configuration says that is probably not meant.
+//! Warnings about what is valid but probably unintended.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 
 use crate::{config::Config, rule::RuleSet};
 
-/// Something valid that is probably not meant.
+/// A setting that is valid but probably unintended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigWarning {
     /// Path of the field, such as `rules[2]`.
     pub field: String,
-    /// What is odd about it.
+    /// Description of the problem.
     pub problem: String,
 }
 
@@ -21,34 +21,38 @@
     }
 }
 
-/// Returns every warning about `config`.
+/// Returns all warnings about `config`.
 pub(super) fn warnings(config: &Config) -> Vec<ConfigWarning> {
-    let mut warnings = services(config);
+    let mut warnings = capacity_warnings(config);
     warnings.extend(unreachable_rules(config));
     warnings
 }
 
-/// Overselling is allowed: contracts are shares when capacity is short, and an
-/// error here would refuse the very change that marks endpoints as leaving.
-fn services(config: &Config) -> Vec<ConfigWarning> {
-    let mut sold: FxHashMap<&str, u64> = FxHashMap::default();
+/// Warns about oversold and empty services. Overselling is allowed, since contracts are
+/// weights when capacity is short, and an error here would reject the very change that
+/// marks endpoints as leaving.
+fn capacity_warnings(config: &Config) -> Vec<ConfigWarning> {
+    let mut contracted: FxHashMap<&str, u64> = FxHashMap::default();
     for contract in config.customers.iter().flat_map(|customer| &customer.contracts) {
-        *sold.entry(contract.service.as_str()).or_default() += u64::from(contract.slots);
+        *contracted.entry(contract.service.as_str()).or_default() += u64::from(contract.slots);
     }
     let mut warnings = Vec::new();
     for (index, service) in config.services.iter().enumerate() {
-        let staying = service.endpoints.iter().filter(|endpoint| !endpoint.leaving);
-        let slots: u64 = staying.map(|endpoint| u64::from(endpoint.slots)).sum();
-        let sold = sold.get(service.name.as_str()).copied().unwrap_or(0);
-        if sold > slots {
+        let remaining = service.endpoints.iter().filter(|endpoint| !endpoint.leaving);
+        let slots: u64 = remaining.map(|endpoint| u64::from(endpoint.slots)).sum();
+        let contracted = contracted.get(service.name.as_str()).copied().unwrap_or(0);
+        if contracted > slots {
             let field = format!("services[{index}]");
-            let problem =
-                format!("{:?} has {slots} slots, but {sold} are sold", service.name.as_str());
+            let problem = format!(
+                "{:?} has {slots} slots, but its contracts sum up to {contracted}",
+                service.name.as_str()
+            );
             warnings.push(ConfigWarning { field, problem });
         }
         if service.endpoints.iter().all(|endpoint| endpoint.leaving) {
             let field = format!("services[{index}].endpoints");
-            let problem = format!("{:?} has none that stays", service.name.as_str());
+            let problem =
+                format!("{:?} has no endpoint that is not leaving", service.name.as_str());
             warnings.push(ConfigWarning { field, problem });
         }
     }
@@ -62,7 +66,7 @@
         .map(|(rule, by)| ConfigWarning {
             field: format!("rules[{rule}]"),
             problem: format!(
-                "{:?} is never reached: {:?} before it matches whatever it matches",
+                "{:?} is unreachable: the earlier {:?} matches every request that it matches",
                 config.rules[rule].name.as_str(),
                 config.rules[by].name.as_str()
             ),
--- a/crates/pistachiotrack-core/src/config_sync.rs
+++ b/crates/pistachiotrack-core/src/config_sync.rs
@@ -1,5 +1,5 @@
-//! How a configuration gets to every VM: a few watch the platform, the others
-//! pull from peers, and versions only go up.
+//! Distribution of the configuration to every VM: a few VMs watch the platform, the
+//! others pull from peers, and a VM's version never decreases.
 
 mod candidates;
 mod delta_log;
@@ -39,53 +39,53 @@
     vm::Vm,
 };
 
-/// What the caller of the spread has to do.
+/// An action that the caller of [`ConfigSync`] performs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigAction {
-    /// Reads the platform's value, waiting for one newer than `after`. A watch
-    /// that is still waiting is given up first.
+    /// Starts a long poll of the platform for a value newer than `after`. Cancels
+    /// a watch that is still pending.
     Watch {
-        /// Version already held.
+        /// Newest version known.
         after: Option<u64>,
     },
-    /// Reads the platform's value if it is newer than `after`, without waiting
-    /// for one. The answer is taken like that of a watch.
+    /// Reads the platform's value once if it is newer than `after`. The result is
+    /// reported like that of a watch.
     Read {
-        /// Version already held.
+        /// Newest version known.
         after: Option<u64>,
     },
-    /// Asks a peer for what is newer than the version held.
+    /// Requests newer versions from a peer.
     Pull {
-        /// The peer.
+        /// Peer to send the request to.
         vm: Vm,
-        /// Encoded question.
+        /// Encoded request.
         request: Vec<u8>,
     },
-    /// A newer configuration is in force.
+    /// Applies a newer configuration, which is active from now on.
     Activate(Arc<Config>),
-    /// A published configuration isn't valid; the old one stays in force.
+    /// Reports that a published configuration is invalid; the active one stays.
     Rejected(ConfigError),
-    /// A value older than the one in force was offered and left aside.
+    /// Reports that a value older than the active one was offered and ignored.
     Stale {
-        /// Version offered.
+        /// Version of the ignored value.
         offered: u64,
     },
 }
 
-/// A version that this VM has heard of and doesn't hold.
+/// A version that peers have reported and that this VM doesn't have yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionLag {
-    /// The version.
+    /// Oldest such version.
     pub version: u64,
-    /// Moment at which it was first heard of.
+    /// Time at which such a version was first reported.
     pub since: Time,
-    /// Peers known to hold a newer version than this VM.
+    /// Number of peers known to hold a newer version than this VM.
     pub holder_count: usize,
-    /// Peer that is being asked.
+    /// Peer that a pull is in flight to.
     pub pulling_from: Option<Name>,
 }
 
-/// The configuration of this VM and where to get a newer one.
+/// The active configuration of this VM, and the state of its synchronization.
 #[derive(Clone, Debug)]
 pub struct ConfigSync {
     me: Vm,
@@ -102,11 +102,13 @@
     first_value: Option<FirstValue>,
     has_peer_contact: bool,
     role: Option<Role>,
-    /// Oldest version heard of and not held, and when.
+    /// Oldest version reported by peers and not active here, and the time of the
+    /// first such report.
     missing_version: Option<(u64, Time)>,
 }
 
-/// The platform's value at a VM that has none yet and has heard no peer.
+/// The platform's value at a VM without a configuration, held until a peer's
+/// version is known.
 #[derive(Clone, Debug)]
 struct FirstValue {
     candidate: ConfigCandidate,
@@ -115,7 +117,7 @@
 
 #[derive(Clone, Debug)]
 struct RejectedValue {
-    /// Version of the value, where it could be read.
+    /// Version of the value, if it could be parsed.
     version: Option<u64>,
     fingerprint: ContentHash,
     error: ConfigError,
@@ -123,7 +125,7 @@
 }
 
 impl ConfigSync {
-    /// Creates the spread of one deployment, without a configuration.
+    /// Creates the synchronization of one deployment, without a configuration.
     pub fn new(me: Vm, deployment: Name, settings: ConfigSyncSettings, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let platform_schedule = PlatformSchedule::new(settings.clone(), &mut rng);
@@ -146,14 +148,16 @@
         }
     }
 
-    /// Notes how many VMs the platform lists, this one included, so that the
-    /// first reads of a large fleet are spread before its members have found
-    /// each other, and a VM that is alone doesn't wait for peers.
+    /// Records how many VMs the platform lists, including this one.
+    ///
+    /// The first reads of a large fleet are thereby spread over time before its
+    /// VMs have discovered each other, and a VM that is listed alone doesn't wait
+    /// for peers.
     pub fn on_listed_vms(&mut self, count: usize) {
         self.listed_vm_count = Some(count);
     }
 
-    /// Does what is due.
+    /// Runs all timers and returns the actions that are due.
     pub fn on_tick<'a>(
         &mut self,
         now: Time,
@@ -196,15 +200,16 @@
                 Role::Watcher | Role::Standby | Role::Alone | Role::Unlisted => {
                     ConfigAction::Watch { after }
                 }
-                // These are as many as the fleet; each waiting watch would take
-                // one of the platform's calls for as long as it waits.
+                // All VMs of the fleet may have these roles at once. Each pending watch
+                // would occupy one of the platform's calls for as long as it waits.
                 Role::Cold | Role::Follower => ConfigAction::Read { after },
             });
         }
         actions
     }
 
-    /// Takes the platform's answer to a watch; `None` if nothing newer came.
+    /// Handles the platform's response to a watch or read; `None` if it has
+    /// nothing newer.
     pub fn on_platform_value(&mut self, now: Time, value: Option<&[u8]>) -> Vec<ConfigAction> {
         let Some(value) = value else {
             self.platform_schedule.on_response(now);
@@ -214,13 +219,14 @@
         self.on_newer_value(now, |sync| sync.take_platform_value(now, value))
     }
 
-    /// Takes a configuration that this VM made of what it read on the platform.
+    /// Handles a configuration that this VM assembled from what it read on the
+    /// platform.
     ///
-    /// Failure guarded against: such a configuration is written out as a value of the
-    /// platform would be, and refused for being longer than one may be, though all that
-    /// was read was valid. It shows as confirmed changes that come into force nowhere.
-    /// The guard holds because it never becomes a value: only what VMs pass on to each
-    /// other has a limit, which no value of the platform can exceed.
+    /// The limit on the size of a platform value doesn't apply to it. Encoded as
+    /// such a value, an assembled configuration could exceed the limit and be
+    /// rejected although everything read was valid, so that confirmed changes
+    /// would never become active. Only the limit on what VMs send each other
+    /// applies, which no value of the platform can exceed.
     pub fn on_platform_config(&mut self, now: Time, config: Config) -> Vec<ConfigAction> {
         self.on_newer_value(now, |sync| {
             let Some(candidate) = ConfigCandidate::new(config) else { return Vec::new() };
@@ -245,19 +251,19 @@
         {
             self.platform_schedule.on_newer(now);
         } else {
-            // A platform that sends an unusable value answers every watch at
-            // once; without a wait the same megabyte would come in a loop.
+            // A platform with an unusable value answers every watch immediately.
+            // Without a delay the same megabyte would be read in a loop.
             self.platform_schedule.on_failure(now, &mut self.rng);
         }
         actions
     }
 
-    /// Notes that a watch failed.
+    /// Records that a call to the platform failed.
     pub fn on_platform_error(&mut self, now: Time) {
         self.platform_schedule.on_failure(now, &mut self.rng);
     }
 
-    /// Notes the version that a peer reports.
+    /// Records the version that a peer reports.
     pub fn on_peer_version(&mut self, now: Time, peer: &Vm, version: u64) -> Vec<ConfigAction> {
         self.has_peer_contact = true;
         if Some(version) <= self.version() {
@@ -271,7 +277,7 @@
         actions
     }
 
-    /// Takes a peer's answer; `None` if it could not be had.
+    /// Handles a peer's response to a pull; `None` if there was none.
     pub fn on_pull_response(
         &mut self,
         now: Time,
@@ -299,38 +305,40 @@
         actions
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.store.config()
     }
 
-    /// Returns the version in force.
+    /// Returns the active version.
     pub fn version(&self) -> Option<u64> {
         self.store.config().map(|config| config.version)
     }
 
-    /// Returns the content hash of the configuration in force.
+    /// Returns the content hash of the active configuration.
     pub fn content_hash(&self) -> Option<ContentHash> {
         self.store.active_version().map(|(_, hash)| hash)
     }
 
-    /// Returns why the newest published value isn't in force, if it isn't.
+    /// Returns why the newest published value was rejected, if it was.
     pub fn last_error(&self) -> Option<&ConfigError> {
         self.rejected.as_ref().map(|rejected| &rejected.error)
     }
 
-    /// Returns the time since the platform last answered this VM, or `None` if
-    /// it never has; VMs that don't watch ask it rarely.
+    /// Returns the time since the platform last responded to this VM, or `None`
+    /// if it never has. VMs that aren't watchers rarely call it.
     pub fn time_since_platform_response(&self, now: Time) -> Option<Duration> {
         self.platform_schedule.time_since_response(now)
     }
 
-    /// Returns why this VM reads the platform; `None` before the first tick.
+    /// Returns the role in which this VM reads the platform; `None` before the
+    /// first tick.
     pub fn role(&self) -> Option<Role> {
         self.role
     }
 
-    /// Returns the oldest version that this VM has heard of and doesn't hold.
+    /// Returns the oldest version that peers have reported and this VM doesn't
+    /// have.
     pub fn version_lag(&self) -> Option<VersionLag> {
         let (version, since) = self.missing_version?;
         let (holder_count, pulling_from) =
@@ -373,7 +381,7 @@
         self.version().max(rejected).max(self.first_value_version())
     }
 
-    /// Notes since when a newer version than the one held has been heard of.
+    /// Records that a version newer than the active one exists, and since when.
     fn record_missing_version(&mut self, now: Time, version: u64) {
         let first = self.missing_version.get_or_insert((version, now));
         first.0 = first.0.min(version);
@@ -417,7 +425,8 @@
         }
     }
 
-    /// Turns a peer's answer into a configuration, or notes why it can't.
+    /// Decodes the configuration in a peer's response. If deltas can't be applied,
+    /// the next request asks for the full configuration.
     fn candidate_from_response(&mut self, response: PullResponse) -> Option<ConfigCandidate> {
         match response {
             PullResponse::NoUpdate | PullResponse::Redirect { .. } => None,
@@ -426,8 +435,8 @@
             }
             PullResponse::Deltas(payloads) => {
                 let candidate = self.store.apply_deltas(payloads);
-                // The base differs from the peer's although the version is the
-                // same, or the delta is damaged: only the whole value helps.
+                // Either the base differs from the peer's under the same version, or
+                // the delta is damaged. Only the full configuration helps.
                 self.pull_client.wants_full = candidate.is_none();
                 candidate
             }
@@ -435,7 +444,8 @@
     }
 }
 
-/// Returns the place of a VM among those that could watch; the largest do.
+/// Returns the rendezvous score of a VM. The alive VMs of a data centre with the
+/// highest scores are its watchers.
 fn watch_score(deployment: &str, vm: &Vm) -> u64 {
     let seed = xxh3_64(deployment.as_bytes());
     xxh3_64_with_seed(vm.name.as_bytes(), seed)
--- a/crates/pistachiotrack-core/src/config_sync/candidates.rs
+++ b/crates/pistachiotrack-core/src/config_sync/candidates.rs
@@ -1,5 +1,5 @@
-//! What becomes of a configuration that the platform or a peer offers: it is compared with
-//! the one in force, taken, held back for a moment, or rejected.
+//! Handling of configurations offered by the platform or a peer: each is compared with
+//! the active one and then activated, held for a short time, or rejected.
 
 use std::time::Duration;
 
@@ -50,7 +50,8 @@
         self.take_platform_candidate(now, fingerprint, candidate)
     }
 
-    /// Returns whether this was rejected before; if so, it isn't read again for a while.
+    /// Returns whether the value was rejected before. If so, extends the time for
+    /// which it isn't read again.
     pub(super) fn extend_rejection(&mut self, now: Time, fingerprint: ContentHash) -> bool {
         let known = self.rejected.as_mut().filter(|known| known.fingerprint == fingerprint);
         let Some(known) = known else { return false };
@@ -80,13 +81,13 @@
         self.first_value.as_ref().map(|first| first.candidate.config.version)
     }
 
-    /// Puts the platform's first value in force unless a peer has a newer one.
+    /// Activates the platform's first value unless a peer has a newer version.
     ///
-    /// Failure guarded against: a platform that came back with an old value is
-    /// the first that a new VM hears, and the VM serves by rules that the fleet
-    /// has left. It shows as one VM at an older version than all others. The
-    /// guard holds because the value waits until a peer's version is heard, the
-    /// list shows nobody else, or the grace is over.
+    /// A platform that was restored with an old value may respond to a new VM
+    /// before any peer. The VM would then route by rules that the fleet has
+    /// replaced, at an older version than all others. So the value is held until
+    /// a peer's version is known, the list shows no other VM, or the grace period
+    /// is over.
     pub(super) fn activate_first_value(&mut self, now: Time) -> Vec<ConfigAction> {
         let is_alone = self.listed_vm_count.is_some_and(|listed| listed <= 1);
         let is_released =
@@ -107,13 +108,14 @@
         candidate: &ConfigCandidate,
     ) -> Option<ConfigError> {
         let config = &candidate.config;
-        // In force here and too long for the others, it would never reach them.
+        // A configuration that is too long to be sent to peers must not become
+        // active on this VM alone.
         if candidate.summary.encoded_bytes > MAX_ENCODED_BYTES {
             return Some(ConfigError {
                 file: Name::from(source),
                 field: "configuration".to_owned(),
                 problem: format!(
-                    "{} bytes long once encoded; at most {MAX_ENCODED_BYTES} are passed on",
+                    "{} bytes long once encoded; the maximum is {MAX_ENCODED_BYTES}",
                     candidate.summary.encoded_bytes
                 ),
             });
@@ -144,7 +146,7 @@
                 let error = ConfigError {
                     file: Name::from(source),
                     field: "version".to_owned(),
-                    problem: format!("{version} is in force with another content"),
+                    problem: format!("{version} is active with different content"),
                 };
                 self.reject(now, Some(version), candidate.summary.hash, error)
             }
@@ -180,7 +182,7 @@
     }
 }
 
-/// Returns the version of a value that can't be accepted, if it has one.
+/// Returns the version of a value that can't be accepted, if it can be parsed.
 fn version_of(value: &[u8]) -> Option<u64> {
     #[derive(serde::Deserialize)]
     struct Version {
--- a/crates/pistachiotrack-core/src/config_sync/delta_log.rs
+++ b/crates/pistachiotrack-core/src/config_sync/delta_log.rs
@@ -1,4 +1,4 @@
-//! The last few deltas, for peers that are a few versions behind.
+//! The most recent deltas, for peers that are a few versions behind.
 
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 const MAX_DELTAS: usize = 32;
 const MAX_BYTES: usize = 256 * 1024;
 
-/// A delta in its encoded form.
+/// A delta in encoded form.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedDelta {
     base_version: u64,
@@ -18,7 +18,7 @@
 }
 
 impl EncodedDelta {
-    /// Keeps `delta`, whose encoding is `encoded`.
+    /// Creates the log entry of `delta`, whose encoding is `payload`.
     pub(super) fn new(delta: &Delta, payload: Payload) -> EncodedDelta {
         EncodedDelta {
             base_version: delta.base_version,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Consecutive deltas up to the version in force.
+/// Consecutive deltas up to the active version.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DeltaLog {
     deltas: VecDeque<EncodedDelta>,
@@ -37,7 +37,8 @@
 }
 
 impl DeltaLog {
-    /// Adds the step to the newest version.
+    /// Appends the delta to the newest version. Drops the log if the delta doesn't
+    /// follow the last one, and old deltas beyond the limits.
     pub(super) fn push(&mut self, delta: EncodedDelta) {
         if self.deltas.back().is_some_and(|last| last.version != delta.base_version) {
             self.clear();
@@ -50,13 +51,14 @@
         }
     }
 
-    /// Forgets everything.
+    /// Removes all deltas.
     pub(super) fn clear(&mut self) {
         self.deltas.clear();
         self.bytes = 0;
     }
 
-    /// Returns the encoded deltas from a version to the newest, if known.
+    /// Returns the encoded deltas from a base to the newest version, if the base
+    /// is in the log.
     pub(super) fn since(&self, version: u64, base_hash: ContentHash) -> Option<Vec<&Payload>> {
         let first = self
             .deltas
--- a/crates/pistachiotrack-core/src/config_sync/list_schedule.rs
+++ b/crates/pistachiotrack-core/src/config_sync/list_schedule.rs
@@ -1,5 +1,5 @@
-//! When to read the platform's list of VMs, so that all VMs together read
-//! little.
+//! Schedule of a VM's reads of the platform's VM list. It bounds the total rate of
+//! reads by all VMs.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
     platform_schedule::{RETRY_SPREADS, spread_duration},
 };
 
-/// Time between two reads by a VM that doesn't watch the list, for each VM
-/// listed, so that all of these make one read a second.
+/// Interval between two reads by a VM that doesn't watch the list, per listed VM, so
+/// that all these VMs together make one read per second.
 const INTERVAL_PER_VM: Duration = Duration::from_secs(1);
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// The schedule of one VM's reads of the list.
+/// The schedule of one VM's reads of the VM list.
 #[derive(Clone, Debug)]
 pub struct ListReadSchedule {
     settings: ConfigSyncSettings,
@@ -26,35 +26,35 @@
 }
 
 impl ListReadSchedule {
-    /// Creates the schedule of a VM that knows no list yet.
+    /// Creates the schedule of a VM that hasn't read the list yet.
     pub fn new(settings: ConfigSyncSettings, seed: u64) -> ListReadSchedule {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         ListReadSchedule { settings, rng, listed_vms: None, failures: 0 }
     }
 
-    /// Returns the wait before the first read.
+    /// Returns the delay before the first read.
     ///
-    /// When the whole fleet starts at once, all its VMs would read in the same
-    /// moment and the platform would refuse most of them.
+    /// When the whole fleet starts at once, all its VMs would read at the same
+    /// moment and the platform would refuse most of the reads.
     pub fn first_delay(&mut self) -> Duration {
         self.spread_duration().mul_f64(self.rng.random())
     }
 
-    /// Notes a list of `vms` VMs.
+    /// Records the length of a list that was read.
     pub fn on_list(&mut self, vms: usize) {
         self.listed_vms = Some(vms);
         self.failures = 0;
     }
 
-    /// Notes that the platform knows nothing newer.
+    /// Records that the list is unchanged.
     pub fn on_unchanged(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes a read that failed and returns the wait before the next one.
+    /// Records a failed read and returns the delay before the next one.
     ///
-    /// The whole fleet may fail together; short waits of a large one would keep
-    /// the platform down.
+    /// The delay grows with the fleet: all its VMs may fail together, and short
+    /// retry delays would keep the platform overloaded.
     pub fn on_failure(&mut self) -> Duration {
         let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
@@ -64,7 +64,7 @@
         backoff.mul_f64(self.rng.random_range(0.5..1.5))
     }
 
-    /// Returns the wait of a VM that doesn't watch before it reads again.
+    /// Returns the delay before the next read of a VM that doesn't watch the list.
     pub fn next_poll_delay(&mut self) -> Duration {
         let interval = INTERVAL_PER_VM.mul_f64(self.listed_vms.unwrap_or(0) as f64);
         interval.mul_f64(self.rng.random_range(0.5..1.5))
--- a/crates/pistachiotrack-core/src/config_sync/payload.rs
+++ b/crates/pistachiotrack-core/src/config_sync/payload.rs
@@ -1,4 +1,4 @@
-//! Encoded values, compressed where that saves time on the way.
+//! Encoded values, compressed if that reduces the time of their transfer.
 
 use std::{
     borrow::Cow,
@@ -10,37 +10,38 @@
 
 use crate::config::MAX_ENCODED_BYTES;
 
-/// Length from which on a value is compressed. Shorter ones fit into a packet or
-/// two whether compressed or not.
+/// Length from which a value is compressed. Shorter ones fit into one or two packets
+/// with or without compression.
 const COMPRESS_FROM_BYTES: usize = 2_048;
 
 /// An encoded value.
 ///
-/// Rules repeat the names of hosts and services, so that many new ones are a fraction as
-/// long once compressed, which matters on the link of a VM that all others ask.
+/// Rules repeat the names of hosts and services, so many new rules shrink to a fraction
+/// when compressed. This matters on the link of a VM that all others pull from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Payload {
-    /// The value as it is.
+    /// The uncompressed value.
     Plain(Vec<u8>),
-    /// The value as a raw deflate stream; whoever opens it compares the content.
+    /// The value as a raw deflate stream. It has no checksum; the receiver compares
+    /// the content hash.
     Deflated(Vec<u8>),
 }
 
 impl Payload {
-    /// Packs an encoded value.
+    /// Creates the payload of an encoded value.
     pub(super) fn new(bytes: Vec<u8>) -> Payload {
         if bytes.len() < COMPRESS_FROM_BYTES {
             return Payload::Plain(bytes);
         }
         match deflate(&bytes) {
             Ok(compressed) if compressed.len() < bytes.len() => Payload::Deflated(compressed),
-            // Random bytes grow; writing to memory doesn't fail.
+            // Incompressible bytes grow. Writing to memory doesn't fail.
             _ => Payload::Plain(bytes),
         }
     }
 
     /// Returns the encoded value, or `None` if the stream is damaged or longer than
-    /// any sound value.
+    /// any valid value.
     pub(super) fn decode(&self) -> Option<Cow<'_, [u8]>> {
         match self {
             Payload::Plain(bytes) => Some(Cow::Borrowed(bytes)),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Returns the number of bytes that go over the network.
+    /// Returns the number of bytes on the network.
     pub(super) fn len(&self) -> usize {
         let (Payload::Plain(bytes) | Payload::Deflated(bytes)) = self;
         bytes.len()
@@ -61,8 +62,8 @@
     encoder.finish()
 }
 
-/// A few bytes of deflate can stand for gigabytes, so that no more is read than the
-/// largest configuration takes.
+/// Decompresses a deflate stream. A few bytes of it can expand to gigabytes, so no more
+/// is read than the largest configuration takes.
 fn inflate(compressed: &[u8]) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     let limit = MAX_ENCODED_BYTES as u64 + 1;
--- a/crates/pistachiotrack-core/src/config_sync/platform_schedule.rs
+++ b/crates/pistachiotrack-core/src/config_sync/platform_schedule.rs
@@ -1,4 +1,4 @@
-//! When to read the platform, so that all VMs together read little.
+//! Schedule of a VM's calls to the platform. It bounds the total rate of calls by all VMs.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 
 use crate::{config_sync::ConfigSyncSettings, time::Time};
 
-/// Time after which a watch that should have ended counts as lost.
+/// Time after the expected end of a watch at which it counts as lost.
 const WATCH_GRACE: Duration = Duration::from_secs(10);
-/// Shortest time between two watches that brought nothing newer.
+/// Minimum interval between the starts of two watches.
 const MIN_WATCH_GAP: Duration = Duration::from_secs(1);
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// Times that the first reads are spread over in which all retries fall: those
-/// of the list and those of the value come together.
+/// Factor by which the minimum retry delay exceeds the duration over which the first
+/// reads are spread, because retries of list reads and of value reads coincide.
 pub(super) const RETRY_SPREADS: u32 = 2;
 
-/// Why this VM reads the platform.
+/// The role in which a VM reads the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It is one of its data centre's watchers.
+    /// One of the watchers of its data centre.
     Watcher,
-    /// It knows nobody alive.
+    /// No other VM is known to be alive.
     Alone,
-    /// The same, and it began without the list that tells of others.
+    /// As [`Role::Alone`], and the VM started without the VM list.
     Unlisted,
-    /// Others watch; it has no configuration yet.
+    /// Other VMs watch; this one has no configuration yet.
     Cold,
-    /// Others watch; it has a configuration.
+    /// Other VMs watch; this one has a configuration.
     Follower,
-    /// It reads in place of a watcher that the platform doesn't answer.
+    /// Reads in place of a watcher that gets no response from the platform.
     Standby,
 }
 
 impl Role {
-    /// Returns the role's name.
+    /// Returns the role's name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Role::Watcher => "watcher",
@@ -46,13 +46,13 @@
     }
 }
 
-/// Waits after failed calls.
+/// Delays after failed calls.
 #[derive(Clone, Copy, Debug, Default)]
 struct Backoff {
-    /// After the first one; doubled by each further one.
+    /// Delay after the first failure; doubles with each further one.
     initial_ms: u64,
     max_ms: u64,
-    /// Lower limit, whatever the others say.
+    /// Lower bound, which takes precedence over the other two.
     min_ms: u64,
 }
 
@@ -60,20 +60,20 @@
 #[derive(Clone, Debug)]
 pub(super) struct PlatformSchedule {
     settings: ConfigSyncSettings,
-    /// This VM's place in every jittered wait that the whole fleet begins at
-    /// the same moment.
+    /// Random position in 0..1 of this VM in every time span over which the fleet
+    /// spreads calls that would otherwise start at the same moment.
     jitter_position: f64,
     started: Option<Time>,
     pending_since: Option<Time>,
-    /// Beginning of the last watch, ended or not.
+    /// Start of the last call, whether it has ended or not.
     last_call_started: Time,
-    /// Time over which the fleet's calls are spread at its present size.
+    /// Duration over which the fleet's calls are spread at its current size.
     spread_duration: Duration,
     backoff: Backoff,
     not_before: Time,
     failures: u32,
     last_response: Option<Time>,
-    /// Last sign that changes still reach this VM.
+    /// Last evidence that changes still reach this VM.
     last_confirmed: Time,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Returns whether a watch begins now, and notes that it does.
+    /// Returns whether a call starts now, and records its start.
     pub(super) fn start_call(
         &mut self,
         now: Time,
@@ -107,7 +107,7 @@
         self.spread_duration = spread_duration(fleet_size, self.settings.first_reads_per_second);
         self.backoff = self.backoff(role);
         if role == Role::Follower {
-            // Failures as a standby must not delay the next time it stands in.
+            // Failures as a standby must not delay its next turn as a standby.
             self.failures = 0;
             self.not_before = Time::ZERO;
         }
@@ -123,27 +123,28 @@
         true
     }
 
-    /// Notes a value or the end of a watch without one.
+    /// Records a response with a value, or the end of a watch without one.
     pub(super) fn on_response(&mut self, now: Time) {
         self.last_response = Some(now);
         self.last_confirmed = now;
         self.pending_since = None;
-        // A platform that ends watches at once would be asked without pause.
+        // Without a gap, a platform that ends watches immediately would be called
+        // in a loop.
         self.not_before = self.not_before.max(self.last_call_started + MIN_WATCH_GAP);
     }
 
-    /// Notes that a value newer than the one held came.
+    /// Records that a value newer than the active one arrived.
     pub(super) fn on_newer(&mut self, now: Time) {
         self.failures = 0;
         self.not_before = now + Duration::from_millis(self.settings.change_gap_ms);
     }
 
-    /// Notes that the platform knows nothing newer.
+    /// Records that the platform has nothing newer.
     pub(super) fn on_unchanged(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes a call that failed, or brought a value that can't be taken.
+    /// Records a call that failed or returned a value that can't be used.
     pub(super) fn on_failure(&mut self, now: Time, rng: &mut impl Rng) {
         self.pending_since = None;
         let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
@@ -154,22 +155,23 @@
         self.not_before = now + Duration::from_millis(jittered_ms as u64);
     }
 
-    /// Notes that a newer version came from a peer.
+    /// Records that a newer version arrived from a peer.
     pub(super) fn on_peer_version(&mut self, now: Time) {
         self.last_confirmed = now;
     }
 
-    /// Returns the time since the platform last answered this VM.
+    /// Returns the time since the platform last responded to this VM.
     pub(super) fn time_since_response(&self, now: Time) -> Option<Duration> {
         self.last_response.map(|last_response| now.since(last_response))
     }
 
-    /// Returns the end of the time over which the first reads of the fleet are spread.
+    /// Returns the end of the duration over which the first reads of the fleet are spread.
     pub(super) fn first_reads_end(&self) -> Time {
         self.started.unwrap_or(Time::ZERO) + self.spread_duration
     }
 
-    /// Returns the longest time between two answers to a watcher that reaches the platform.
+    /// Returns the longest expected time between two responses to a watcher that reaches
+    /// the platform.
     pub(super) fn max_response_gap(&self) -> Duration {
         let ConfigSyncSettings { watch_timeout_ms, change_gap_ms, standby_margin_ms, .. } =
             self.settings;
@@ -187,8 +189,8 @@
                 max_ms: self.settings.unconfirmed_read_after_ms,
                 min_ms: 0,
             },
-            // A watcher that knows peers is one of a few. These may be as many as the fleet,
-            // and short retries of all would keep the platform down.
+            // Watchers that know peers are few. The whole fleet may have these roles at once,
+            // and short retry delays of all its VMs would keep the platform overloaded.
             Role::Alone | Role::Unlisted | Role::Cold | Role::Follower => Backoff {
                 min_ms: (self.spread_duration * RETRY_SPREADS).as_millis() as u64,
                 ..regular
@@ -196,18 +198,18 @@
         }
     }
 
-    /// Returns the moment before which no read begins.
+    /// Returns the earliest start of the next call.
     fn earliest_call(&self, started: Time, role: Role, fleet_size: usize) -> Time {
         match role {
-            // When the whole fleet starts at once, each VM knows nobody alive
-            // and takes itself for a watcher. The platform would see all of
-            // them in the same second; the spread keeps them under its rate.
+            // When the whole fleet starts at once, no VM knows another one that is
+            // alive, and each acts as a watcher. All of them would call the platform
+            // within the same second; spreading them keeps the calls within its rate.
             Role::Watcher | Role::Alone => {
                 started + self.spread_duration.mul_f64(self.jitter_position)
             }
-            // When all deployments start at once, the reads of lists fill the
-            // platform's rate. A VM that has got its list finds a peer soon, so
-            // hardly any VM is left for this second span of time.
+            // When all deployments start at once, the reads of VM lists use up the
+            // platform's rate. A VM that has its list soon finds a peer, so hardly any
+            // VM still has this role in the second time span.
             Role::Unlisted => started + self.spread_duration.mul_f64(1.0 + self.jitter_position),
             Role::Cold => {
                 let wait = Duration::from_millis(self.settings.cold_read_after_ms);
@@ -215,9 +217,9 @@
             }
             Role::Standby => started,
             // All watchers and standbys may be cut off from the platform while this VM
-            // is not. The wait grows with the fleet, so that all followers
-            // together call at a fixed rate whatever their number, also when
-            // the platform is away and every call fails.
+            // is not. The interval grows with the fleet, so that all followers together
+            // call at a fixed rate whatever their number, also while the platform is
+            // down and every call fails.
             Role::Follower => {
                 let wait = Duration::from_millis(self.settings.unconfirmed_read_after_ms);
                 let interval = spread_duration(fleet_size, self.settings.follower_reads_per_second);
@@ -227,8 +229,8 @@
         }
     }
 
-    /// A watch whose connection went silent never reports its end; without
-    /// this no further watch would begin and changes would stop arriving.
+    /// Ends a watch whose connection is dead and which never reports its end.
+    /// Otherwise no further watch would start and changes would stop arriving.
     fn expire_lost_watch(&mut self, now: Time, rng: &mut impl Rng) {
         let max_wait = Duration::from_millis(self.settings.watch_timeout_ms) + WATCH_GRACE;
         if self.pending_since.is_some_and(|started| now.since(started) > max_wait) {
@@ -237,7 +239,7 @@
     }
 }
 
-/// Returns the time in which `fleet_vms` calls make the given rate.
+/// Returns the duration over which `fleet_size` calls make the given rate.
 pub(super) fn spread_duration(fleet_size: usize, per_second: f64) -> Duration {
     Duration::from_secs_f64(fleet_size as f64 / per_second.max(0.001))
 }
--- a/crates/pistachiotrack-core/src/config_sync/pull_client.rs
+++ b/crates/pistachiotrack-core/src/config_sync/pull_client.rs
@@ -1,4 +1,4 @@
-//! Which peer to ask for a newer configuration.
+//! Selection of the peer to pull a newer configuration from.
 
 use std::time::Duration;
 
@@ -8,37 +8,37 @@
 use super::pull_server::REDIRECT_DELAY;
 use crate::{name::Name, time::Time, vm::Vm};
 
-/// Peers remembered as holders of a newer version.
+/// Maximum number of peers tracked as holders of a newer version.
 const MAX_HOLDERS: usize = 64;
-/// Time for which a peer that gave nothing usable isn't asked again.
+/// Delay before a peer with an unusable response is asked again.
 const UNUSABLE_DELAY: Duration = Duration::from_secs(1);
-/// Time for which a peer that didn't answer isn't asked again.
+/// Delay before a peer that didn't respond is asked again.
 const UNRESPONSIVE_DELAY: Duration = Duration::from_millis(400);
-/// Time after which a pull is given up for a peer that was heard of meanwhile, if the one
-/// before it wasn't answered either.
+/// Time after which a pull is abandoned in favour of a peer that has announced a version
+/// meanwhile, if the previous pull timed out as well.
 const SUPERSEDED_AFTER: Duration = Duration::from_millis(100);
-/// PullClient in a row that end early before one is given the longer time: the
-/// paths may be slow and not lossy.
+/// Consecutive pulls with the short timeout before one gets the long timeout, since the
+/// paths may be slow rather than lossy.
 const MAX_SHORT_TIMEOUTS: u32 = 8;
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// The pulls of one VM: one at a time.
+/// The pulls of one VM, one at a time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PullClient {
     holders: FxHashMap<Name, Holder>,
     in_flight: Option<InFlight>,
-    /// Whether the next question asks for the whole value.
+    /// Whether the next request asks for the full configuration.
     pub(super) wants_full: bool,
     rejected: Option<RejectedVersion>,
     consecutive_timeouts: u32,
 }
 
-/// How long an answer may take.
+/// Timeouts of a pull.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PullTimeouts {
     /// For deltas, which are small.
     pub(super) delta: Duration,
-    /// For the whole value.
+    /// For the full configuration.
     pub(super) full: Duration,
 }
 
@@ -47,9 +47,9 @@
     vm: Vm,
     version: u64,
     not_before: Time,
-    /// Moment of its last word.
+    /// Time of its last announcement.
     announced_at: Time,
-    /// Whether it has left a pull unanswered since.
+    /// Whether a pull from it has timed out or failed since that announcement.
     is_unresponsive: bool,
 }
 
@@ -60,7 +60,7 @@
     until: Time,
 }
 
-/// A version whose content was refused when it came from a peer.
+/// A version whose content was rejected when a peer sent it.
 #[derive(Clone, Copy, Debug)]
 struct RejectedVersion {
     version: u64,
@@ -69,7 +69,7 @@
 }
 
 impl PullClient {
-    /// Takes the word of a peer that it holds a version newer than the one held here.
+    /// Records a peer's announcement of a version newer than the active one.
     pub(super) fn on_announcement(&mut self, now: Time, vm: &Vm, version: u64, rng: &mut impl Rng) {
         self.record_holder(now, vm, version);
         if let Some(holder) = self.holders.get_mut(&vm.name) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Notes that a peer holds a version newer than the one held here.
+    /// Records that a peer holds a version newer than the active one.
     pub(super) fn record_holder(&mut self, now: Time, vm: &Vm, version: u64) {
         if let Some(holder) = self.holders.get_mut(&vm.name) {
             holder.version = version;
@@ -104,9 +104,9 @@
         self.holders.insert(vm.name.clone(), holder);
     }
 
-    /// Notes that a peer was put off by one that answers too many, which named
-    /// others. These are only being answered now, so that they are asked a little
-    /// later, and not all at the same moment.
+    /// Records that a peer at its bandwidth limit redirected this VM to other holders.
+    /// They are just receiving the version, so they are asked after a delay, which is
+    /// randomized so that requests don't coincide.
     pub(super) fn on_redirect(
         &mut self,
         now: Time,
@@ -124,28 +124,28 @@
         }
     }
 
-    /// Returns the peer that is being asked.
+    /// Returns the peer of the pull in flight.
     pub(super) fn current_peer(&self) -> Option<&Name> {
         self.in_flight.as_ref().map(|pull| &pull.peer)
     }
 
-    /// Returns how many peers are known to hold a newer version.
+    /// Returns the number of peers known to hold a newer version.
     pub(super) fn holder_count(&self) -> usize {
         self.holders.len()
     }
 
-    /// Forgets a peer that is gone or has nothing newer.
+    /// Removes a peer that is gone or has nothing newer.
     pub(super) fn forget(&mut self, peer: &str) {
         self.holders.remove(peer);
     }
 
-    /// Forgets the peers that have nothing newer than `held`.
+    /// Removes the peers that have nothing newer than `active`.
     pub(super) fn on_activated(&mut self, active: u64) {
         self.holders.retain(|_, holder| holder.version > active);
         self.wants_full = false;
     }
 
-    /// Returns the peer to ask now, if no other is being asked.
+    /// Starts a pull and returns the peer to ask, unless one is in flight already.
     pub(super) fn start(
         &mut self,
         now: Time,
@@ -157,8 +157,9 @@
             return None;
         }
         let vm = self.choose_peer(now, data_centre, rng)?;
-        // A lost message must not cost a large part of the time that a change
-        // may take; a slow whole value must not be asked for from many peers.
+        // With a long timeout, a lost message would use up much of the time in which a
+        // change has to arrive. With a short one, a full configuration over a slow
+        // link would be requested from many peers.
         let use_full_timeout = self.wants_full || self.consecutive_timeouts == MAX_SHORT_TIMEOUTS;
         let timeout = if use_full_timeout { timeouts.full } else { timeouts.delta };
         self.in_flight =
@@ -166,14 +167,14 @@
         Some(vm)
     }
 
-    /// Returns the peer that answers soonest, as far as can be told.
+    /// Returns the peer that is likely to respond first.
     fn choose_peer(&self, now: Time, data_centre: &str, rng: &mut impl Rng) -> Option<Vm> {
         let rejected = self.rejected.filter(|rejected| now < rejected.until);
         let is_available = |holder: &&Holder| {
             now >= holder.not_before && rejected.is_none_or(|it| holder.version != it.version)
         };
-        // A peer that lost power is taken for alive for a while; being near, it would be asked
-        // again and again while others would answer.
+        // A peer that lost power counts as alive for some time. If it is in this data
+        // centre, it would be chosen repeatedly although others would respond.
         let is_responsive = |holder: &&Holder| is_available(holder) && !holder.is_unresponsive;
         let any_responsive = self.holders.values().any(|holder| is_responsive(&holder));
         let is_eligible = |holder: &&Holder| {
@@ -196,7 +197,7 @@
         holder.map(|holder| holder.vm.clone())
     }
 
-    /// Notes that an answer of `peer` came or can't come any more.
+    /// Records that a pull from `peer` has ended, with or without a response.
     pub(super) fn on_finished(&mut self, peer: &str) {
         if self.in_flight.as_ref().is_some_and(|pull| *pull.peer == *peer) {
             self.in_flight = None;
@@ -204,13 +205,13 @@
         }
     }
 
-    /// Leaves a peer alone for a while after it gave nothing usable.
+    /// Delays the next pull from a peer whose response was unusable.
     pub(super) fn back_off_unusable(&mut self, now: Time, peer: &str, rng: &mut impl Rng) {
         self.back_off(now, peer, UNUSABLE_DELAY, rng);
     }
 
-    /// Ends a pull that has taken too long. A paused or vanished peer never
-    /// answers, and the next one may.
+    /// Ends a pull that has timed out. A paused or stopped peer never responds, but
+    /// another one may.
     pub(super) fn on_tick(&mut self, now: Time, rng: &mut impl Rng) {
         if self.in_flight.as_ref().is_some_and(|pull| now >= pull.until) {
             self.time_out(now, rng);
@@ -224,7 +225,7 @@
         self.mark_unresponsive(&pull.peer);
     }
 
-    /// Notes that a peer left a pull unanswered.
+    /// Records that a peer didn't respond to a pull.
     pub(super) fn mark_unresponsive(&mut self, peer: &str) {
         if let Some(holder) = self.holders.get_mut(peer) {
             holder.is_unresponsive = true;
@@ -237,8 +238,8 @@
         }
     }
 
-    /// Leaves a version alone for a growing while after its content was
-    /// refused: every peer may have the same, and each would be asked in turn.
+    /// Delays further pulls of a version whose content was rejected, exponentially.
+    /// Every peer may have the same content, and each would be asked in turn.
     pub(super) fn back_off_version(&mut self, now: Time, version: u64) {
         let previous = self.rejected.filter(|rejected| rejected.version == version);
         let rejections =
@@ -247,7 +248,7 @@
         self.rejected = Some(RejectedVersion { version, rejections, until });
     }
 
-    /// Returns the newest version that a peer which may be asked reports.
+    /// Returns the newest version among the peers that may be asked now.
     pub(super) fn newest_available(&self, now: Time) -> Option<u64> {
         let available = self.holders.values().filter(|holder| now >= holder.not_before);
         available.map(|holder| holder.version).max()
--- a/crates/pistachiotrack-core/src/config_sync/pull_server.rs
+++ b/crates/pistachiotrack-core/src/config_sync/pull_server.rs
@@ -1,4 +1,4 @@
-//! How much of its link a VM spends on answering others, and whom it has answered.
+//! Responses to pulls, limited to a part of the link's bandwidth by a token bucket.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -10,28 +10,28 @@
 };
 use crate::{time::Time, vm::Vm};
 
-/// Bytes that may be answered at once after a pause. A change of one endpoint, some
-/// 300 bytes, thus goes to 200 VMs without any wait.
+/// Bytes that may be sent at once after an idle period. A change of one endpoint is
+/// about 300 bytes long, so it reaches 200 VMs without any delay.
 const BURST_BYTES: f64 = 64.0 * 1024.0;
-/// Answered VMs remembered.
+/// Maximum number of recently served VMs to track.
 const MAX_RECENT_PEERS: usize = 64;
-/// Time after which a VM that was sent elsewhere asks again, on average: what an answer
-/// of 64 kB takes on a link of 10 Mbit/s.
+/// Mean delay before a redirected VM asks again: the transfer time of a response of
+/// 64 kB on a link of 10 Mbit/s.
 pub(super) const REDIRECT_DELAY: Duration = Duration::from_millis(50);
-/// Answered VMs named to one that has to ask elsewhere.
+/// Recently served VMs to name in a redirect.
 const REDIRECT_PEERS: usize = 8;
 
-/// The answers of one VM about the version in force.
+/// The rate limit of one VM's responses to pulls, and the VMs served recently.
 ///
-/// Failure guarded against: a large change is announced by one VM, all others ask
-/// it, and its link is full for seconds. It shows as requests routed by the old
-/// version, and as pulls without an answer. The guard holds because a VM answers no
-/// more than its link carries and names VMs that it has answered: their number
-/// doubles with each round.
+/// Without the limit, all VMs would pull a large change from the one VM that announces
+/// it. Its link would be saturated for seconds, pulls would time out, and requests
+/// would be routed by the old version meanwhile. With it, a VM sends no more than its
+/// link carries and redirects other VMs to those it has served, so that the number of
+/// servers doubles in each round.
 #[derive(Clone, Debug)]
 pub(super) struct PullServer {
     bytes_per_second: f64,
-    /// Bytes that may be answered now; below zero after a long answer.
+    /// Bytes that may be sent now; negative after a long response.
     available_bytes: f64,
     refilled_at: Time,
     recent_peers: VecDeque<Vm>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns whether a VM may be answered now; otherwise it has to ask elsewhere.
+    /// Returns whether a pull may be served now; otherwise it is redirected.
     pub(super) fn has_capacity(&mut self, now: Time) -> bool {
         let refill = now.since(self.refilled_at).as_secs_f64() * self.bytes_per_second;
         self.refilled_at = now;
@@ -55,7 +55,7 @@
         self.available_bytes > 0.0
     }
 
-    /// Notes an answer that brings `requester` to the version in force.
+    /// Records a response that brings `requester` to the active version.
     pub(super) fn record_response(&mut self, requester: Vm, bytes: usize) {
         self.available_bytes -= bytes as f64;
         self.recent_peers.retain(|vm| vm.name != requester.name);
@@ -65,7 +65,7 @@
         self.recent_peers.push_back(requester);
     }
 
-    /// Returns some of the VMs answered, other than `requester`.
+    /// Returns a random sample of the recently served VMs, without `requester`.
     pub(super) fn sample_recent_peers(&self, requester: &Vm, rng: &mut impl Rng) -> Vec<Vm> {
         self.recent_peers
             .iter()
@@ -74,19 +74,19 @@
             .sample(rng, REDIRECT_PEERS)
     }
 
-    /// Forgets whom it answered: they no longer have the version in force.
+    /// Clears the recently served VMs, which don't have the new active version.
     pub(super) fn on_activated(&mut self) {
         self.recent_peers.clear();
     }
 }
 
 impl ConfigSync {
-    /// Answers a peer's question, or sends the peer to others if this VM answers as
-    /// many as its link carries.
+    /// Responds to a peer's pull, or redirects the peer to other VMs if this VM has
+    /// used up its bandwidth.
     ///
     /// # Errors
     ///
-    /// Returns an error if the question can't be decoded.
+    /// Returns an error if the request can't be decoded.
     pub fn handle_pull(&mut self, now: Time, request: &[u8]) -> Result<Vec<u8>, postcard::Error> {
         let pull: PullRequest = postcard::from_bytes(request)?;
         let bytes = self.response_to(&pull).len();
--- a/crates/pistachiotrack-core/src/config_sync/settings.rs
+++ b/crates/pistachiotrack-core/src/config_sync/settings.rs
@@ -1,56 +1,57 @@
-//! Settings of the configuration's spread.
+//! Settings of the configuration distribution.
 
 use serde::Deserialize;
 
-/// Settings of the configuration's spread.
+/// Settings of the configuration distribution.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ConfigSyncSettings {
-    /// VMs of each data centre that watch the platform.
+    /// Number of VMs per data centre that watch the platform.
     pub watchers_per_data_centre: u32,
-    /// VMs of each data centre, after the watchers, that read the platform while fewer
-    /// watchers are answered. They are told of each answer to a watcher.
+    /// Number of VMs per data centre, ranked after the watchers, that read the platform
+    /// while fewer watchers get a response. They are notified of each response to a
+    /// watcher.
     pub standbys_per_data_centre: u32,
-    /// Time between the first calls of two standbys.
+    /// Interval between the first calls of consecutive standbys.
     pub standby_step_ms: u64,
-    /// Time by which an answer to a watcher may be late before a standby reads.
+    /// Time by which a response to a watcher may be late before a standby reads.
     pub standby_margin_ms: u64,
-    /// Wait after the first failed call of a standby; doubled by each further one, up to
-    /// `unconfirmed_read_after_ms`, with jitter.
+    /// Delay after the first failed call of a standby. It doubles with each further failure,
+    /// up to `unconfirmed_read_after_ms`, with jitter.
     pub standby_backoff_ms: u64,
-    /// Time after which a waiting watch is ended by the platform.
+    /// Time after which the platform ends a pending watch.
     pub watch_timeout_ms: u64,
-    /// Time after which a pull of deltas has failed and another peer is asked.
+    /// Timeout of a pull of deltas, after which another peer is asked.
     pub delta_timeout_ms: u64,
-    /// The same for a pull of the whole value, or after several failed ones.
+    /// Timeout of a pull of the full configuration, or of a pull after several timeouts.
     pub pull_timeout_ms: u64,
-    /// Bytes a second that a VM spends on answering others; those that ask beyond
-    /// it are sent elsewhere.
+    /// Bandwidth that a VM spends on responses to pulls. Pulls beyond it are redirected
+    /// to other VMs.
     pub answer_bytes_per_second: u64,
-    /// Wait after the first failed call to the platform; doubled by each
-    /// further one, with jitter.
+    /// Delay after the first failed call to the platform; doubles with each
+    /// further failure, with jitter.
     pub min_backoff_ms: u64,
-    /// Longest such wait.
+    /// Upper bound of that delay.
     pub max_backoff_ms: u64,
-    /// First reads of the value, and of the list, by all VMs of one deployment
-    /// when they start at once. The platform's 2,000 a second are for all 121
-    /// deployments of 48 VMs.
+    /// Rate of first reads of the value, and also of the VM list, by all VMs of a
+    /// deployment that start at once. All 121 deployments of 48 VMs share the platform's
+    /// limit of 2,000 reads per second.
     pub first_reads_per_second: f64,
-    /// Reads of the whole fleet by VMs that don't watch.
+    /// Rate of reads by all VMs of the fleet that aren't watchers.
     pub follower_reads_per_second: f64,
-    /// Time that a VM without a configuration waits for the watchers.
+    /// Time for which a VM without a configuration waits for the watchers.
     pub cold_read_after_ms: u64,
     /// Time without any change after which a VM that is neither watcher nor standby reads
-    /// once; longer in a large fleet.
+    /// the platform once; longer in a large fleet.
     pub unconfirmed_read_after_ms: u64,
-    /// Size of the fleet while neither list nor members are known.
+    /// Assumed size of the fleet while neither the VM list nor members are known.
     #[serde(skip, default = "assumed_fleet_vms")]
     pub assumed_fleet_vms: u32,
-    /// Time for which a VM without a configuration holds the platform's first
-    /// value back to hear whether a peer has a newer one.
+    /// Time for which a VM without a configuration holds the platform's first value
+    /// until a peer has reported whether it has a newer one.
     pub first_value_grace_ms: u64,
-    /// Time after a newer value before the next watch begins, so that changes in
-    /// quick succession are read together.
+    /// Delay after a newer value before the next watch starts, so that changes in quick
+    /// succession are read together.
     pub change_gap_ms: u64,
     /// Time for which a rejected version isn't read again.
     pub rejected_hold_ms: u64,
@@ -67,7 +68,7 @@
             watch_timeout_ms: 30_000,
             delta_timeout_ms: 500,
             pull_timeout_ms: 4_000,
-            // Eight tenths of a link of 10 Mbit/s, the slowest that VMs have.
+            // 80% of a link of 10 Mbit/s, the slowest that VMs have.
             answer_bytes_per_second: 1_000_000,
             min_backoff_ms: 200,
             max_backoff_ms: 5_000,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Size of the fleet where the settings of the VM don't say.
+/// Fleet size that is assumed if the VM's settings don't give one.
 fn assumed_fleet_vms() -> u32 {
     48
 }
--- a/crates/pistachiotrack-core/src/config_sync/standby.rs
+++ b/crates/pistachiotrack-core/src/config_sync/standby.rs
@@ -1,27 +1,28 @@
-//! VMs that read the platform in place of watchers that it doesn't answer.
+//! Standbys: VMs that read the platform in place of watchers that get no response from it.
 
 use std::time::Duration;
 
 use super::{ConfigSync, watch_score};
 use crate::{membership::Member, name::Name, time::Time};
 
-/// The VMs of this VM's data centre that read the platform rather than this one.
+/// The VMs of this VM's data centre with a higher score, which read the platform first.
 #[derive(Debug, Default)]
 pub(super) struct HigherRanked {
-    /// How many of them are alive.
+    /// Number of those that are alive.
     pub(super) alive_count: u32,
-    /// When the platform last answered those of which it is known.
+    /// Times of the platform's last responses to those that have reported one.
     platform_responses: Vec<Time>,
 }
 
 impl HigherRanked {
-    /// Notes one of them.
+    /// Adds a VM with a higher score.
     pub(super) fn add(&mut self, member: &Member, is_alive: bool) {
         self.alive_count += u32::from(is_alive);
         self.platform_responses.extend(member.platform_answered);
     }
 
-    /// Returns the moment until which at least `watchers` of them had been answered.
+    /// Returns the time of the last response to the VM that ranks at `watcher_count` by
+    /// recency: at least that many have had a response since then.
     fn nth_latest_response(&self, watcher_count: u32) -> Option<Time> {
         let mut responses = self.platform_responses.clone();
         responses.sort_unstable_by_key(|response| std::cmp::Reverse(*response));
@@ -30,11 +31,11 @@
 }
 
 impl ConfigSync {
-    /// Returns whether this VM, which isn't a watcher itself, reads in place of one.
+    /// Returns whether this VM, which isn't a watcher, reads in place of one.
     ///
-    /// That a watcher is alive says nothing of its way to the platform; its answers do.
-    /// Standbys begin one after the other, so that the first one that is answered keeps the
-    /// others from calling.
+    /// Liveness of a watcher says nothing about its connection to the platform, but the
+    /// responses that it gets do. Standbys start one after the other, so that the first one
+    /// with a response keeps the others from calling.
     pub(super) fn reads_as_standby(&self, now: Time, higher_ranked: &HigherRanked) -> bool {
         let watcher_count = self.watcher_count();
         let rank = higher_ranked.alive_count.saturating_sub(watcher_count);
@@ -42,13 +43,14 @@
             return false;
         }
         let last_response = higher_ranked.nth_latest_response(watcher_count);
-        let last_response = last_response.unwrap_or_else(|| self.platform_schedule.first_reads_end());
+        let last_response =
+            last_response.unwrap_or_else(|| self.platform_schedule.first_reads_end());
         let stagger = Duration::from_millis(self.settings.standby_step_ms) * rank;
         now >= last_response + self.platform_schedule.max_response_gap() + stagger
     }
 
-    /// Returns the VMs that have to hear of each answer of the platform to this one, or they
-    /// read in its place.
+    /// Returns the VMs to notify of each response of the platform to this VM. Without the
+    /// notification they would read in its place.
     pub fn standbys<'a>(&self, members: impl Iterator<Item = &'a Member>) -> Vec<Name> {
         let my_score = watch_score(&self.deployment, &self.me);
         let mut lower_ranked: Vec<(u64, &Name)> = members
--- a/crates/pistachiotrack-core/src/config_sync/store.rs
+++ b/crates/pistachiotrack-core/src/config_sync/store.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and what peers can be told about it.
+//! The active configuration, and responses to pulls from it.
 
 use std::{cell::OnceCell, cmp::Ordering, sync::Arc};
 
@@ -11,25 +11,25 @@
     },
 };
 
-/// A checked configuration that was offered.
+/// A decoded configuration offered by the platform or a peer.
 #[derive(Clone, Debug)]
 pub(super) struct ConfigCandidate {
     pub(super) config: Config,
     pub(super) summary: ContentSummary,
-    /// The deltas that it came by, to be passed on as they are.
+    /// The deltas that it was received as, to be forwarded unchanged.
     encoded_deltas: Vec<EncodedDelta>,
 }
 
-/// How an offer compares with the configuration in force.
+/// Result of comparing a candidate with the active configuration.
 pub(super) enum VersionComparison {
     Newer,
     Same,
     Older,
-    /// The same version with another content.
+    /// Same version, different content.
     Conflict,
 }
 
-/// The configuration in force with its latest deltas.
+/// The active configuration with its most recent deltas.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ConfigStore {
     active: Option<ActiveConfig>,
@@ -40,7 +40,7 @@
 struct ActiveConfig {
     config: Arc<Config>,
     summary: ContentSummary,
-    /// The whole for peers, once one has asked for it.
+    /// The full configuration for peers, encoded when a peer first requests it.
     encoded: OnceCell<Option<Payload>>,
 }
 
@@ -52,13 +52,13 @@
 }
 
 impl ConfigCandidate {
-    /// Offers a configuration that came as a whole.
+    /// Creates a candidate from a full configuration.
     pub(super) fn new(config: Config) -> Option<ConfigCandidate> {
         let summary = ContentSummary::of(&config).ok()?;
         Some(ConfigCandidate { config, summary, encoded_deltas: Vec::new() })
     }
 
-    /// Opens a whole configuration that a peer has encoded.
+    /// Decodes a full configuration received from a peer.
     pub(super) fn decode(payload: &Payload) -> Option<ConfigCandidate> {
         ConfigCandidate::new(postcard::from_bytes(&payload.decode()?).ok()?)
     }
@@ -69,12 +69,12 @@
         self.active.as_ref().map(|active| &active.config)
     }
 
-    /// Returns version and content in force.
+    /// Returns version and content hash of the active configuration.
     pub(super) fn active_version(&self) -> Option<(u64, ContentHash)> {
         self.active.as_ref().map(|active| (active.config.version, active.summary.hash))
     }
 
-    /// Answers a peer of the same deployment.
+    /// Returns the response to a peer of the same deployment.
     pub(super) fn respond(&self, request: &PullRequest) -> PullResponseRef<'_> {
         let newer = |active: &&ActiveConfig| Some(active.config.version) > request.newer_than;
         let Some(active) = self.active.as_ref().filter(newer) else {
@@ -90,7 +90,8 @@
         active.encoded().map_or(PullResponseRef::NoUpdate, full)
     }
 
-    /// Applies encoded deltas to the configuration in force, if they fit.
+    /// Applies encoded deltas to the active configuration, or returns `None` if they
+    /// don't fit.
     pub(super) fn apply_deltas(&self, payloads: Vec<Payload>) -> Option<ConfigCandidate> {
         let active = self.active.as_ref()?;
         let decode = |payload: &Payload| postcard::from_bytes::<Delta>(&payload.decode()?).ok();
@@ -105,7 +106,7 @@
         Some(ConfigCandidate { config, summary, encoded_deltas })
     }
 
-    /// Compares an offer with what is in force.
+    /// Compares a candidate with the active configuration.
     pub(super) fn compare(&self, candidate: &ConfigCandidate) -> VersionComparison {
         let Some(active) = &self.active else { return VersionComparison::Newer };
         match candidate.config.version.cmp(&active.config.version) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Puts an offer in force.
+    /// Activates a candidate.
     pub(super) fn activate(&mut self, candidate: ConfigCandidate) -> Arc<Config> {
         let ConfigCandidate { config, summary, encoded_deltas } = candidate;
         let config = Arc::new(config);
--- a/crates/pistachiotrack-core/src/config_sync/wire.rs
+++ b/crates/pistachiotrack-core/src/config_sync/wire.rs
@@ -1,4 +1,4 @@
-//! What VMs ask each other about the configuration, encoded with `postcard`.
+//! Messages of configuration pulls between VMs, encoded with `postcard`.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,37 +9,38 @@
     vm::Vm,
 };
 
-/// Longest answer that is decoded: the whole of the largest configuration, and the
-/// frame around it.
+/// Maximum length of a response: the largest full configuration, and room for the rest
+/// of the message.
 pub const MAX_PULL_RESPONSE_BYTES: usize = MAX_ENCODED_BYTES + 1024;
 
-/// Asks for what is newer than the version held.
+/// Requests what is newer than the requester's version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct PullRequest {
     pub(super) deployment: Name,
-    /// The VM that asks.
+    /// VM that sends the request.
     pub(super) requester: Vm,
-    /// Version and content held, or `None` to ask for the whole.
+    /// Version and content hash to which deltas may apply, or `None` to request the full
+    /// configuration.
     pub(super) base: Option<(u64, ContentHash)>,
-    /// Version that the requester is looking for.
+    /// Version that the response has to exceed.
     pub(super) newer_than: Option<u64>,
 }
 
-/// Answers a [`PullRequest`].
+/// Response to a [`PullRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum PullResponse {
     /// The peer has nothing newer, or belongs to another deployment.
     NoUpdate,
-    /// Encoded deltas from the version held to the newest, the oldest first.
+    /// Encoded deltas from the base to the newest version, the oldest first.
     Deltas(Vec<Payload>),
-    /// The whole configuration, encoded.
+    /// The encoded full configuration.
     Full { hash: ContentHash, payload: Payload },
-    /// The peer has answered as many as its link carries; it has `version`, and so
-    /// will these VMs that it has answered.
+    /// The peer has used up its bandwidth. It has `version`, and so will `holders`, which
+    /// it has served.
     Redirect { version: u64, holders: Vec<Vm> },
 }
 
-/// As [`PullResponse`], without owning what is kept for many answers.
+/// As [`PullResponse`], but borrows the payloads that are kept for many responses.
 #[derive(Debug, Serialize)]
 pub(super) enum PullResponseRef<'a> {
     NoUpdate,
@@ -49,7 +50,7 @@
 }
 
 impl PullResponseRef<'_> {
-    /// Returns about how many bytes the answer takes.
+    /// Returns the approximate length of the response.
     pub(super) fn len(&self) -> usize {
         match self {
             PullResponseRef::NoUpdate | PullResponseRef::Redirect { .. } => 0,
