--- a/crates/pistachiotrack-core/examples/config_spread.rs
+++ b/crates/pistachiotrack-core/examples/config_distribution.rs
@@ -1,7 +1,7 @@
-//! Measures the spread of a configuration: time until a change is in force on
-//! every VM of a lossy fleet, and the bytes and the time that a change costs.
+//! Measures the distribution of a configuration: the time until a change is active on
+//! every VM of a fleet with message loss, and the bytes and time that a change costs.
 //!
-//! Run with `cargo run --release -p pistachiotrack-core --example config_spread`.
+//! Run with `cargo run --release -p pistachiotrack-core --example config_distribution`.
 
 #[path = "../tests/config_support/mod.rs"]
 mod config_support;
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use config_support::{DESIGN, Sizes, TODAY, config, fleet::Fleet, json, name};
+use config_support::{CURRENT_SIZES, Sizes, TARGET_SIZES, config, fleet::Fleet, json, name};
 use pistachiotrack_core::{
     config::{Config, ContentSummary, Delta, IndexedConfig, MAX_VALUE_BYTES},
     config_sync::ConfigSyncSettings,
@@ -22,43 +22,49 @@
 const CHANGES: u64 = 200;
 const LIMIT: Duration = Duration::from_secs(120);
 
-/// About the largest mix that fits in the platform's value.
-const LARGEST: Sizes =
+/// Approximately the largest mix that fits in a value of the platform.
+const LARGEST_MIX: Sizes =
     Sizes { data_centres: 17, services: 60, endpoints: 1_400, customers: 2_100, rules: 2_100 };
 
-/// As many rules as operators' routes of 133 bytes give that fill the platform's value, in
-/// front of the largest of today's fleets of endpoints.
-const ROUTES: Sizes =
+/// As many rules as there are operators' routes of 133 bytes in a full platform value, in
+/// front of the largest number of endpoints in any current deployment.
+const FULL_OF_ROUTES: Sizes =
     Sizes { data_centres: 4, services: 3, endpoints: 247, customers: 12, rules: 7_900 };
 
 fn main() {
-    println!("spread over {VMS} VMs in 3 data centres, {CHANGES} changes, reports each 500 ms");
+    println!("distribution to {VMS} VMs in 3 data centres, {CHANGES} changes, reports each 500 ms");
     println!(
         "loss p50_ms p99_ms max_ms missed pulls_per_vm_and_change pulled_bytes_per_vm_and_change"
     );
     for loss in [0.0, 0.2, 0.4] {
-        spread(loss);
+        measure_distribution(loss);
     }
     println!("\nsizes json_bytes whole_bytes fits");
-    for (label, sizes) in
-        [("today", TODAY), ("largest", LARGEST), ("routes", ROUTES), ("design", DESIGN)]
-    {
-        whole(label, sizes);
+    for (label, sizes) in [
+        ("today", CURRENT_SIZES),
+        ("largest", LARGEST_MIX),
+        ("routes", FULL_OF_ROUTES),
+        ("design", TARGET_SIZES),
+    ] {
+        measure_sizes(label, sizes);
     }
     println!("\nsizes change delta_bytes make_us apply_us check_us");
-    for (label, sizes) in
-        [("today", TODAY), ("largest", LARGEST), ("routes", ROUTES), ("design", DESIGN)]
-    {
-        changes(label, sizes);
+    for (label, sizes) in [
+        ("today", CURRENT_SIZES),
+        ("largest", LARGEST_MIX),
+        ("routes", FULL_OF_ROUTES),
+        ("design", TARGET_SIZES),
+    ] {
+        measure_changes(label, sizes);
     }
 }
 
-fn spread(loss: f64) {
+fn measure_distribution(loss: f64) {
     let mut fleet = Fleet::new(VMS, 3, ConfigSyncSettings::default(), 21);
-    let mut config = config(1, TODAY);
+    let mut config = config(1, CURRENT_SIZES);
     fleet.publish(&config);
-    fleet.run_until(LIMIT, |fleet| fleet.all_hold(1)).expect("a first version");
-    fleet.loss = loss;
+    fleet.run_until(LIMIT, |fleet| fleet.all_have(1)).expect("a first version");
+    fleet.loss_rate = loss;
     let (pulls, bytes) = totals(&fleet);
     let mut times_ms = Vec::new();
     let mut missed = 0;
@@ -66,18 +72,24 @@
         config.version = version;
         config.services[version as usize % 3].endpoints[0].slots = 1 + version as u32 % 7;
         fleet.publish(&config);
-        match fleet.run_until(LIMIT, |fleet| fleet.all_hold(version)) {
+        match fleet.run_until(LIMIT, |fleet| fleet.all_have(version)) {
             Some(time) => times_ms.push(time.as_millis()),
             None => missed += 1,
         }
         fleet.run(Duration::from_millis(version % 10 * 50));
     }
     times_ms.sort_unstable();
-    let at = |percent: usize| times_ms[(times_ms.len() - 1) * percent / 100];
+    let percentile = |percent: usize| times_ms[(times_ms.len() - 1) * percent / 100];
     let (pulls_after, bytes_after) = totals(&fleet);
-    let each = |total: u64| total as f64 / (CHANGES * u64::from(VMS)) as f64;
-    let (pulls, bytes) = (each(pulls_after - pulls), each(bytes_after - bytes));
-    println!("{loss} {} {} {} {missed} {pulls:.2} {bytes:.0}", at(50), at(99), at(100));
+    let per_vm_and_change = |total: u64| total as f64 / (CHANGES * u64::from(VMS)) as f64;
+    let (pulls, bytes) =
+        (per_vm_and_change(pulls_after - pulls), per_vm_and_change(bytes_after - bytes));
+    println!(
+        "{loss} {} {} {} {missed} {pulls:.2} {bytes:.0}",
+        percentile(50),
+        percentile(99),
+        percentile(100)
+    );
 }
 
 fn totals(fleet: &Fleet) -> (u64, u64) {
@@ -86,18 +98,18 @@
     (pulls, bytes)
 }
 
-fn whole(label: &str, sizes: Sizes) {
+fn measure_sizes(label: &str, sizes: Sizes) {
     let config = config(1, sizes);
     let json_bytes = json(&config).len();
-    let content = ContentSummary::of(&config).expect("an encoding");
-    println!("{label} {json_bytes} {} {}", content.encoded_bytes, json_bytes <= MAX_VALUE_BYTES);
+    let summary = ContentSummary::of(&config).expect("an encoding");
+    println!("{label} {json_bytes} {} {}", summary.encoded_bytes, json_bytes <= MAX_VALUE_BYTES);
 }
 
 type Edit = fn(&mut Config);
 
-fn changes(label: &str, sizes: Sizes) {
+fn measure_changes(label: &str, sizes: Sizes) {
     let base = Arc::new(config(1, sizes));
-    let base_content = ContentSummary::of(&base).expect("an encoding");
+    let base_summary = ContentSummary::of(&base).expect("an encoding");
     let edits: [(&str, Edit); 4] = [
         ("endpoint_leaving", |new| new.services[1].endpoints[1].leaving = true),
         ("rule_added", |new| {
@@ -117,17 +129,17 @@
         let mut new = Config::clone(&base);
         new.version += 1;
         edit(&mut new);
-        let content = ContentSummary::of(&new).expect("an encoding");
+        let summary = ContentSummary::of(&new).expect("an encoding");
 
         let begin = Instant::now();
-        let delta = Delta::between(&base, base_content.hash, &new, content.hash);
+        let delta = Delta::between(&base, base_summary.hash, &new, summary.hash);
         let make_us = begin.elapsed().as_micros();
         let bytes = postcard::to_stdvec(&delta).expect("an encoding");
 
         let begin = Instant::now();
         let delta = postcard::from_bytes(&bytes).expect("a delta");
         let (result, _) =
-            Delta::apply_all(vec![delta], &base, base_content.hash).expect("a result");
+            Delta::apply_all(vec![delta], &base, base_summary.hash).expect("a result");
         let apply_us = begin.elapsed().as_micros();
         assert_eq!(result, new);
 
--- a/crates/pistachiotrack-core/tests/config_check.rs
+++ b/crates/pistachiotrack-core/tests/config_check.rs
@@ -1,15 +1,15 @@
-//! The check of a configuration value.
+//! Validation of a configuration value.
 
 mod config_support;
 
-use config_support::{TODAY, config, json};
+use config_support::{CURRENT_SIZES, config, json};
 use pistachiotrack_core::config::{Config, ConfigError, IndexedConfig, MAX_VALUE_BYTES};
 use quickcheck::{Gen, QuickCheck};
 use serde_json::{Value, json};
 
-/// Replaces the value at a JSON pointer; a pointer to a missing member adds it.
-fn changed(pointer: &str, value: Value) -> Vec<u8> {
-    let mut tree = serde_json::to_value(config(7, TODAY)).unwrap();
+/// Replaces the value at a JSON pointer, or adds the member if it is missing.
+fn with_value(pointer: &str, value: Value) -> Vec<u8> {
+    let mut tree = serde_json::to_value(config(7, CURRENT_SIZES)).unwrap();
     match tree.pointer_mut(pointer) {
         Some(place) => *place = value,
         None => {
@@ -21,20 +21,20 @@
     serde_json::to_vec(&tree).unwrap()
 }
 
-fn refusal(pointer: &str, value: Value) -> ConfigError {
-    Config::parse("timeliten.json", &changed(pointer, value)).expect_err(pointer)
+fn parse_error(pointer: &str, value: Value) -> ConfigError {
+    Config::parse("timeliten.json", &with_value(pointer, value)).expect_err(pointer)
 }
 
 #[test]
-fn a_sound_value_is_accepted() {
-    let parsed = Config::parse("timeliten.json", &json(&config(7, TODAY))).unwrap();
-    assert_eq!(parsed, config(7, TODAY));
+fn a_valid_value_is_accepted() {
+    let parsed = Config::parse("timeliten.json", &json(&config(7, CURRENT_SIZES))).unwrap();
+    assert_eq!(parsed, config(7, CURRENT_SIZES));
     assert_eq!(parsed.warnings(), []);
 }
 
-/// Each fault is refused with the file, the path of the field and the value.
+/// Each invalid field is reported with the file, the path of the field and the value.
 #[test]
-fn each_fault_names_its_field_and_value() {
+fn each_error_names_its_field_and_value() {
     let cases = [
         ("/deployment", json!(""), "deployment", "\"\""),
         ("/deployment", json!("a\nb"), "deployment", "a\\nb"),
@@ -126,7 +126,7 @@
         ("/rules/3/then", json!({"refuse": {"status": 600}}), "rules[3].then.refuse.status", "600"),
     ];
     for (pointer, value, field, found) in cases {
-        let error = refusal(pointer, value);
+        let error = parse_error(pointer, value);
         assert_eq!(error.file.as_str(), "timeliten.json");
         assert_eq!(error.field, field, "{error}");
         assert!(error.problem.contains(found), "{error} lacks {found}");
@@ -134,25 +134,25 @@
 }
 
 #[test]
-fn a_second_contract_for_a_service_is_refused() {
+fn a_second_contract_for_a_service_is_rejected() {
     let contract = json!({"service": "service-0", "slots": 1});
-    let error = refusal("/customers/0/contracts", json!([contract, contract]));
+    let error = parse_error("/customers/0/contracts", json!([contract, contract]));
     assert_eq!(error.field, "customers[0].contracts[1].service");
 }
 
 #[test]
-fn unknown_fields_and_wrong_types_are_refused_with_their_path() {
-    let error = refusal("/services/1/endpoints/2/weight", json!(3));
+fn unknown_fields_and_wrong_types_are_rejected_with_their_path() {
+    let error = parse_error("/services/1/endpoints/2/weight", json!(3));
     assert_eq!(error.field, "services[1].endpoints[2].weight");
     assert!(error.problem.contains("unknown field `weight`"), "{error}");
-    let error = refusal("/services/1/endpoints/2/slots", json!("two"));
+    let error = parse_error("/services/1/endpoints/2/slots", json!("two"));
     assert_eq!(error.field, "services[1].endpoints[2].slots");
     assert!(error.problem.contains("two"), "{error}");
 }
 
 #[test]
-fn a_value_over_the_platforms_limit_is_refused() {
-    let mut value = json(&config(7, TODAY));
+fn a_value_above_the_platforms_limit_is_rejected() {
+    let mut value = json(&config(7, CURRENT_SIZES));
     value.resize(MAX_VALUE_BYTES, b' ');
     Config::parse("big", &value).unwrap();
     value.push(b' ');
@@ -162,7 +162,7 @@
 
 #[test]
 fn every_problem_is_listed_and_the_first_is_returned() {
-    let mut broken = config(7, TODAY);
+    let mut broken = config(7, CURRENT_SIZES);
     broken.services[1].timeout_ms = 0;
     broken.services[2].sensitivity = 2.0;
     broken.rules[4].name = broken.rules[0].name.clone();
@@ -173,12 +173,12 @@
     assert_eq!(broken.check("f"), problems);
 }
 
-/// An operator marks so many endpoints as leaving that the rest can't fill the
-/// floor. If that were accepted, clerks would find a service with less healthy
-/// capacity than promised. Cause: leaving endpoints take no new work.
+/// An operator marks so many endpoints as leaving that the rest can't fill the floor.
+/// Leaving endpoints take no new requests, so accepting the value would leave the
+/// service with less healthy capacity than promised.
 #[test]
 fn leaving_endpoints_dont_count_towards_the_floor() {
-    let mut value = config(7, TODAY);
+    let mut value = config(7, CURRENT_SIZES);
     value.services[0].floor = value.services[0].endpoints.len() as u32;
     assert_eq!(value.check("f"), []);
     value.services[0].endpoints[0].leaving = true;
@@ -187,15 +187,15 @@
 }
 
 #[test]
-fn a_sensitivity_that_is_no_number_is_refused() {
-    let mut value = config(7, TODAY);
+fn a_sensitivity_that_is_not_a_number_is_rejected() {
+    let mut value = config(7, CURRENT_SIZES);
     value.services[0].sensitivity = f64::NAN;
     assert_eq!(value.check("f")[0].field, "services[0].sensitivity");
 }
 
 #[test]
 fn overselling_and_empty_services_are_warnings() {
-    let mut value = config(7, TODAY);
+    let mut value = config(7, CURRENT_SIZES);
     value.customers[0].contracts[0].slots = 1_000;
     value.services[1].floor = 0;
     value.services[1].endpoints.iter_mut().for_each(|endpoint| endpoint.leaving = true);
@@ -205,8 +205,8 @@
 }
 
 #[test]
-fn look_ups_by_name_find_what_the_scan_finds() {
-    let value = std::sync::Arc::new(config(7, TODAY));
+fn indexed_and_linear_lookups_agree() {
+    let value = std::sync::Arc::new(config(7, CURRENT_SIZES));
     let indexed = IndexedConfig::new(std::sync::Arc::clone(&value));
     for service in &value.services {
         assert_eq!(indexed.service(&service.name), Some(service));
@@ -218,12 +218,12 @@
     assert_eq!(indexed.customer("service-0"), None);
 }
 
-/// Any damage to a published value, from single bits to lost halves, ends in
-/// an error or in a value that passes the check; it never ends the process.
+/// Any damage to a published value, from single bits to truncation, results in an error
+/// or in a value that is valid, and never in a panic.
 #[test]
 fn damaged_values_never_panic_and_never_pass_unchecked() {
     fn property(edits: Vec<(u32, u8)>, keep: u32) -> bool {
-        let mut value = json(&config(7, TODAY));
+        let mut value = json(&config(7, CURRENT_SIZES));
         for (at, byte) in edits {
             let at = at as usize % value.len();
             value[at] = byte;
@@ -240,11 +240,11 @@
     QuickCheck::new().rng(rng).tests(1_000).quickcheck(property as fn(Vec<(u32, u8)>, u32) -> bool);
 }
 
-/// Whole fields are replaced by values of any type and size.
+/// Fields are replaced by values of any type and size.
 #[test]
 fn mutated_fields_never_panic() {
     fn property(picks: Vec<(u32, i64, bool)>) -> bool {
-        let mut tree = serde_json::to_value(config(7, TODAY)).unwrap();
+        let mut tree = serde_json::to_value(config(7, CURRENT_SIZES)).unwrap();
         for (pick, number, text) in picks {
             let value = if text { json!(number.to_string()) } else { json!(number) };
             let mut leaves = Vec::new();
--- a/crates/pistachiotrack-core/tests/config_delta.rs
+++ b/crates/pistachiotrack-core/tests/config_delta.rs
@@ -52,7 +52,7 @@
     (!items.is_empty()).then(|| items.remove(index as usize % items.len()))
 }
 
-fn apply(config: &mut Config, edit: &Edit, fresh: u32) {
+fn apply(config: &mut Config, edit: &Edit, suffix: u32) {
     match *edit {
         Edit::Slots(service, slots) => {
             if let Some(service) = at(&mut config.services, service)
@@ -68,7 +68,7 @@
         }
         Edit::AddEndpoint(service) => {
             if let Some(service) = at(&mut config.services, service) {
-                service.endpoints.insert(0, endpoint(1_000 + fresh, SIZES));
+                service.endpoints.insert(0, endpoint(1_000 + suffix, SIZES));
             }
         }
         Edit::MoveRule(from, to) => {
@@ -82,7 +82,7 @@
         }
         Edit::AddRule(to) => {
             let Some(mut rule) = config.rules.first().cloned() else { return };
-            rule.name = name("fresh-rule", fresh);
+            rule.name = name("fresh-rule", suffix);
             config.rules.insert(to as usize % config.rules.len(), rule);
         }
         Edit::Contract(customer, slots) => {
@@ -95,7 +95,7 @@
         }
         Edit::RenameService(service) => {
             if let Some(service) = at(&mut config.services, service) {
-                service.name = name("fresh-service", fresh);
+                service.name = name("fresh-service", suffix);
             }
         }
         Edit::Lifetime(lifetime) => config.entry_lifetime_ms = 1 + u64::from(lifetime),
@@ -106,8 +106,8 @@
     let mut new = base.clone();
     new.version += 1;
     let first = new.version as u32 * 1_000;
-    for (fresh, edit) in (first..).zip(edits) {
-        apply(&mut new, edit, fresh);
+    for (suffix, edit) in (first..).zip(edits) {
+        apply(&mut new, edit, suffix);
     }
     new
 }
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_chain_of_deltas_gives_exactly_what_was_published() {
+fn a_chain_of_deltas_results_in_the_published_content() {
     fn property(versions: Vec<Vec<Edit>>) -> bool {
         let base = Arc::new(config(1, SIZES));
         let mut newest = Config::clone(&base);
@@ -139,10 +139,10 @@
     QuickCheck::new().rng(rng).tests(500).quickcheck(property as fn(Vec<Vec<Edit>>) -> bool);
 }
 
-/// Bits of a delta are flipped, or its end is lost. It is refused or gives the
-/// published content; it never gives another one and never ends the process.
+/// Bits of a delta are flipped, or it is truncated. It must be rejected or result in the
+/// published content, and never in other content or a panic.
 #[test]
-fn a_damaged_delta_gives_the_published_content_or_nothing() {
+fn a_corrupted_delta_results_in_the_published_content_or_an_error() {
     fn property(edits: Vec<Edit>, flips: Vec<(u16, u8)>, keep: u16) -> bool {
         let base = Arc::new(config(1, SIZES));
         let new = edited(&base, &edits);
@@ -154,10 +154,10 @@
         if keep.is_multiple_of(4) {
             encoded.truncate(keep as usize % encoded.len());
         }
-        let Ok(damaged) = postcard::from_bytes::<Delta>(&encoded) else { return true };
-        let told = damaged.result_hash;
-        match Delta::apply_all(vec![damaged], &base, hash(&base)) {
-            Ok((result, content)) => content.hash == told && hash(&result) == told,
+        let Ok(corrupted) = postcard::from_bytes::<Delta>(&encoded) else { return true };
+        let expected = corrupted.result_hash;
+        match Delta::apply_all(vec![corrupted], &base, hash(&base)) {
+            Ok((result, content)) => content.hash == expected && hash(&result) == expected,
             Err(_) => true,
         }
     }
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn random_bytes_never_make_a_delta_that_applies() {
+fn random_bytes_never_decode_to_an_applicable_delta() {
     fn property(bytes: Vec<u8>) -> bool {
         let base = Arc::new(config(1, SIZES));
         match postcard::from_bytes::<Delta>(&bytes) {
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_delta_for_another_base_is_refused() {
+fn a_delta_for_another_base_is_rejected() {
     let base = config(1, SIZES);
     let new = edited(&base, &[Edit::Slots(0, 0)]);
     let mut other = base.clone();
@@ -191,10 +191,10 @@
     assert_eq!(result.map(|_| ()), Err(DeltaError::BaseMismatch));
 }
 
-/// One endpoint of a large service changes. The delta spells out that endpoint
-/// and not the service.
+/// One endpoint of a large service changes. The delta contains that endpoint and not the
+/// whole service.
 #[test]
-fn one_changed_endpoint_costs_one_endpoint() {
+fn a_delta_contains_only_the_changed_endpoint() {
     let sizes = Sizes { endpoints: 4_000, ..SIZES };
     let base = config(1, sizes);
     let new = edited(&base, &[Edit::Slots(0, 9)]);
--- a/crates/pistachiotrack-core/tests/config_watchers.rs
+++ b/crates/pistachiotrack-core/tests/config_standbys.rs
@@ -4,22 +4,22 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use config_support::{TODAY, config, fleet::Fleet};
+use config_support::{CURRENT_SIZES, config, fleet::Fleet};
 use pistachiotrack_core::config_sync::ConfigSyncSettings;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const MINUTE: Duration = Duration::from_secs(60);
-/// Time in which a confirmed change has to be in force on all VMs.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time in which a confirmed change has to be active on all VMs.
+const MAX_ACTIVATION_TIME: Duration = Duration::from_secs(2);
 const VMS: u32 = 44;
 const DATA_CENTRES: u32 = 3;
-/// VMs that read the platform while all is well.
+/// VMs that watch the platform while it responds to all watchers.
 const WATCHERS: usize = 6;
 /// VMs that still reach the platform when the watchers don't.
 const REACH_PLATFORM: usize = 8;
 
-/// Returns the settings with which the users' platform runs the fleet.
+/// Returns the settings of the deployment template.
 fn deployed_settings() -> ConfigSyncSettings {
     let template = include_str!("../../../deploy/settings.json");
     let (_, rest) = template.split_once("\"config_sync\":").expect("the section");
@@ -27,62 +27,70 @@
     serde_json::from_str(&format!("{section}}}")).expect("settings without placeholders")
 }
 
-/// Returns a fleet that has a first version, after a while that differs by seed.
+/// Returns a fleet with a first version, after a time that differs by seed.
 fn settled_fleet(seed: u64, rng: &mut Pcg64Mcg) -> Fleet {
     let mut fleet = Fleet::new(VMS, DATA_CENTRES, deployed_settings(), seed);
-    fleet.announces = true;
-    fleet.publish(&config(1, TODAY));
-    fleet.run_until(MINUTE, |fleet| fleet.all_hold(1)).expect("a first version");
+    fleet.announces_changes = true;
+    fleet.publish(&config(1, CURRENT_SIZES));
+    fleet.run_until(MINUTE, |fleet| fleet.all_have(1)).expect("a first version");
     fleet.run(Duration::from_millis(rng.random_range(20_000..25_000)));
-    fleet.run_until(MINUTE, |fleet| fleet.waiting() == WATCHERS).expect("all watchers wait");
+    fleet
+        .run_until(MINUTE, |fleet| fleet.pending_watches() == WATCHERS)
+        .expect("all watchers wait");
     fleet
 }
 
-/// Cuts all watchers and most other VMs off from the platform.
+/// Cuts off all watchers and most other VMs from the platform.
 fn cut_watchers(fleet: &mut Fleet, is_silent: bool, rng: &mut Pcg64Mcg) {
     let mut others: Vec<usize> = Vec::new();
     for (index, node) in fleet.nodes.iter_mut().enumerate() {
-        node.cut_from_platform = true;
-        node.is_cut_silently = is_silent;
+        node.is_cut_from_platform = true;
+        node.drops_platform_calls = is_silent;
         if !node.is_watching() {
             others.push(index);
         }
     }
     for _ in 0..REACH_PLATFORM {
         let index = others.swap_remove(rng.random_range(0..others.len()));
-        fleet.nodes[index].cut_from_platform = false;
+        fleet.nodes[index].is_cut_from_platform = false;
     }
 }
 
 #[test]
-fn a_change_is_in_force_in_time_though_no_watcher_reaches_the_platform() {
+fn a_change_is_active_in_time_though_no_watcher_reaches_the_platform() {
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut fleet = settled_fleet(seed, &mut rng);
         cut_watchers(&mut fleet, seed % 2 == 0, &mut rng);
         fleet.run(Duration::from_millis(rng.random_range(0..3_000)));
-        fleet.publish(&config(2, TODAY));
-        let in_time = fleet.run_until(IN_FORCE, |fleet| fleet.all_hold(2));
-        assert!(in_time.is_some(), "seed {seed}: not in force on all VMs after {IN_FORCE:?}");
+        fleet.publish(&config(2, CURRENT_SIZES));
+        let activation_time = fleet.run_until(MAX_ACTIVATION_TIME, |fleet| fleet.all_have(2));
+        assert!(
+            activation_time.is_some(),
+            "seed {seed}: not active on all VMs after {MAX_ACTIVATION_TIME:?}"
+        );
     }
 }
 
 #[test]
-fn a_change_is_in_force_in_time_though_all_that_announced_it_lose_power() {
+fn a_change_is_active_in_time_though_all_vms_that_announced_it_lose_power() {
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut fleet = settled_fleet(seed, &mut rng);
-        fleet.publish(&config(2, TODAY));
+        fleet.publish(&config(2, CURRENT_SIZES));
         let read = |fleet: &Fleet| fleet.nodes.iter().any(|node| node.sync.version() == Some(2));
-        let took = fleet.run_until(IN_FORCE, read).expect("the watchers read it");
+        let took = fleet.run_until(MAX_ACTIVATION_TIME, read).expect("the watchers read it");
         for node in fleet.nodes.iter_mut().filter(|node| node.sync.version() == Some(2)) {
-            (node.paused, node.is_taken_for_alive) = (true, true);
+            (node.paused, node.is_assumed_alive) = (true, true);
         }
-        let is_in_force = |fleet: &Fleet| {
+        let is_active = |fleet: &Fleet| {
             fleet.nodes.iter().all(|node| node.paused || node.sync.version() == Some(2))
         };
-        let in_time = fleet.run_until(IN_FORCE - took, is_in_force);
-        assert!(in_time.is_some(), "seed {seed}: not in force on all VMs after {IN_FORCE:?}");
+        let activation_time = fleet.run_until(MAX_ACTIVATION_TIME - took, is_active);
+        assert!(
+            activation_time.is_some(),
+            "seed {seed}: not active on all VMs after {MAX_ACTIVATION_TIME:?}"
+        );
     }
 }
 
@@ -90,7 +98,7 @@
     (0..fleet.nodes.len()).filter(|index| fleet.nodes[*index].is_watching()).collect()
 }
 
-/// Returns all VMs that watched at any moment of `time`.
+/// Returns all VMs that watched at any moment within `time`.
 fn watching_within(fleet: &mut Fleet, time: Duration) -> BTreeSet<usize> {
     let end = fleet.now + time;
     let mut all = BTreeSet::new();
@@ -102,31 +110,31 @@
 }
 
 #[test]
-fn standbys_leave_the_platform_alone_while_the_watchers_are_answered() {
+fn standbys_dont_read_while_the_watchers_get_responses() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut fleet = settled_fleet(1, &mut rng);
     let watchers = watching(&fleet);
     for version in 2..12 {
-        fleet.publish(&config(version, TODAY));
+        fleet.publish(&config(version, CURRENT_SIZES));
         assert_eq!(watching_within(&mut fleet, MINUTE / 12), watchers);
     }
 }
 
 #[test]
-fn standbys_cease_to_read_when_the_watchers_are_answered_again() {
+fn standbys_stop_reading_when_the_watchers_get_responses_again() {
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     let mut fleet = settled_fleet(2, &mut rng);
     let watchers = watching(&fleet);
     cut_watchers(&mut fleet, true, &mut rng);
     let standbys = watching_within(&mut fleet, MINUTE / 6);
     assert!(standbys.difference(&watchers).count() >= REACH_PLATFORM, "{standbys:?}");
-    fleet.nodes.iter_mut().for_each(|node| node.cut_from_platform = false);
+    fleet.nodes.iter_mut().for_each(|node| node.is_cut_from_platform = false);
     fleet.run(MINUTE / 12);
     assert_eq!(watching_within(&mut fleet, MINUTE), watchers);
 }
 
 #[test]
-fn standbys_call_ever_more_rarely_while_the_platform_is_away() {
+fn standbys_back_off_while_the_platform_is_down() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let settings = deployed_settings();
     let mut fleet = settled_fleet(3, &mut rng);
--- a/crates/pistachiotrack-core/tests/config_support/fleet.rs
+++ b/crates/pistachiotrack-core/tests/config_support/fleet.rs
@@ -1,4 +1,4 @@
-//! A few VMs with a platform and a lossy network between them, in logical time.
+//! A simulated fleet with a platform and a lossy network, in logical time.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -16,12 +16,12 @@
 use super::{DEPLOYMENT, json, vm};
 
 const STEP: Duration = Duration::from_millis(50);
-/// Steps between two reports of a VM's version, as in the membership.
+/// Steps between two reports of a VM's version, as by the membership protocol.
 const REPORT_STEPS: u64 = 10;
-/// Time after the end of a watch at which a VM gives up an answer that doesn't come.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after the expected end of a watch at which a VM abandons it.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The platform: what it shows and whether it answers.
+/// The platform: its current value, and whether it is down.
 #[derive(Default)]
 pub(crate) struct Platform {
     pub(crate) value: Option<(u64, Vec<u8>)>,
@@ -34,18 +34,18 @@
     pub(crate) vm: Vm,
     pub(crate) sync: ConfigSync,
     pub(crate) paused: bool,
-    /// Whether the others take it for alive while it is paused.
-    pub(crate) is_taken_for_alive: bool,
-    pub(crate) cut_from_platform: bool,
-    /// Whether calls of a VM that is cut off hang instead of failing at once.
-    pub(crate) is_cut_silently: bool,
-    pub(crate) side: u8,
-    /// Moment at which the last answer sent has left the VM's link.
+    /// Whether the other VMs consider it alive while it is paused.
+    pub(crate) is_assumed_alive: bool,
+    pub(crate) is_cut_from_platform: bool,
+    /// Whether platform calls of a VM that is cut off hang instead of failing immediately.
+    pub(crate) drops_platform_calls: bool,
+    pub(crate) partition: u8,
+    /// Time at which the last response sent has left the VM's link.
     link_free_at: Time,
     watches: Vec<Watch>,
-    heard: BTreeMap<u32, u64>,
-    /// When the platform last answered the others, as far as they told.
-    answered: BTreeMap<u32, Time>,
+    reported_versions: BTreeMap<u32, u64>,
+    /// Times of the platform's last responses to the other VMs, as they reported.
+    reported_responses: BTreeMap<u32, Time>,
     platform_answered: Option<Time>,
     pub(crate) pulls: u64,
     pub(crate) pulled_bytes: u64,
@@ -55,8 +55,8 @@
 
 struct Watch {
     after: Option<u64>,
-    begun: Time,
-    waits: bool,
+    started: Time,
+    is_long_poll: bool,
 }
 
 struct Delivery {
@@ -68,23 +68,23 @@
 #[derive(Clone)]
 enum Event {
     Report { from: usize, version: u64, platform_answered: Option<Time> },
-    Question { from: usize, request: Vec<u8> },
-    Answer { from: Name, answer: Vec<u8> },
+    PullRequest { from: usize, request: Vec<u8> },
+    PullResponse { from: Name, response: Vec<u8> },
 }
 
-/// The fleet under test.
+/// The simulated fleet.
 pub(crate) struct Fleet {
     pub(crate) now: Time,
     /// Logical time between two ticks.
     pub(crate) step_time: Duration,
     pub(crate) nodes: Vec<Node>,
     pub(crate) platform: Platform,
-    pub(crate) loss: f64,
-    pub(crate) duplicate: f64,
-    pub(crate) corrupt: f64,
-    /// Whether a VM that reads a version tells all others at once.
-    pub(crate) announces: bool,
-    /// What each VM's link carries; without limit if `None`.
+    pub(crate) loss_rate: f64,
+    pub(crate) duplicate_rate: f64,
+    pub(crate) corruption_rate: f64,
+    /// Whether a VM that reads a version reports it to all others immediately.
+    pub(crate) announces_changes: bool,
+    /// Bandwidth of each VM's link; unlimited if `None`.
     pub(crate) link_bytes_per_second: Option<f64>,
     data_centres: u32,
     settings: ConfigSyncSettings,
@@ -94,9 +94,9 @@
 }
 
 impl Node {
-    /// Returns whether a watch of this VM waits at the platform.
+    /// Returns whether a watch of this VM is pending at the platform.
     pub(crate) fn is_watching(&self) -> bool {
-        self.watches.iter().any(|watch| watch.waits)
+        self.watches.iter().any(|watch| watch.is_long_poll)
     }
 }
 
@@ -112,10 +112,10 @@
             step_time: STEP,
             nodes: Vec::new(),
             platform: Platform::default(),
-            loss: 0.0,
-            duplicate: 0.0,
-            corrupt: 0.0,
-            announces: false,
+            loss_rate: 0.0,
+            duplicate_rate: 0.0,
+            corruption_rate: 0.0,
+            announces_changes: false,
             link_bytes_per_second: None,
             data_centres,
             settings,
@@ -124,17 +124,17 @@
             step: 0,
         };
         for index in 0..vms {
-            let node = fleet.fresh_node(index);
+            let node = fleet.new_node(index);
             fleet.nodes.push(node);
         }
         fleet
     }
 
-    /// Replaces a VM by a new one under the same name.
+    /// Replaces a VM by a new one with the same name.
     pub(crate) fn restart(&mut self, index: usize) {
-        let side = self.nodes[index].side;
-        self.nodes[index] = self.fresh_node(index as u32);
-        self.nodes[index].side = side;
+        let partition = self.nodes[index].partition;
+        self.nodes[index] = self.new_node(index as u32);
+        self.nodes[index].partition = partition;
     }
 
     pub(crate) fn publish(&mut self, config: &Config) {
@@ -148,14 +148,14 @@
         }
     }
 
-    /// Runs until `done` holds, and returns the time it took.
+    /// Runs until `is_done` returns true, and returns the time that it took.
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
-        done: impl Fn(&Fleet) -> bool,
+        is_done: impl Fn(&Fleet) -> bool,
     ) -> Option<Duration> {
         let start = self.now;
-        while !done(self) {
+        while !is_done(self) {
             if self.now.since(start) >= limit {
                 return None;
             }
@@ -164,12 +164,12 @@
         Some(self.now.since(start))
     }
 
-    pub(crate) fn all_hold(&self, version: u64) -> bool {
+    pub(crate) fn all_have(&self, version: u64) -> bool {
         self.nodes.iter().all(|node| node.sync.version() == Some(version))
     }
 
-    /// Returns how many watches wait at the platform.
-    pub(crate) fn waiting(&self) -> usize {
+    /// Returns the number of watches that are pending at the platform.
+    pub(crate) fn pending_watches(&self) -> usize {
         self.nodes.iter().filter(|node| node.is_watching()).count()
     }
 
@@ -177,7 +177,7 @@
         self.now += self.step_time;
         self.step += 1;
         self.deliver();
-        self.answer_watches();
+        self.respond_to_watches();
         for index in 0..self.nodes.len() {
             if !self.nodes[index].paused {
                 self.tick(index);
@@ -185,7 +185,7 @@
         }
     }
 
-    fn fresh_node(&mut self, index: u32) -> Node {
+    fn new_node(&mut self, index: u32) -> Node {
         let vm = vm(index, self.data_centres);
         let deployment = Name::from(DEPLOYMENT);
         let seed = self.rng.random();
@@ -194,14 +194,14 @@
             vm,
             sync,
             paused: false,
-            is_taken_for_alive: false,
-            cut_from_platform: false,
-            is_cut_silently: false,
-            side: 0,
+            is_assumed_alive: false,
+            is_cut_from_platform: false,
+            drops_platform_calls: false,
+            partition: 0,
             link_free_at: Time::ZERO,
             watches: Vec::new(),
-            heard: BTreeMap::new(),
-            answered: BTreeMap::new(),
+            reported_versions: BTreeMap::new(),
+            reported_responses: BTreeMap::new(),
             platform_answered: None,
             pulls: 0,
             pulled_bytes: 0,
@@ -228,13 +228,14 @@
 
     fn member(&self, index: usize, other: usize) -> Member {
         let (me, node) = (&self.nodes[index], &self.nodes[other]);
-        let reachable = me.side == node.side && (!node.paused || node.is_taken_for_alive);
+        let is_reachable =
+            me.partition == node.partition && (!node.paused || node.is_assumed_alive);
         Member {
             vm: node.vm.clone(),
-            state: if reachable { MemberState::Alive } else { MemberState::Dead },
+            state: if is_reachable { MemberState::Alive } else { MemberState::Dead },
             since: Time::ZERO,
-            config_version: me.heard.get(&(other as u32)).copied(),
-            platform_answered: me.answered.get(&(other as u32)).copied(),
+            config_version: me.reported_versions.get(&(other as u32)).copied(),
+            platform_answered: me.reported_responses.get(&(other as u32)).copied(),
         }
     }
 
@@ -248,26 +249,26 @@
     }
 
     fn send(&mut self, from: usize, to: usize, event: Event) {
-        if from == to || self.rng.random_bool(self.loss) {
+        if from == to || self.rng.random_bool(self.loss_rate) {
             return;
         }
-        let queued = self.queue_on_link(from, &event);
-        let copies = if self.rng.random_bool(self.duplicate) { 2 } else { 1 };
+        let queue_delay = self.queue_on_link(from, &event);
+        let copies = if self.rng.random_bool(self.duplicate_rate) { 2 } else { 1 };
         for copy in 0..copies {
-            let late_ms = if copy == 0 { 1 } else { self.rng.random_range(1..5_000) };
-            let at = self.now + queued + Duration::from_millis(late_ms);
+            let delay_ms = if copy == 0 { 1 } else { self.rng.random_range(1..5_000) };
+            let at = self.now + queue_delay + Duration::from_millis(delay_ms);
             self.in_flight.push(Delivery { at, to, event: event.clone() });
         }
     }
 
-    /// Has a VM tell all others of its version, as the first that reads one does.
+    /// Reports a VM's version to all others, as the first VM that reads one does.
     pub(crate) fn announce(&mut self, from: usize) {
         for to in 0..self.nodes.len() {
             self.report(from, to);
         }
     }
 
-    fn tell_standbys(&mut self, from: usize) {
+    fn notify_standbys(&mut self, from: usize) {
         let members = self.members(from);
         for standby in self.nodes[from].sync.standbys(members.iter()) {
             let to = self.nodes.iter().position(|node| node.vm.name == standby);
@@ -275,14 +276,16 @@
         }
     }
 
-    /// Returns how long an answer takes to leave its VM's link.
+    /// Returns the time until a response has left its VM's link.
     fn queue_on_link(&mut self, from: usize, event: &Event) -> Duration {
-        let (Some(rate), Event::Answer { answer, .. }) = (self.link_bytes_per_second, event) else {
+        let (Some(rate), Event::PullResponse { response, .. }) =
+            (self.link_bytes_per_second, event)
+        else {
             return Duration::ZERO;
         };
         let node = &mut self.nodes[from];
-        let begun = node.link_free_at.max(self.now);
-        node.link_free_at = begun + Duration::from_secs_f64(answer.len() as f64 / rate);
+        let started = node.link_free_at.max(self.now);
+        node.link_free_at = started + Duration::from_secs_f64(response.len() as f64 / rate);
         node.link_free_at.since(self.now)
     }
 
@@ -301,42 +304,45 @@
         }
         match event {
             Event::Report { from, version, platform_answered } => {
-                if self.nodes[from].side != self.nodes[to].side {
+                if self.nodes[from].partition != self.nodes[to].partition {
                     return;
                 }
                 let peer = self.nodes[from].vm.clone();
-                self.nodes[to].heard.insert(from as u32, version);
-                self.nodes[to].answered.extend(platform_answered.map(|at| (from as u32, at)));
+                self.nodes[to].reported_versions.insert(from as u32, version);
+                self.nodes[to]
+                    .reported_responses
+                    .extend(platform_answered.map(|at| (from as u32, at)));
                 let actions = self.nodes[to].sync.on_peer_version(self.now, &peer, version);
                 self.perform(to, actions);
             }
-            Event::Question { from, request } => {
-                if self.nodes[from].side != self.nodes[to].side {
+            Event::PullRequest { from, request } => {
+                if self.nodes[from].partition != self.nodes[to].partition {
                     return;
                 }
-                let answer =
-                    self.nodes[to].sync.handle_pull(self.now, &request).expect("a sound question");
-                let answer = self.damage(answer);
-                let event = Event::Answer { from: self.nodes[to].vm.name.clone(), answer };
+                let response =
+                    self.nodes[to].sync.handle_pull(self.now, &request).expect("a valid request");
+                let response = self.corrupt(response);
+                let event = Event::PullResponse { from: self.nodes[to].vm.name.clone(), response };
                 self.send(to, from, event);
             }
-            Event::Answer { from, answer } => {
-                self.nodes[to].pulled_bytes += answer.len() as u64;
-                let actions = self.nodes[to].sync.on_pull_response(self.now, &from, Some(&answer));
+            Event::PullResponse { from, response } => {
+                self.nodes[to].pulled_bytes += response.len() as u64;
+                let actions =
+                    self.nodes[to].sync.on_pull_response(self.now, &from, Some(&response));
                 self.perform(to, actions);
             }
         }
     }
 
-    fn damage(&mut self, mut answer: Vec<u8>) -> Vec<u8> {
-        if self.rng.random_bool(self.corrupt) {
-            let at = self.rng.random_range(0..answer.len());
-            answer[at] ^= 1 << self.rng.random_range(0..8);
+    fn corrupt(&mut self, mut response: Vec<u8>) -> Vec<u8> {
+        if self.rng.random_bool(self.corruption_rate) {
+            let at = self.rng.random_range(0..response.len());
+            response[at] ^= 1 << self.rng.random_range(0..8);
         }
-        answer
+        response
     }
 
-    fn answer_watches(&mut self) {
+    fn respond_to_watches(&mut self) {
         let wait = Duration::from_millis(self.settings.watch_timeout_ms);
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
@@ -345,22 +351,22 @@
             }
             let Some(watch) = node.watches.pop() else { continue };
             assert!(node.watches.is_empty(), "{} has two watches at once", node.vm.name);
-            let asked_for = if watch.waits { wait } else { Duration::ZERO };
-            if node.cut_from_platform
-                && node.is_cut_silently
-                && self.now.since(watch.begun) < asked_for + ANSWER_TIMEOUT
+            let max_wait = if watch.is_long_poll { wait } else { Duration::ZERO };
+            if node.is_cut_from_platform
+                && node.drops_platform_calls
+                && self.now.since(watch.started) < max_wait + RESPONSE_TIMEOUT
             {
                 node.watches.push(watch);
                 continue;
             }
-            if self.platform.down || node.cut_from_platform {
+            if self.platform.down || node.is_cut_from_platform {
                 node.sync.on_platform_error(self.now);
                 continue;
             }
             let newer = self.platform.value.as_ref().filter(|it| Some(it.0) > watch.after);
             let actions = match newer {
                 Some((_, value)) => node.sync.on_platform_value(self.now, Some(value)),
-                None if !watch.waits || self.now.since(watch.begun) >= wait => {
+                None if !watch.is_long_poll || self.now.since(watch.started) >= wait => {
                     node.sync.on_platform_value(self.now, None)
                 }
                 None => {
@@ -369,12 +375,12 @@
                 }
             };
             self.nodes[index].platform_answered = Some(self.now);
-            let is_news = actions.iter().any(|it| matches!(it, ConfigAction::Activate(_)));
+            let is_newer = actions.iter().any(|it| matches!(it, ConfigAction::Activate(_)));
             self.perform(index, actions);
-            if is_news && self.announces {
+            if is_newer && self.announces_changes {
                 self.announce(index);
             } else {
-                self.tell_standbys(index);
+                self.notify_standbys(index);
             }
         }
     }
@@ -384,16 +390,24 @@
             match action {
                 ConfigAction::Watch { after } => {
                     self.platform.calls += 1;
-                    self.nodes[index].watches.push(Watch { after, begun: self.now, waits: true });
+                    self.nodes[index].watches.push(Watch {
+                        after,
+                        started: self.now,
+                        is_long_poll: true,
+                    });
                 }
                 ConfigAction::Read { after } => {
                     self.platform.calls += 1;
-                    self.nodes[index].watches.push(Watch { after, begun: self.now, waits: false });
+                    self.nodes[index].watches.push(Watch {
+                        after,
+                        started: self.now,
+                        is_long_poll: false,
+                    });
                 }
                 ConfigAction::Pull { vm, request } => {
                     self.nodes[index].pulls += 1;
                     let to = self.nodes.iter().position(|node| node.vm.name == vm.name);
-                    let event = Event::Question { from: index, request };
+                    let event = Event::PullRequest { from: index, request };
                     self.send(index, to.expect("a known peer"), event);
                 }
                 ConfigAction::Activate(config) => self.nodes[index].accepted.push(config),
--- a/crates/pistachiotrack-core/tests/config_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/config_support/mod.rs
@@ -30,12 +30,12 @@
     pub(crate) rules: u32,
 }
 
-/// The sizes that Timeliten has today.
-pub(crate) const TODAY: Sizes =
+/// The current sizes of the Timeliten deployment.
+pub(crate) const CURRENT_SIZES: Sizes =
     Sizes { data_centres: 3, services: 3, endpoints: 34, customers: 12, rules: 30 };
 
-/// The sizes to design for.
-pub(crate) const DESIGN: Sizes = Sizes {
+/// The sizes that the design has to support.
+pub(crate) const TARGET_SIZES: Sizes = Sizes {
     data_centres: 17,
     services: 4_700,
     endpoints: 200_000,
@@ -109,9 +109,9 @@
     }
 }
 
-/// Returns a rule as a platform's route becomes one: named by its host and a prefix
-/// of letters that say nothing.
-pub(crate) fn rule_of_host(index: u32) -> Rule {
+/// Returns a rule like those made from the platform's routes: named by its host and an
+/// arbitrary prefix that compresses badly.
+pub(crate) fn host_rule(index: u32) -> Rule {
     let letter = |place: u32| {
         let mixed = (index * 8 + place).wrapping_mul(2_654_435_761).rotate_left(13);
         char::from(b'a' + (mixed.wrapping_mul(40_503) >> 8) as u8 % 26)
--- a/crates/pistachiotrack-core/tests/config_sync_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/config_sync_fuzz.rs
@@ -1,4 +1,4 @@
-//! Random histories of the configuration's spread against a simple oracle.
+//! Configuration distribution under random faults, checked against a simple oracle.
 
 mod config_support;
 
@@ -18,14 +18,14 @@
         jump: u8,
         edit: u8,
     },
-    PublishBad {
+    PublishInvalid {
         jump: u8,
     },
-    /// The same version with other content.
+    /// The same version with different content.
     PublishConflict {
         edit: u8,
     },
-    /// The platform shows an earlier value.
+    /// The platform returns to an earlier value.
     Stale {
         back: u8,
     },
@@ -34,7 +34,7 @@
         vm: u8,
         cut: bool,
     },
-    /// VMs on different sides don't hear each other.
+    /// VMs in different partitions can't communicate.
     Partition {
         sides: u8,
     },
@@ -58,7 +58,7 @@
         let (a, b, on) = (u8::arbitrary(g), u8::arbitrary(g), bool::arbitrary(g));
         match u8::arbitrary(g) % 20 {
             0..4 => Step::Publish { jump: a % 3, edit: b },
-            4 => Step::PublishBad { jump: a % 3 },
+            4 => Step::PublishInvalid { jump: a % 3 },
             5 => Step::PublishConflict { edit: b },
             6 => Step::Stale { back: a % 4 },
             7 => Step::PlatformDown(on),
@@ -74,10 +74,10 @@
     }
 }
 
-/// What was published: every sound content by version.
-struct History {
-    sound: BTreeMap<u64, Vec<Config>>,
-    shown: Vec<(u64, Vec<u8>)>,
+/// What was published: all valid contents by version, and all values in order.
+struct Publications {
+    valid_contents: BTreeMap<u64, Vec<Config>>,
+    shown_values: Vec<(u64, Vec<u8>)>,
     newest: u64,
 }
 
@@ -95,15 +95,15 @@
     config
 }
 
-impl History {
+impl Publications {
     fn publish(&mut self, fleet: &mut Fleet, config: Config) {
         self.newest = self.newest.max(config.version);
         self.show(fleet, config.version, json(&config));
-        self.sound.entry(config.version).or_default().push(config);
+        self.valid_contents.entry(config.version).or_default().push(config);
     }
 
     fn show(&mut self, fleet: &mut Fleet, version: u64, value: Vec<u8>) {
-        self.shown.push((version, value.clone()));
+        self.shown_values.push((version, value.clone()));
         fleet.platform.value = Some((version, value));
     }
 
@@ -113,7 +113,7 @@
             Step::Publish { jump, edit } => {
                 self.publish(fleet, edited(self.newest + 1 + u64::from(jump), edit));
             }
-            Step::PublishBad { jump } => {
+            Step::PublishInvalid { jump } => {
                 let mut bad = edited(self.newest + 1 + u64::from(jump), jump);
                 bad.services[0].floor = 99;
                 self.newest = bad.version;
@@ -121,89 +121,95 @@
             }
             Step::PublishConflict { edit } => self.publish(fleet, edited(self.newest, edit)),
             Step::Stale { back } => {
-                let index = self.shown.len().saturating_sub(1 + usize::from(back));
-                fleet.platform.value = self.shown.get(index).cloned();
+                let index = self.shown_values.len().saturating_sub(1 + usize::from(back));
+                fleet.platform.value = self.shown_values.get(index).cloned();
             }
             Step::PlatformDown(down) => fleet.platform.down = down,
-            Step::Cut { vm: index, cut } => fleet.nodes[vm(index)].cut_from_platform = cut,
+            Step::Cut { vm: index, cut } => fleet.nodes[vm(index)].is_cut_from_platform = cut,
             Step::Partition { sides } => {
                 for (index, node) in fleet.nodes.iter_mut().enumerate() {
-                    node.side = sides >> index & 1;
+                    node.partition = sides >> index & 1;
                 }
             }
-            Step::Loss(on) => fleet.loss = if on { 0.4 } else { 0.0 },
-            Step::Duplicate(on) => fleet.duplicate = if on { 0.5 } else { 0.0 },
-            Step::Corrupt(on) => fleet.corrupt = if on { 0.5 } else { 0.0 },
+            Step::Loss(on) => fleet.loss_rate = if on { 0.4 } else { 0.0 },
+            Step::Duplicate(on) => fleet.duplicate_rate = if on { 0.5 } else { 0.0 },
+            Step::Corrupt(on) => fleet.corruption_rate = if on { 0.5 } else { 0.0 },
             Step::Pause { vm: index, paused } => fleet.nodes[vm(index)].paused = paused,
             Step::Restart { vm: index } => fleet.restart(vm(index)),
             Step::Run { tenths } => fleet.run(Duration::from_millis(100 * u64::from(tenths))),
         }
     }
 
-    /// Versions only grow at each VM, and what is in force was published as it
-    /// is under that version.
+    /// Asserts that versions only increase on each VM, and that everything activated was
+    /// published with that version.
     fn verify(&self, fleet: &Fleet) {
         for node in &fleet.nodes {
             let versions: Vec<u64> = node.accepted.iter().map(|config| config.version).collect();
             assert!(versions.is_sorted_by(|old, new| old < new), "{}: {versions:?}", node.vm.name);
             assert_eq!(versions.last().copied(), node.sync.version());
             for config in &node.accepted {
-                let published = &self.sound[&config.version];
-                assert!(published.contains(config), "{} made {config:?} up", node.vm.name);
+                let published = &self.valid_contents[&config.version];
+                assert!(
+                    published.contains(config),
+                    "{} activated {config:?}, which was never published",
+                    node.vm.name
+                );
             }
         }
     }
 }
 
-fn heal(fleet: &mut Fleet) {
-    (fleet.loss, fleet.duplicate, fleet.corrupt) = (0.0, 0.0, 0.0);
+fn repair_all(fleet: &mut Fleet) {
+    (fleet.loss_rate, fleet.duplicate_rate, fleet.corruption_rate) = (0.0, 0.0, 0.0);
     fleet.platform.down = false;
     for node in &mut fleet.nodes {
-        (node.paused, node.cut_from_platform, node.side) = (false, false, 0);
+        (node.paused, node.is_cut_from_platform, node.partition) = (false, false, 0);
     }
 }
 
-/// A VM that falls behind for good routes by withdrawn rules; one that goes
-/// back, or makes content up, does so while others see it work. The history
-/// has every fault in any order: lost, late, doubled and damaged messages,
-/// partitions, pauses, replaced VMs, a stale, absent or wrong platform.
+/// A VM that stays behind, returns to an older version or activates content that was
+/// never published routes by wrong rules. The faults come in any order: lost, delayed,
+/// duplicated and corrupted messages, partitions, pauses, replaced VMs, and a platform
+/// that is down or has a stale or invalid value.
 #[test]
-fn versions_only_grow_and_all_vms_converge() {
+fn versions_only_increase_and_all_vms_converge() {
     fn property(seed: u64, steps: Vec<Step>) -> bool {
         let mut fleet = Fleet::new(VMS, DATA_CENTRES, ConfigSyncSettings::default(), seed);
-        let mut history = History { sound: BTreeMap::new(), shown: Vec::new(), newest: 0 };
-        history.publish(&mut fleet, edited(1, 1));
+        let mut publications =
+            Publications { valid_contents: BTreeMap::new(), shown_values: Vec::new(), newest: 0 };
+        publications.publish(&mut fleet, edited(1, 1));
         for step in steps {
-            history.apply(&mut fleet, step);
-            history.verify(&fleet);
+            publications.apply(&mut fleet, step);
+            publications.verify(&fleet);
         }
-        heal(&mut fleet);
-        let last = edited(history.newest + 1, 200);
-        history.publish(&mut fleet, last.clone());
+        repair_all(&mut fleet);
+        let last = edited(publications.newest + 1, 200);
+        publications.publish(&mut fleet, last.clone());
         let limit = Duration::from_secs(100);
-        let converged = fleet.run_until(limit, |fleet| fleet.all_hold(last.version));
-        history.verify(&fleet);
+        let converged = fleet.run_until(limit, |fleet| fleet.all_have(last.version));
+        publications.verify(&fleet);
         converged.is_some() && fleet.nodes.iter().all(|it| **it.sync.config().unwrap() == last)
     }
     let rng = Gen::from_size_and_seed(40, 17);
     QuickCheck::new().rng(rng).tests(150).quickcheck(property as fn(u64, Vec<Step>) -> bool);
 }
 
-/// As above, without a further publication: while nobody reads the platform
-/// any more, a version that one VM holds still reaches all others.
+/// As above, without a further publication: while the platform is down, a version that
+/// one VM has still reaches all others.
 #[test]
 fn a_version_that_one_vm_holds_reaches_all_without_the_platform() {
     fn property(seed: u64, steps: Vec<Step>) -> bool {
         let mut fleet = Fleet::new(VMS, DATA_CENTRES, ConfigSyncSettings::default(), seed);
-        let mut history = History { sound: BTreeMap::new(), shown: Vec::new(), newest: 0 };
-        history.publish(&mut fleet, edited(1, 1));
+        let mut publications =
+            Publications { valid_contents: BTreeMap::new(), shown_values: Vec::new(), newest: 0 };
+        publications.publish(&mut fleet, edited(1, 1));
         for step in steps {
-            history.apply(&mut fleet, step);
+            publications.apply(&mut fleet, step);
         }
-        heal(&mut fleet);
+        repair_all(&mut fleet);
         fleet.platform.down = true;
         fleet.run(Duration::from_secs(10));
-        history.verify(&fleet);
+        publications.verify(&fleet);
         let newest = fleet.nodes.iter().filter_map(|node| node.sync.version()).max();
         fleet.nodes.iter().all(|node| node.sync.version() == newest)
     }
--- a/crates/pistachiotrack-core/tests/list_reads.rs
+++ b/crates/pistachiotrack-core/tests/list_schedule.rs
@@ -1,13 +1,13 @@
-//! When the VMs of a fleet read the platform's list.
+//! Rate of reads of the platform's VM list by a fleet.
 
 use std::time::Duration;
 
 use pistachiotrack_core::config_sync::{ConfigSyncSettings, ListReadSchedule};
 
-/// Reads that a second may see; the platform takes 2,000 of all kinds.
+/// Maximum list reads per second; the platform accepts 2,000 reads of all kinds.
 const MAX_READS: u32 = 1_200;
 
-/// Returns the schedule of a VM whose deployment has the platform for itself.
+/// Returns the schedule of a VM whose deployment doesn't share the platform.
 fn schedule(fleet_vms: u32, seed: u64) -> ListReadSchedule {
     let settings = ConfigSyncSettings {
         assumed_fleet_vms: fleet_vms,
@@ -17,9 +17,9 @@
     ListReadSchedule::new(settings, seed)
 }
 
-/// After a power cut 5,800 VMs start at the same moment, and each reads the
-/// list first of all. The platform refuses most of them, and no VM finds the
-/// others. Cause: nothing else has told them yet how many they are.
+/// After a power cut 5,800 VMs start at the same moment. Each reads the list first, without
+/// knowing the size of the fleet. If the platform refused most reads, the VMs would not
+/// discover each other.
 #[test]
 fn first_reads_of_a_large_fleet_are_spread() {
     let mut reads_by_second = [0_u32; 6];
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn a_small_fleet_hardly_waits() {
+fn a_small_fleet_reads_almost_immediately() {
     let longest = (0..48).map(|seed| schedule(48, seed).first_delay()).max().unwrap();
     assert!(longest < Duration::from_millis(100), "{longest:?}");
 }
 
-/// As above, and the platform refuses every read. Retries within the usual
-/// backoff of all VMs together would keep it from getting up again.
+/// As above, but the platform refuses every read. With the usual retry delays, the retries
+/// of all VMs together would keep it overloaded.
 #[test]
 fn retries_of_a_large_fleet_are_spread() {
     let mut reads_by_second = [0_u32; 60];
@@ -49,14 +49,14 @@
             at += reads.on_failure();
         }
     }
-    // The first retries of the VMs that read late fall together with the second
-    // ones of those that read early.
+    // The first retries of VMs that read late coincide with the second retries of
+    // VMs that read early.
     let most = MAX_READS * 3 / 2;
     assert!(reads_by_second.iter().all(|reads| *reads < most), "{reads_by_second:?}");
 }
 
 #[test]
-fn reads_by_turns_make_one_a_second_whatever_the_size() {
+fn periodic_reads_total_one_per_second_at_any_fleet_size() {
     for vms in [48_u32, 5_800] {
         let per_second: f64 = (0..vms)
             .map(|seed| {
--- a/crates/pistachiotrack-core/tests/platform_reads.rs
+++ b/crates/pistachiotrack-core/tests/platform_rate.rs
@@ -1,10 +1,10 @@
-//! How all VMs of all deployments together read the platform.
+//! The total rate of platform reads by the VMs of all deployments.
 
 mod config_support;
 
 use std::time::Duration;
 
-use config_support::{DEPLOYMENT, TODAY, config, fleet::Fleet, vm};
+use config_support::{CURRENT_SIZES, DEPLOYMENT, config, fleet::Fleet, vm};
 use pistachiotrack_core::{
     config_sync::{ConfigAction, ConfigSync, ConfigSyncSettings, ListReadSchedule},
     membership::{Member, MemberState},
@@ -25,7 +25,7 @@
     (0..vms).map(member).collect()
 }
 
-/// Returns whether the platform is called, waiting or not.
+/// Returns whether the platform is called, with a watch or a read.
 fn calls(actions: &[ConfigAction]) -> bool {
     let call = |action: &ConfigAction| {
         matches!(action, ConfigAction::Watch { .. } | ConfigAction::Read { .. })
@@ -35,11 +35,11 @@
 
 const DEPLOYMENTS: u64 = 121;
 const DEPLOYMENT_VMS: u32 = 48;
-/// Reads of all kinds that the platform answers in a second.
+/// Reads of all kinds that the platform accepts per second.
 const PLATFORM_READS: u32 = 2_000;
 
-/// Returns a VM of one of many deployments, with its schedule of the list.
-fn node_of_many(deployment: u64, index: u32) -> (ConfigSync, ListReadSchedule) {
+/// Returns a VM of one of many deployments, with its schedule of list reads.
+fn node_of_deployment(deployment: u64, index: u32) -> (ConfigSync, ListReadSchedule) {
     let settings = ConfigSyncSettings::default();
     let seed = deployment * 1_000 + u64::from(index);
     let name = Name::from(DEPLOYMENT);
@@ -47,10 +47,10 @@
     (node, ListReadSchedule::new(settings, !seed))
 }
 
-/// A power cut ends and 121 deployments of 48 VMs start at the same moment. Each
-/// deployment keeps to a modest rate, but the platform sees the sum of all and
-/// refuses most reads. Each VM reads the list, knows its peers a second later,
-/// and reads the value in between if its time has come.
+/// After a power cut 121 deployments of 48 VMs start at the same moment. Each deployment
+/// keeps to a low rate, but if the sum exceeds the platform's rate, most reads are
+/// refused. Each VM reads the list, discovers its peers a second later, and may read
+/// the value in between.
 #[test]
 fn a_cold_start_of_all_deployments_stays_within_the_platforms_rate() {
     let mut reads_by_second = [0_u32; 12];
@@ -58,7 +58,7 @@
     let peers = alive(DEPLOYMENT_VMS);
     for deployment in 0..DEPLOYMENTS {
         for index in 0..DEPLOYMENT_VMS {
-            let (mut node, mut list) = node_of_many(deployment, index);
+            let (mut node, mut list) = node_of_deployment(deployment, index);
             let listed = list.first_delay();
             reads_by_second[listed.as_secs() as usize] += 1;
             let first = (0..120).find(|step| {
@@ -66,8 +66,8 @@
                 if now >= listed {
                     node.on_listed_vms(DEPLOYMENT_VMS as usize);
                 }
-                let met = now >= listed + Duration::from_secs(1);
-                let members = if met { &peers[..] } else { &[] };
+                let has_discovered_peers = now >= listed + Duration::from_secs(1);
+                let members = if has_discovered_peers { &peers[..] } else { &[] };
                 calls(&node.on_tick(Time::ZERO + now, members.iter()))
             });
             let Some(first) = first else { continue };
@@ -81,14 +81,14 @@
     assert!(reads_by_second[..5].iter().sum::<u32>() >= 5_800, "{reads_by_second:?}");
 }
 
-/// As above, but the platform refuses every read of either kind. The retries of
-/// all deployments must stay within the rate too, or it never gets up again.
+/// As above, but the platform refuses every read of either kind. The retries of all
+/// deployments must stay within the rate too, or the platform never recovers.
 #[test]
 fn retries_of_all_deployments_stay_within_the_platforms_rate() {
     let mut reads_by_second = [0_u32; 60];
     for deployment in 0..DEPLOYMENTS {
         for index in 0..DEPLOYMENT_VMS {
-            let (mut node, mut list) = node_of_many(deployment, index);
+            let (mut node, mut list) = node_of_deployment(deployment, index);
             let mut at = list.first_delay();
             while let Some(second) = reads_by_second.get_mut(at.as_secs() as usize) {
                 *second += 1;
@@ -107,8 +107,8 @@
     assert!(reads_by_second.iter().sum::<u32>() >= 4 * 5_800, "{reads_by_second:?}");
 }
 
-/// Six VMs start. Whoever starts them waits for the slowest; the spread that
-/// protects the platform from thousands must not be felt there.
+/// The spread that protects the platform from thousands of VMs must not delay the start
+/// of six, since whoever starts them waits for the slowest one.
 #[test]
 fn a_small_fleet_reads_within_a_second() {
     for seed in 0..500 {
@@ -123,24 +123,23 @@
     }
 }
 
-/// Each VM that only confirms its version waits like a watcher, and the platform
-/// holds hundreds of calls open that nobody needs. Only the watchers of each
-/// data centre may wait.
+/// If VMs that only confirm their version used watches, the platform would hold hundreds
+/// of calls open without need. Only the watchers of each data centre may do so.
 #[test]
-fn only_the_watchers_of_each_data_centre_wait() {
+fn only_the_watchers_of_each_data_centre_hold_watches_open() {
     for (vms, data_centres) in [(12, 1), (12, 3), (48, 3)] {
         let settings = ConfigSyncSettings::default();
         let watchers = settings.watchers_per_data_centre * data_centres;
         let mut fleet = Fleet::new(vms, data_centres, settings, 11);
-        fleet.publish(&config(1, TODAY));
-        fleet.run_until(MINUTE, |fleet| fleet.all_hold(1)).expect("a first version");
-        // Watches from before the VMs knew each other end by themselves.
+        fleet.publish(&config(1, CURRENT_SIZES));
+        fleet.run_until(MINUTE, |fleet| fleet.all_have(1)).expect("a first version");
+        // Watches from before the VMs discovered each other end on their own.
         fleet.run(MINUTE);
         let calls = fleet.platform.calls;
         let mut most = 0;
         for _ in 0..180 {
             fleet.run(Duration::from_secs(1));
-            most = most.max(fleet.waiting());
+            most = most.max(fleet.pending_watches());
         }
         assert_eq!(most, watchers as usize, "{vms} VMs in {data_centres} data centres");
         let confirming = fleet.platform.calls - calls;
