--- a/crates/pistachiotrack-core/src/config_sync/platform_schedule.rs
+++ b/crates/pistachiotrack-core/src/config_sync/platform_schedule.rs
@@ -37,7 +37,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Role::Watcher => "watcher",
-            Role::Alone => "is_alone",
+            Role::Alone => "alone",
             Role::Unlisted => "unlisted",
             Role::Cold => "cold",
             Role::Follower => "follower",
--- a/crates/pistachiotrack-core/tests/config_pull_peers.rs
+++ b/crates/pistachiotrack-core/tests/config_pull_peers.rs
@@ -54,6 +54,6 @@
     node.on_tick(NOW + PULL_TIMEOUT, std::iter::empty());
     let again = NOW + PULL_TIMEOUT + MAX_BACKOFF;
     assert_eq!(pulled_peer(&node.on_tick(again, std::iter::empty())), Some(&near.name));
-    let heard = again + Duration::from_millis(150);
-    assert_eq!(pulled_peer(&node.on_peer_version(heard, &far, 6)), Some(&far.name));
+    let announced = again + Duration::from_millis(150);
+    assert_eq!(pulled_peer(&node.on_peer_version(announced, &far, 6)), Some(&far.name));
 }
--- a/crates/pistachiotrack-core/tests/config_sync.rs
+++ b/crates/pistachiotrack-core/tests/config_sync.rs
@@ -193,11 +193,11 @@
 fn a_new_vm_prefers_a_newer_version_of_its_peers() {
     let mut holder = node_with(1, 5);
     let mut new_node = node(0);
-    let asked = new_node.on_peer_version(NOW, &vm(1, 3), 5);
+    let pull_actions = new_node.on_peer_version(NOW, &vm(1, 3), 5);
     let actions = new_node.on_platform_value(NOW, Some(&json(&config(4, CURRENT_SIZES))));
     assert_eq!(actions, [ConfigAction::Stale { offered: 4 }]);
     assert_eq!(new_node.version(), None);
-    let (peer, request) = pull_request(&asked);
+    let (peer, request) = pull_request(&pull_actions);
     let response = holder.handle_pull(NOW, request).unwrap();
     assert_eq!(activated_version(&new_node.on_pull_response(NOW, peer, Some(&response))), 5);
 }
@@ -298,8 +298,8 @@
     bad.services[0].sensitivity = 7.0;
     let response = full_response(&bad);
     let mut node = node_with(0, 5);
-    let asked = node.on_peer_version(NOW, &vm(1, 3), 6);
-    let (peer, _) = pull_request(&asked);
+    let pull_actions = node.on_peer_version(NOW, &vm(1, 3), 6);
+    let (peer, _) = pull_request(&pull_actions);
     let actions = node.on_pull_response(NOW, peer, Some(&response));
     assert_eq!(rejection(&actions).field, "services[0].sensitivity");
     assert_eq!(actions.len(), 1, "the same version is requested again immediately");
@@ -326,16 +326,16 @@
     for version in 2..=5 {
         holder.on_platform_value(NOW, Some(&json(&config(version, CURRENT_SIZES))));
     }
-    let asked = near.on_peer_version(NOW, &vm(1, 3), 5);
-    let (peer, request) = pull_request(&asked);
+    let pull_actions = near.on_peer_version(NOW, &vm(1, 3), 5);
+    let (peer, request) = pull_request(&pull_actions);
     let small = holder.handle_pull(NOW, request).unwrap();
     assert_eq!(activated_version(&near.on_pull_response(NOW, peer, Some(&small))), 5);
 
     for version in 6..=60 {
         holder.on_platform_value(NOW, Some(&json(&config(version, CURRENT_SIZES))));
     }
-    let asked = near.on_peer_version(NOW, &vm(1, 3), 60);
-    let (peer, request) = pull_request(&asked);
+    let pull_actions = near.on_peer_version(NOW, &vm(1, 3), 60);
+    let (peer, request) = pull_request(&pull_actions);
     let large = holder.handle_pull(NOW, request).unwrap();
     assert_eq!(activated_version(&near.on_pull_response(NOW, peer, Some(&large))), 60);
     assert!(small.len() * 3 < large.len(), "{} {}", small.len(), large.len());
@@ -353,8 +353,8 @@
     let mut other = config(5, CURRENT_SIZES);
     other.entry_lifetime_ms += 1;
     node.on_platform_value(NOW, Some(&json(&other)));
-    let asked = node.on_peer_version(NOW, &vm(1, 3), 6);
-    let (peer, request) = pull_request(&asked);
+    let pull_actions = node.on_peer_version(NOW, &vm(1, 3), 6);
+    let (peer, request) = pull_request(&pull_actions);
     let response = holder.handle_pull(NOW, request).unwrap();
     assert_eq!(activated_version(&node.on_pull_response(NOW, peer, Some(&response))), 6);
 }
@@ -366,8 +366,8 @@
     let mut holder = node_with(1, 5);
     holder.on_platform_value(NOW, Some(&json(&config(6, CURRENT_SIZES))));
     let mut node = node_with(0, 5);
-    let asked = node.on_peer_version(NOW, &vm(1, 3), 6);
-    let (peer, request) = pull_request(&asked);
+    let pull_actions = node.on_peer_version(NOW, &vm(1, 3), 6);
+    let (peer, request) = pull_request(&pull_actions);
     let mut response = holder.handle_pull(NOW, request).unwrap();
     let last = response.len() - 1;
     response[last] ^= 1;
