--- a/crates/pistachiotrack-core/src/config/content.rs
+++ b/crates/pistachiotrack-core/src/config/content.rs
@@ -1,4 +1,4 @@
-//! The content of a configuration as one number, to tell equal from different.
+//! Hash of a configuration's content, to compare configurations.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::config::Config;
 
-/// Hash of a configuration's whole content, the same on every VM.
+/// Hash of a configuration's encoding, the same on every VM.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ContentHash([u8; 16]);
 
@@ -24,23 +24,23 @@
     }
 }
 
-/// Hash and size of a configuration's encoding.
+/// Hash and length of a configuration's encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Content {
+pub struct ContentSummary {
     /// Hash of the encoding.
     pub hash: ContentHash,
     /// Length of the encoding.
     pub encoded_bytes: usize,
 }
 
-impl Content {
-    /// Returns the content of `config`.
+impl ContentSummary {
+    /// Computes the summary of `config`.
     ///
     /// # Errors
     ///
     /// Returns an error if the configuration can't be encoded.
-    pub fn of(config: &Config) -> Result<Content, postcard::Error> {
+    pub fn of(config: &Config) -> Result<ContentSummary, postcard::Error> {
         let bytes = postcard::to_stdvec(config)?;
-        Ok(Content { hash: ContentHash::of_bytes(&bytes), encoded_bytes: bytes.len() })
+        Ok(ContentSummary { hash: ContentHash::of_bytes(&bytes), encoded_bytes: bytes.len() })
     }
 }
--- a/crates/pistachiotrack-core/src/config_sync/wire.rs
+++ b/crates/pistachiotrack-core/src/config_sync/wire.rs
@@ -1,60 +1,61 @@
-//! What VMs ask each other about the configuration, encoded with `postcard`.
+//! Messages of configuration pulls between VMs, encoded with `postcard`.
 
 use serde::{Deserialize, Serialize};
 
-use super::packed::Packed;
+use super::payload::Payload;
 use crate::{
     config::{ContentHash, MAX_ENCODED_BYTES},
     name::Name,
     vm::Vm,
 };
 
-/// Longest answer that is decoded: the whole of the largest configuration, and the
-/// frame around it.
-pub const MAX_ANSWER_BYTES: usize = MAX_ENCODED_BYTES + 1024;
+/// Maximum length of a response: the largest full configuration, and room for the rest
+/// of the message.
+pub const MAX_PULL_RESPONSE_BYTES: usize = MAX_ENCODED_BYTES + 1024;
 
-/// Asks for what is newer than the version held.
+/// Requests what is newer than the requester's version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Question {
+pub(super) struct PullRequest {
     pub(super) deployment: Name,
-    /// The VM that asks.
-    pub(super) asker: Vm,
-    /// Version and content held, or `None` to ask for the whole.
-    pub(super) held: Option<(u64, ContentHash)>,
-    /// Version that the asker is looking for.
+    /// VM that sends the request.
+    pub(super) requester: Vm,
+    /// Version and content hash to which deltas may apply, or `None` to request the full
+    /// configuration.
+    pub(super) base: Option<(u64, ContentHash)>,
+    /// Version that the response has to exceed.
     pub(super) newer_than: Option<u64>,
 }
 
-/// Answers a [`Question`].
+/// Response to a [`PullRequest`].
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) enum Answer {
+pub(super) enum PullResponse {
     /// The peer has nothing newer, or belongs to another deployment.
-    Nothing,
-    /// Encoded deltas from the version held to the newest, the oldest first.
-    Deltas(Vec<Packed>),
-    /// The whole configuration, encoded.
-    Whole { content: ContentHash, config: Packed },
-    /// The peer has answered as many as its link carries; it has `version`, and so
-    /// will these VMs that it has answered.
-    Elsewhere { version: u64, holders: Vec<Vm> },
+    NoUpdate,
+    /// Encoded deltas from the base to the newest version, the oldest first.
+    Deltas(Vec<Payload>),
+    /// The encoded full configuration.
+    Full { hash: ContentHash, payload: Payload },
+    /// The peer has used up its bandwidth. It has `version`, and so will `holders`, which
+    /// it has served.
+    Redirect { version: u64, holders: Vec<Vm> },
 }
 
-/// As [`Answer`], without owning what is kept for many answers.
+/// As [`PullResponse`], but borrows the payloads that are kept for many responses.
 #[derive(Debug, Serialize)]
-pub(super) enum AnswerRef<'a> {
-    Nothing,
-    Deltas(Vec<&'a Packed>),
-    Whole { content: ContentHash, config: &'a Packed },
-    Elsewhere { version: u64, holders: Vec<Vm> },
+pub(super) enum PullResponseRef<'a> {
+    NoUpdate,
+    Deltas(Vec<&'a Payload>),
+    Full { hash: ContentHash, payload: &'a Payload },
+    Redirect { version: u64, holders: Vec<Vm> },
 }
 
-impl AnswerRef<'_> {
-    /// Returns about how many bytes the answer takes.
+impl PullResponseRef<'_> {
+    /// Returns the approximate length of the response.
     pub(super) fn len(&self) -> usize {
         match self {
-            AnswerRef::Nothing | AnswerRef::Elsewhere { .. } => 0,
-            AnswerRef::Deltas(deltas) => deltas.iter().map(|delta| delta.len()).sum(),
-            AnswerRef::Whole { config, .. } => config.len(),
+            PullResponseRef::NoUpdate | PullResponseRef::Redirect { .. } => 0,
+            PullResponseRef::Deltas(deltas) => deltas.iter().map(|delta| delta.len()).sum(),
+            PullResponseRef::Full { payload, .. } => payload.len(),
         }
     }
 }
--- a/crates/pistachiotrack-core/src/ownership/placement.rs
+++ b/crates/pistachiotrack-core/src/ownership/placement.rs
@@ -34,7 +34,10 @@
 
     /// Returns the score of a VM; the VM with the highest score owns the shard.
     pub(super) fn score(&self, candidate: &Candidate) -> f64 {
-        self.weighted_score(&candidate.vm.data_centre, hash::rendezvous_score(self.key, candidate.key))
+        self.weighted_score(
+            &candidate.vm.data_centre,
+            hash::rendezvous_score(self.key, candidate.key),
+        )
     }
 
     fn weighted_score(&self, data_centre: &Name, hash: u64) -> f64 {
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -219,7 +219,8 @@
             tried: &pending.tried,
             max_risk: self.max_risk(now, pending),
             now,
-            is_failure_rate_high: self.mechanisms.coverage_on_failures && self.failure_rate.is_high(),
+            is_failure_rate_high: self.mechanisms.coverage_on_failures
+                && self.failure_rate.is_high(),
             allow_already_tried,
         })
     }
@@ -458,8 +459,10 @@
 /// answered recently, or a new one if the endpoint is suspect. A retry after a failure on a
 /// pooled connection gets a new one, which distinguishes the two causes.
 fn connection_choice(pending: &PendingRequest, health_status: HealthState) -> ConnectionChoice {
-    let is_suspect =
-        matches!(health_status, HealthState::Suspect | HealthState::HeldByFloor | HealthState::Trial);
+    let is_suspect = matches!(
+        health_status,
+        HealthState::Suspect | HealthState::HeldByFloor | HealthState::Trial
+    );
     if pending.needs_fresh_connection || health_status == HealthState::Trial {
         ConnectionChoice::Fresh
     } else if pending.request.idempotent {
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -237,7 +237,9 @@
             entry.is_reserved_for_peers = rate_limit.is_some() && share.fraction == 0.0;
             match rate_limit {
                 _ if !entry.accepts_requests() => {}
-                Some(limit) => self.rate_limited_per_second += limit.allowed_per_second(share.fraction),
+                Some(limit) => {
+                    self.rate_limited_per_second += limit.allowed_per_second(share.fraction)
+                }
                 None => self.capacity += entry.limit,
             }
             if entry.is_configured {
--- a/crates/pistachiotrack-core/src/shard/rate_limits.rs
+++ b/crates/pistachiotrack-core/src/shard/rate_limits.rs
@@ -65,7 +65,11 @@
     }
 
     /// Applies the limits of another VM's snapshot.
-    pub(super) fn on_snapshot_rate_limits(&mut self, now: Time, rates: &[(EndpointKey, RateUpdate)]) {
+    pub(super) fn on_snapshot_rate_limits(
+        &mut self,
+        now: Time,
+        rates: &[(EndpointKey, RateUpdate)],
+    ) {
         for (key, rate) in rates {
             if let Some(endpoint) = self.pool.endpoint_by_key(*key) {
                 self.on_rate_limit(now, &endpoint, request_sent_at(now, *rate), Some(rate.limit));
