--- a/crates/pistachiotrack-core/src/config_sync.rs
+++ b/crates/pistachiotrack-core/src/config_sync.rs
@@ -100,7 +100,7 @@
     listed_vm_count: Option<usize>,
     started_without_list: Option<bool>,
     first_value: Option<FirstValue>,
-    has_peer_contact: bool,
+    has_peer_version: bool,
     role: Option<Role>,
     /// Oldest version reported by peers and not active here, and the time of the
     /// first such report.
@@ -142,7 +142,7 @@
             listed_vm_count: None,
             started_without_list: None,
             first_value: None,
-            has_peer_contact: false,
+            has_peer_version: false,
             role: None,
             missing_version: None,
         }
@@ -173,7 +173,7 @@
             }
             count += 1;
             is_alone &= member.state != MemberState::Alive;
-            self.has_peer_contact |=
+            self.has_peer_version |=
                 member.state != MemberState::Dead && member.config_version.is_some();
             self.update_from_member(now, member);
             if self.in_same_data_centre(member)
@@ -265,7 +265,7 @@
 
     /// Records the version that a peer reports.
     pub fn on_peer_version(&mut self, now: Time, peer: &Vm, version: u64) -> Vec<ConfigAction> {
-        self.has_peer_contact = true;
+        self.has_peer_version = true;
         if Some(version) <= self.version() {
             self.pull_client.forget(&peer.name);
             return Vec::new();
--- a/crates/pistachiotrack-core/src/config_sync/candidates.rs
+++ b/crates/pistachiotrack-core/src/config_sync/candidates.rs
@@ -91,7 +91,7 @@
     pub(super) fn activate_first_value(&mut self, now: Time) -> Vec<ConfigAction> {
         let is_alone = self.listed_vm_count.is_some_and(|listed| listed <= 1);
         let is_released =
-            |first: &mut FirstValue| self.has_peer_contact || is_alone || now >= first.until;
+            |first: &mut FirstValue| self.has_peer_version || is_alone || now >= first.until;
         let Some(first) = self.first_value.take_if(is_released) else { return Vec::new() };
         let offered = first.candidate.config.version;
         if self.version().is_none() && self.pull_client.newest_available(now) > Some(offered) {
