--- a/crates/pistachiotrack-core/src/config_sync/platform_schedule.rs
+++ b/crates/pistachiotrack-core/src/config_sync/platform_schedule.rs
@@ -8,7 +8,7 @@
 
 /// Time after the expected end of a watch at which it counts as lost.
 const WATCH_GRACE: Duration = Duration::from_secs(10);
-/// Minimum interval between the starts of two watches.
+/// Minimum interval between the starts of two watches that return nothing newer.
 const MIN_WATCH_GAP: Duration = Duration::from_secs(1);
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 /// Factor by which the minimum retry delay exceeds the duration over which the first
