--- a/crates/pistachiotrack-core/benches/membership.rs
+++ b/crates/pistachiotrack-core/benches/membership.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Simulation of the other VMs of a large fleet, which respond with the real encoding.
+/// Simulation of the other VMs of a fleet of 5,800, which respond with the real encoding.
 struct SimulatedPeers {
     codec: Codec,
     count: usize,
--- a/crates/pistachiotrack-core/tests/membership.rs
+++ b/crates/pistachiotrack-core/tests/membership.rs
@@ -271,7 +271,7 @@
     fleet.crash(3);
     fleet.run_ms(50_000);
     let others: Vec<usize> = vec![0, 1, 2, 4, 5, 7];
-    assert!(others.iter().all(|viewer| fleet.state(*viewer, &name(3)).is_none()), "removed");
+    assert!(others.iter().all(|viewer| fleet.state(*viewer, &name(3)).is_none()), "forgotten");
     fleet.state_changes.clear();
     fleet.run_ms(40_000);
     let restored =
