--- a/crates/pistachiotrack-core/src/registry_view.rs
+++ b/crates/pistachiotrack-core/src/registry_view.rs
@@ -280,7 +280,8 @@
     /// A VM that alone lost the registry, or that hasn't watched it for a while, still has
     /// endpoints that have left, and its next version would add them again on all VMs, so
     /// that requests reach endpoints after they left. A version without retained endpoints
-    /// was made by a VM that saw each removal as it happened, so it replaces this view.
+    /// was made by a VM that saw each removal as it happened: endpoints retained since its
+    /// revision or earlier are removed, and a newer version replaces the whole view.
     pub fn on_active_config(&mut self, config: &Config) -> Option<u64> {
         if config.version % VERSIONS_PER_REVISION != VERSIONS_PER_REVISION - 1 {
             return None;
