--- a/crates/pistachiotrack/src/admin_client.rs
+++ b/crates/pistachiotrack/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! Asks the admin ports of several VMs at the same time.
+//! Requests to the admin ports of several VMs in parallel.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,55 +8,55 @@
 
 use crate::http_client::{self, HttpError};
 
-/// What one VM answered, or why it didn't.
+/// Response of one VM, or the reason that there is none.
 #[derive(Debug)]
-pub(crate) struct Reply<T> {
-    /// Admin address asked.
+pub(crate) struct VmResponse<T> {
+    /// Admin address of the VM.
     pub(crate) address: SocketAddr,
-    /// The answer.
-    pub(crate) answer: Result<T, HttpError>,
+    /// Content of the page, or the error.
+    pub(crate) result: Result<T, HttpError>,
 }
 
-/// Asks each address for a page; the replies keep the order of the addresses.
-pub(crate) async fn ask_all<T>(
+/// Requests a page from each address; the responses are in the order of the addresses.
+pub(crate) async fn fetch_all<T>(
     addresses: &[SocketAddr],
     path: &'static str,
     timeout: Duration,
-) -> anyhow::Result<Vec<Reply<T>>>
+) -> anyhow::Result<Vec<VmResponse<T>>>
 where
     T: DeserializeOwned + Send + 'static,
 {
     let mut tasks = JoinSet::new();
     for (position, &address) in addresses.iter().enumerate() {
-        tasks.spawn(async move { (position, ask(address, path, timeout).await) });
+        tasks.spawn(async move { (position, fetch(address, path, timeout).await) });
     }
-    let mut replies = Vec::with_capacity(addresses.len());
+    let mut responses = Vec::with_capacity(addresses.len());
     while let Some(joined) = tasks.join_next().await {
-        replies.push(joined?);
+        responses.push(joined?);
     }
-    replies.sort_by_key(|&(position, _)| position);
-    Ok(replies.into_iter().map(|(_, reply)| reply).collect())
+    responses.sort_by_key(|&(position, _)| position);
+    Ok(responses.into_iter().map(|(_, response)| response).collect())
 }
 
-async fn ask<T: DeserializeOwned>(
+async fn fetch<T: DeserializeOwned>(
     address: SocketAddr,
     path: &'static str,
     timeout: Duration,
-) -> Reply<T> {
-    let answer = http_client::get(address, path, HeaderMap::new(), timeout).await;
-    Reply { address, answer: answer.and_then(|answer| decode(address, path, &answer)) }
+) -> VmResponse<T> {
+    let response = http_client::get(address, path, HeaderMap::new(), timeout).await;
+    VmResponse { address, result: response.and_then(|response| decode(address, path, &response)) }
 }
 
 fn decode<T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
-    answer: &http_client::Answer,
+    response: &http_client::HttpResponse,
 ) -> Result<T, HttpError> {
-    if answer.status != StatusCode::OK {
+    if response.status != StatusCode::OK {
         let path = path.to_owned();
-        return Err(HttpError::Status { address, path, status: answer.status });
+        return Err(HttpError::Status { address, path, status: response.status });
     }
-    serde_json::from_slice(&answer.body).map_err(|cause| HttpError::Body {
+    serde_json::from_slice(&response.body).map_err(|cause| HttpError::Body {
         address,
         path: path.to_owned(),
         cause,
--- a/crates/pistachiotrack/src/check.rs
+++ b/crates/pistachiotrack/src/check.rs
@@ -1,4 +1,4 @@
-//! `check`: says whether the daemon would accept configuration files.
+//! `check`: reports whether the daemon would accept configuration files.
 
 use std::{fs, path::Path};
 
@@ -9,73 +9,73 @@
 use crate::{
     config::CheckConfig,
     exit_codes::ExitCode,
-    output::{self, printable},
+    output::{self, escape_control_chars},
 };
 
-/// The verdict on one file.
+/// Result of the check of one file.
 #[derive(Debug, Serialize)]
-struct Verdict {
+struct FileReport {
     file: String,
     accepted: bool,
     problems: Vec<Problem>,
     warnings: Vec<Problem>,
 }
 
-/// What is wrong or odd about one field.
+/// A problem with one field, or a warning about it.
 #[derive(Debug, Serialize)]
 struct Problem {
     field: String,
     problem: String,
 }
 
-/// Checks each file and prints all that is wrong.
+/// Checks each file and prints all problems and warnings.
 ///
 /// # Errors
 ///
 /// Returns an error if a file can't be read or the output can't be written.
 pub(crate) fn run(config: &CheckConfig) -> anyhow::Result<ExitCode> {
-    let verdicts =
+    let reports =
         config.files.iter().map(|file| check(file)).collect::<anyhow::Result<Vec<_>>>()?;
     if config.json {
-        output::print_json(&verdicts)?;
+        output::print_json(&reports)?;
     } else {
-        output::print(&verdicts.iter().map(verdict_text).collect::<String>())?;
+        output::print(&reports.iter().map(report_text).collect::<String>())?;
     }
-    let accepted = verdicts.iter().all(|verdict| verdict.accepted);
+    let accepted = reports.iter().all(|report| report.accepted);
     Ok(if accepted { ExitCode::Success } else { ExitCode::Rejected })
 }
 
-fn check(file: &Path) -> anyhow::Result<Verdict> {
+fn check(file: &Path) -> anyhow::Result<FileReport> {
     let json = fs::read(file).with_context(|| file.display().to_string())?;
     let file = file.display().to_string();
-    let verdict = match Config::parse(&file, &json) {
+    let report = match Config::parse(&file, &json) {
         Ok(config) => {
             let warnings = config.warnings().into_iter().map(Problem::from).collect();
-            Verdict { file, accepted: true, problems: Vec::new(), warnings }
+            FileReport { file, accepted: true, problems: Vec::new(), warnings }
         }
         Err(_) => {
             let problems = Config::problems(&file, &json);
             let problems = problems.into_iter().map(Problem::from).collect();
-            Verdict { file, accepted: false, problems, warnings: Vec::new() }
+            FileReport { file, accepted: false, problems, warnings: Vec::new() }
         }
     };
-    Ok(verdict)
+    Ok(report)
 }
 
-fn verdict_text(verdict: &Verdict) -> String {
+fn report_text(report: &FileReport) -> String {
     let mut text = String::new();
-    let mut add = |line: String| {
-        text.push_str(&printable(&line));
+    let mut push_line = |line: String| {
+        text.push_str(&escape_control_chars(&line));
         text.push('\n');
     };
-    for Problem { field, problem } in &verdict.problems {
-        add(format!("{}: {field}: {problem}", verdict.file));
+    for Problem { field, problem } in &report.problems {
+        push_line(format!("{}: {field}: {problem}", report.file));
     }
-    for Problem { field, problem } in &verdict.warnings {
-        add(format!("{}: warning: {field}: {problem}", verdict.file));
+    for Problem { field, problem } in &report.warnings {
+        push_line(format!("{}: warning: {field}: {problem}", report.file));
     }
-    if verdict.accepted {
-        add(format!("{}: accepted", verdict.file));
+    if report.accepted {
+        push_line(format!("{}: accepted", report.file));
     }
     text
 }
--- a/crates/pistachiotrack/src/cli.rs
+++ b/crates/pistachiotrack/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parser of the command line.
 
 use std::{ffi::OsString, net::SocketAddr, path::PathBuf, str::FromStr, time::Duration};
 
@@ -13,7 +13,7 @@
 };
 
 const HELP: &str = "\
-Operators' tool of the pistachiotrack proxy fleet.
+Command-line tool for operators of the pistachiotrack proxy fleet.
 
 Usage:
   pistachiotrack check [--json] FILE...
@@ -32,52 +32,52 @@
   pistachiotrack trace REQUEST [--json] [FILE]...
 
 Commands:
-  check       Says whether the daemon would accept configuration files
-  explain     Says which rule decides a request and why no earlier one does
+  check       Checks whether the daemon would accept configuration files
+  explain     Shows which rule matches a request and why no earlier one does
   status      Shows state, configuration version, shards and counters of VMs
   endpoints   Shows health and load of endpoints, from the owners of their shards
-  members     Shows the fleet as the VMs asked see it
+  members     Shows the members of the fleet as each VM reports them
   histograms  Shows latencies by customer and class
-  quarantine  Shows requests under which endpoints ended, and which are held back
-  entries     Asks a VM, as a caller does, which addresses to use
-  trace       Orders one request's lines from the logs of VMs, or from the
-              standard input, and names the one that decided
+  quarantine  Shows requests during which endpoints crashed, and which are held back
+  entries     Requests the entry addresses from a VM, in the way a caller does
+  trace       Sorts the log lines of one request, from files or standard input, and
+              shows the line that decided its outcome
 
 Options:
-  --added                  Shows only the time that no endpoint had a hand in
-  --all                    Shows the opinions of VMs that own no shard of a service too
-  --at-floor SERVICE       Takes a service as being at its floor
-  --queue-wait SERVICE=MS  Takes this as the expected wait in a service's queue
+  --added                  Shows the added latency: the time not spent at an endpoint
+  --all                    Includes reports of VMs that own no shard of the service
+  --at-floor SERVICE       Assumes that a service is at its floor
+  --queue-wait SERVICE=MS  Assumes this expected wait in a service's queue
   --json                   Prints JSON instead of text
-  --timeout-ms MS          Time allowed for each address [default: 2000]
+  --timeout-ms MS          Timeout for each address [default: 2000]
   -h, --help               Prints this help
   -V, --version            Prints the version
 
 Exit codes:
-  0  answered, nothing is wrong
-  1  answered: a file is not accepted, no rule matches, the VM refuses, or no log
-     has the request
-  2  the command line is wrong
-  3  at least one address gave no usable answer
-  4  anything else, such as a file that can't be read
+  0  success
+  1  negative result: a file is not accepted, no rule matches, the VM refuses, or
+     no log has the request
+  2  the command line is invalid
+  3  at least one address sent no usable response
+  4  any other failure, such as a file that can't be read
 ";
 
 const VERSION: &str = concat!("pistachiotrack ", env!("CARGO_PKG_VERSION"), "\n");
 
-/// What the command line asks for.
+/// Command given on the command line.
 #[derive(Debug)]
 pub(crate) enum Invocation {
     /// Prints a fixed text.
     Print(&'static str),
     /// Checks configuration files.
     Check(CheckConfig),
-    /// Explains which rule decides a request.
+    /// Shows which rule matches a request.
     Explain(ExplainConfig),
     /// Shows a page of the admin ports.
     View(ViewConfig),
-    /// Asks for addresses as a caller does.
+    /// Requests entry addresses as a caller does.
     Entries(EntriesConfig),
-    /// Orders the log lines of a request.
+    /// Sorts the log lines of a request.
     Trace(TraceConfig),
 }
 
@@ -93,7 +93,7 @@
     if args.contains(["-V", "--version"]) {
         return Ok(Invocation::Print(VERSION));
     }
-    let command = args.subcommand().map_err(usage)?;
+    let command = args.subcommand().map_err(usage_error)?;
     match command.as_deref() {
         Some("check") => parse_check(args).map(Invocation::Check),
         Some("explain") => parse_explain(args).map(Invocation::Explain),
@@ -118,8 +118,8 @@
 fn parse_check(mut args: Arguments) -> anyhow::Result<CheckConfig> {
     let json = args.contains("--json");
     let rest = args.finish();
-    if let Some(option) = rest.iter().find(|arg| looks_like_option(arg)) {
-        return Err(unexpected(option));
+    if let Some(option) = rest.iter().find(|arg| is_option(arg)) {
+        return Err(unexpected_argument(option));
     }
     if rest.is_empty() {
         return Err(Error::usage("check: no file given"));
@@ -130,8 +130,8 @@
 fn parse_trace(mut args: Arguments) -> anyhow::Result<TraceConfig> {
     let json = args.contains("--json");
     let rest = args.finish();
-    if let Some(option) = rest.iter().find(|arg| looks_like_option(arg)) {
-        return Err(unexpected(option));
+    if let Some(option) = rest.iter().find(|arg| is_option(arg)) {
+        return Err(unexpected_argument(option));
     }
     let mut rest = rest.into_iter();
     let Some(request) = rest.next() else {
@@ -146,20 +146,23 @@
         .opt_value_from_fn("--class", |text| {
             Class::parse(text).ok_or("expected interactive, standard or batch")
         })
-        .map_err(usage)?;
+        .map_err(usage_error)?;
     let config = ExplainConfig {
         json: args.contains("--json"),
         file: PathBuf::from(required::<String>(&mut args, "--config")?),
         customer: required(&mut args, "--customer")?,
-        host: args.opt_value_from_str("--host").map_err(usage)?.unwrap_or_default(),
+        host: args.opt_value_from_str("--host").map_err(usage_error)?.unwrap_or_default(),
         method: required(&mut args, "--method")?,
         path: required(&mut args, "--path")?,
-        headers: args.values_from_fn("--header", parse_header).map_err(usage)?,
+        headers: args.values_from_fn("--header", parse_header).map_err(usage_error)?,
         class: class.unwrap_or_default(),
-        service: args.opt_value_from_str("--service").map_err(usage)?,
-        data_centre: args.opt_value_from_str("--data-centre").map_err(usage)?.unwrap_or_default(),
-        services_at_floor: args.values_from_str("--at-floor").map_err(usage)?,
-        queue_waits: args.values_from_fn("--queue-wait", parse_queue_wait).map_err(usage)?,
+        service: args.opt_value_from_str("--service").map_err(usage_error)?,
+        data_centre: args
+            .opt_value_from_str("--data-centre")
+            .map_err(usage_error)?
+            .unwrap_or_default(),
+        services_at_floor: args.values_from_str("--at-floor").map_err(usage_error)?,
+        queue_waits: args.values_from_fn("--queue-wait", parse_queue_wait).map_err(usage_error)?,
     };
     finish(args)?;
     Ok(config)
@@ -169,7 +172,7 @@
     let config = ViewConfig {
         json: args.contains("--json"),
         view,
-        admin_addresses: args.value_from_fn("--admin", parse_addresses).map_err(usage)?,
+        admin_addresses: args.value_from_fn("--admin", parse_addresses).map_err(usage_error)?,
         timeout: parse_timeout(&mut args)?,
     };
     finish(args)?;
@@ -193,11 +196,11 @@
     T: FromStr,
     T::Err: std::fmt::Display,
 {
-    args.value_from_str(option).map_err(usage)
+    args.value_from_str(option).map_err(usage_error)
 }
 
 fn parse_timeout(args: &mut Arguments) -> anyhow::Result<Duration> {
-    let timeout_ms: Option<u64> = args.opt_value_from_str("--timeout-ms").map_err(usage)?;
+    let timeout_ms: Option<u64> = args.opt_value_from_str("--timeout-ms").map_err(usage_error)?;
     Ok(timeout_ms.map_or(DEFAULT_TIMEOUT, Duration::from_millis))
 }
 
@@ -206,7 +209,7 @@
 }
 
 fn parse_address(text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("'{text}' is no IP number with port"))
+    text.parse().map_err(|_| format!("'{text}' is not an IP address with port"))
 }
 
 fn parse_header(text: &str) -> Result<(String, String), &'static str> {
@@ -222,19 +225,19 @@
 
 fn finish(args: Arguments) -> anyhow::Result<()> {
     match args.finish().first() {
-        Some(argument) => Err(unexpected(argument)),
+        Some(argument) => Err(unexpected_argument(argument)),
         None => Ok(()),
     }
 }
 
-fn looks_like_option(argument: &OsString) -> bool {
+fn is_option(argument: &OsString) -> bool {
     argument.as_encoded_bytes().starts_with(b"-")
 }
 
-fn unexpected(argument: &OsString) -> anyhow::Error {
+fn unexpected_argument(argument: &OsString) -> anyhow::Error {
     Error::usage(format!("unexpected argument '{}'", argument.to_string_lossy()))
 }
 
-fn usage(error: pico_args::Error) -> anyhow::Error {
+fn usage_error(error: pico_args::Error) -> anyhow::Error {
     Error::usage(error.to_string())
 }
--- a/crates/pistachiotrack/src/config.rs
+++ b/crates/pistachiotrack/src/config.rs
@@ -1,10 +1,10 @@
-//! What each command was asked to do.
+//! Parsed options of each command.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
 use pistachiotrack_core::{request::Class, rule::QueueWaitCondition};
 
-/// Time allowed for an answer where the command line doesn't say.
+/// Timeout of a request if the command line sets none.
 pub(crate) const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Settings of `check`.
@@ -25,7 +25,7 @@
     pub(crate) file: PathBuf,
     /// Customer of the request.
     pub(crate) customer: String,
-    /// Host that the request names.
+    /// Host of the request.
     pub(crate) host: String,
     /// HTTP method of the request.
     pub(crate) method: String,
@@ -33,34 +33,34 @@
     pub(crate) path: String,
     /// Headers of the request: lower-case name and value.
     pub(crate) headers: Vec<(String, String)>,
-    /// Class that the caller asks for.
+    /// Class that the caller requests.
     pub(crate) class: Class,
-    /// Service that the caller names.
+    /// Service that the caller requests.
     pub(crate) service: Option<String>,
-    /// Data centre of the VM that the request enters at.
+    /// Data centre of the VM that receives the request.
     pub(crate) data_centre: String,
-    /// Services to take as being at their floor.
+    /// Services assumed to be at their floor.
     pub(crate) services_at_floor: Vec<String>,
-    /// Expected queue waits to take as given; any other is none.
+    /// Assumed queue waits by service; other services have none.
     pub(crate) queue_waits: Vec<QueueWaitCondition>,
 }
 
-/// Which page of the admin port to show.
+/// Page of the admin port to show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum View {
     /// State, configuration version, shards and counters of each VM.
     Status,
     /// Health and load of the endpoints, from the owners of their shards.
     Endpoints,
-    /// The same, from every VM that has an opinion.
+    /// The same, from every VM that reports the endpoint.
     AllEndpoints,
-    /// The fleet as each VM sees it.
+    /// Members of the fleet as each VM reports them.
     Members,
-    /// Requests under which endpoints ended.
+    /// Requests during which endpoints crashed.
     Quarantine,
     /// Latencies by customer and class.
     Histograms,
-    /// The part of the latencies that no endpoint had a hand in.
+    /// Latency added by the fleet: the part not spent at an endpoint.
     AddedHistograms,
 }
 
@@ -71,9 +71,9 @@
     pub(crate) json: bool,
     /// Page to show.
     pub(crate) view: View,
-    /// Admin addresses to ask.
+    /// Admin addresses of the VMs.
     pub(crate) admin_addresses: Vec<SocketAddr>,
-    /// Time allowed for each address.
+    /// Timeout for each address.
     pub(crate) timeout: Duration,
 }
 
@@ -82,13 +82,13 @@
 pub(crate) struct EntriesConfig {
     /// Whether to print JSON.
     pub(crate) json: bool,
-    /// Caller address of the VM to ask.
+    /// Caller address of the VM.
     pub(crate) vm_address: SocketAddr,
-    /// Service that the caller wants.
+    /// Service to request the entry addresses of.
     pub(crate) service: String,
-    /// Customer that the caller acts for.
+    /// Customer on whose behalf the request is sent.
     pub(crate) customer: String,
-    /// Time allowed for the answer.
+    /// Timeout of the request.
     pub(crate) timeout: Duration,
 }
 
@@ -99,6 +99,6 @@
     pub(crate) json: bool,
     /// Identity of the request.
     pub(crate) request: String,
-    /// Files with the logs of VMs; the standard input if there are none.
+    /// Log files of VMs; standard input if there are none.
     pub(crate) files: Vec<PathBuf>,
 }
--- a/crates/pistachiotrack/src/endpoints.rs
+++ b/crates/pistachiotrack/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints, as the owners of their shards judge them.
+//! Table of the endpoints with the state that the owners of their shards report.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,27 +8,27 @@
 use pistachiotrack_core::admin::{EndpointStatus, Status};
 
 use crate::{
-    admin_client::Reply,
+    admin_client::VmResponse,
     output::{Table, or_dash},
-    views::{Answers, rows},
+    views::{Responses, rows},
 };
 
-/// Which of the VMs asked own shards of which service.
+/// VMs that own shards, by service, of those that were queried.
 #[derive(Debug, Default)]
-pub(crate) struct Owners {
+pub(crate) struct ShardOwners {
     by_service: BTreeMap<String, BTreeSet<SocketAddr>>,
-    unknown: BTreeSet<SocketAddr>,
+    without_status: BTreeSet<SocketAddr>,
 }
 
-impl Owners {
-    /// Returns the owners as the VMs tell them.
-    pub(crate) fn of(replies: &[Reply<Status>]) -> Owners {
-        let mut owners = Owners::default();
-        for reply in replies {
-            match &reply.answer {
-                Ok(status) => owners.add(reply.address, status),
+impl ShardOwners {
+    /// Collects the owners from the status pages of the VMs.
+    pub(crate) fn from_responses(responses: &[VmResponse<Status>]) -> ShardOwners {
+        let mut owners = ShardOwners::default();
+        for response in responses {
+            match &response.result {
+                Ok(status) => owners.add(response.address, status),
                 Err(_) => {
-                    owners.unknown.insert(reply.address);
+                    owners.without_status.insert(response.address);
                 }
             }
         }
@@ -42,19 +42,20 @@
         }
     }
 
-    /// Returns whether the VM's opinion on a service's endpoints counts.
+    /// Returns whether the VM's report on a service's endpoints is shown.
     ///
-    /// A VM that once served in an owner's place still shows the endpoints, as
-    /// it last saw them. Where no owner was asked, such an opinion is better
-    /// than none.
-    fn counts(&self, service: &str, address: SocketAddr) -> bool {
+    /// A VM that once dispatched in an owner's place still reports the endpoints in their last
+    /// state known to it. Such a report is shown only if no owner of the service was queried,
+    /// or if the VM's own status is missing, so that it may be an owner.
+    fn is_shown(&self, service: &str, address: SocketAddr) -> bool {
         let owners = self.by_service.get(service);
-        owners.is_none_or(|owners| owners.contains(&address)) || self.unknown.contains(&address)
+        owners.is_none_or(|owners| owners.contains(&address))
+            || self.without_status.contains(&address)
     }
 }
 
-/// Returns the endpoints as text, without the opinions that don't count.
-pub(crate) fn text(answers: &Answers<'_, Vec<EndpointStatus>>, owners: &Owners) -> String {
+/// Returns the endpoints as text, with the reports that [`ShardOwners::is_shown`] selects.
+pub(crate) fn text(responses: &Responses<'_, Vec<EndpointStatus>>, owners: &ShardOwners) -> String {
     let mut table = Table::new(&[
         "SERVICE",
         "ENDPOINT",
@@ -66,8 +67,8 @@
         "REASON",
         "ADMIN",
     ]);
-    for (address, endpoint) in rows(answers) {
-        if owners.counts(&endpoint.service, address) {
+    for (address, endpoint) in rows(responses) {
+        if owners.is_shown(&endpoint.service, address) {
             table.push(row(address, endpoint));
         }
     }
--- a/crates/pistachiotrack/src/entries.rs
+++ b/crates/pistachiotrack/src/entries.rs
@@ -1,4 +1,4 @@
-//! `entries`: asks a VM, as a caller does, which addresses to use.
+//! `entries`: requests the entry addresses from a VM, in the way a caller does.
 
 use anyhow::Context as _;
 use hyper::{HeaderMap, StatusCode, header::HeaderValue};
@@ -9,66 +9,71 @@
     config::EntriesConfig,
     error::Error,
     exit_codes::ExitCode,
-    http_client::{self, Answer, HttpError},
-    output::{self, Table, printable},
+    http_client::{self, HttpError, HttpResponse},
+    output::{self, Table, escape_control_chars},
 };
 
-/// Characters of a query value that must be escaped.
-const QUERY_VALUE: &AsciiSet =
+/// Characters of a query value that are percent-encoded.
+const QUERY_VALUE_ESCAPES: &AsciiSet =
     &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-/// Asks the VM and prints its answer.
+/// Requests the entry addresses from the VM and prints them.
 ///
 /// # Errors
 ///
-/// Returns an error that names the address when no usable answer came in time.
+/// Returns an error that names the address if no usable response arrives before the timeout.
 pub(crate) fn run(config: &EntriesConfig) -> anyhow::Result<ExitCode> {
     let customer = HeaderValue::from_str(&config.customer)
-        .with_context(|| format!("--customer: '{}' fits no header", config.customer))?;
+        .with_context(|| format!("--customer: '{}' is not valid in a header", config.customer))?;
     let mut headers = HeaderMap::new();
     headers.insert(header::CUSTOMER, customer);
-    let service = utf8_percent_encode(&config.service, QUERY_VALUE);
+    let service = utf8_percent_encode(&config.service, QUERY_VALUE_ESCAPES);
     let path = format!("{}?service={service}", header::ENTRIES_PATH);
 
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let address = config.vm_address;
-    let answer = runtime
+    let response = runtime
         .block_on(http_client::get(address, &path, headers, config.timeout))
         .map_err(Error::from)?;
-    if answer.headers.contains_key(header::OUTCOME) {
-        eprintln!("pistachiotrack: {address}: {}", refusal_text(&answer));
+    if response.headers.contains_key(header::OUTCOME) {
+        eprintln!("pistachiotrack: {address}: {}", refusal_text(&response));
         return Ok(ExitCode::Rejected);
     }
-    if answer.status != StatusCode::OK {
-        return Err(Error::from(HttpError::Status { address, path, status: answer.status }).into());
+    if response.status != StatusCode::OK {
+        return Err(
+            Error::from(HttpError::Status { address, path, status: response.status }).into()
+        );
     }
-    let entries: EntryResponse = serde_json::from_slice(&answer.body)
+    let entries: EntryResponse = serde_json::from_slice(&response.body)
         .map_err(|cause| Error::from(HttpError::Body { address, path, cause }))?;
     print(config, &entries)?;
     Ok(ExitCode::Success)
 }
 
-fn refusal_text(answer: &Answer) -> String {
+fn refusal_text(response: &HttpResponse) -> String {
     let value = |name| {
-        let value = answer.headers.get(name).map(HeaderValue::as_bytes);
-        value.map_or_else(|| "-".to_owned(), |bytes| printable(&String::from_utf8_lossy(bytes)))
+        let value = response.headers.get(name).map(HeaderValue::as_bytes);
+        value.map_or_else(
+            || "-".to_owned(),
+            |bytes| escape_control_chars(&String::from_utf8_lossy(bytes)),
+        )
     };
     format!(
         "refused with {}: outcome={} reason={} retry_after_ms={}",
-        answer.status.as_u16(),
+        response.status.as_u16(),
         value(header::OUTCOME),
         value(header::REASON),
         value(header::RETRY_AFTER_MS),
     )
 }
 
-fn print(config: &EntriesConfig, answer: &EntryResponse) -> anyhow::Result<()> {
+fn print(config: &EntriesConfig, response: &EntryResponse) -> anyhow::Result<()> {
     if config.json {
-        return output::print_json(answer);
+        return output::print_json(response);
     }
     let mut table = Table::new(&["ADDRESS", "DATA CENTRE"]);
-    for entry in &answer.entries {
+    for entry in &response.entries {
         table.push(vec![entry.address.to_string(), entry.data_centre.to_string()]);
     }
-    output::print(&format!("{table}\nvalid for {} ms\n", answer.lifetime_ms))
+    output::print(&format!("{table}\nvalid for {} ms\n", response.lifetime_ms))
 }
--- a/crates/pistachiotrack/src/error.rs
+++ b/crates/pistachiotrack/src/error.rs
@@ -1,14 +1,14 @@
-//! Errors of the tool that decide its exit code; all others stay untyped.
+//! Errors with an exit code of their own; all others are untyped.
 
 use crate::http_client::HttpError;
 
 /// An error with an exit code of its own.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}\nTry 'pistachiotrack --help'.")]
     Usage(String),
-    /// An address gave no usable answer.
+    /// An address sent no usable response.
     #[error(transparent)]
     Http(#[from] HttpError),
 }
--- a/crates/pistachiotrack/src/exit_codes.rs
+++ b/crates/pistachiotrack/src/exit_codes.rs
@@ -1,20 +1,20 @@
-//! Exit codes, so that scripts can tell a verdict from a failure to reach one.
+//! Exit codes, which let scripts distinguish a negative result from a failure to get one.
 
 use crate::Error;
 
-/// How the process ends.
+/// Exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExitCode {
-    /// The question was answered and nothing is wrong.
+    /// The command succeeded and its result is positive.
     Success,
-    /// The question was answered and the answer is no: a file is not accepted,
-    /// no rule matches, or a VM refuses.
+    /// The command succeeded and its result is negative: a file is not accepted, no rule
+    /// matches, a VM refuses, or no log has the request.
     Rejected,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
-    /// At least one address gave no usable answer.
-    NoAnswer,
-    /// Something else went wrong, such as a file that can't be read.
+    /// At least one address sent no usable response.
+    NoResponse,
+    /// Any other failure, such as a file that can't be read.
     GeneralError,
 }
 
@@ -24,7 +24,7 @@
             ExitCode::Success => 0,
             ExitCode::Rejected => 1,
             ExitCode::Usage => 2,
-            ExitCode::NoAnswer => 3,
+            ExitCode::NoResponse => 3,
             ExitCode::GeneralError => 4,
         }
     }
@@ -40,7 +40,7 @@
     fn from(error: &anyhow::Error) -> Self {
         match error.downcast_ref::<Error>() {
             Some(Error::Usage(_)) => ExitCode::Usage,
-            Some(Error::Http(_)) => ExitCode::NoAnswer,
+            Some(Error::Http(_)) => ExitCode::NoResponse,
             None => ExitCode::GeneralError,
         }
     }
--- a/crates/pistachiotrack/src/explain.rs
+++ b/crates/pistachiotrack/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: says which rule decides a request and why no earlier one does.
+//! `explain`: shows which rule matches a request and why no earlier one does.
 
 use std::fs;
 
@@ -13,10 +13,10 @@
 use crate::{
     config::ExplainConfig,
     exit_codes::ExitCode,
-    output::{self, or_dash, printable},
+    output::{self, escape_control_chars, or_dash},
 };
 
-/// Explains the decision and prints it.
+/// Prints which rule matches the request and why the earlier ones don't.
 ///
 /// # Errors
 ///
@@ -28,7 +28,7 @@
     let rules = match Config::parse(&file, &json) {
         Ok(value) => value.rules,
         Err(error) => {
-            eprintln!("pistachiotrack: {}", printable(&error.to_string()));
+            eprintln!("pistachiotrack: {}", escape_control_chars(&error.to_string()));
             return Ok(ExitCode::Rejected);
         }
     };
@@ -44,7 +44,7 @@
 fn explain(rules: &[Rule], config: &ExplainConfig) -> Explanation {
     let headers: Vec<(&str, &str)> =
         config.headers.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-    let subject = RequestAttributes {
+    let attributes = RequestAttributes {
         customer: &config.customer,
         host: &config.host,
         method: &config.method,
@@ -54,13 +54,13 @@
         service: config.service.as_deref(),
         data_centre: &config.data_centre,
     };
-    RuleSet::new(rules).explain(&subject, &AssumedFacts(config))
+    RuleSet::new(rules).explain(&attributes, &AssumedServiceState(config))
 }
 
-/// The live facts as the command line gives them.
-struct AssumedFacts<'a>(&'a ExplainConfig);
+/// State of the services as given on the command line.
+struct AssumedServiceState<'a>(&'a ExplainConfig);
 
-impl ServiceState for AssumedFacts<'_> {
+impl ServiceState for AssumedServiceState<'_> {
     fn service_at_floor(&self, service: &str) -> bool {
         self.0.services_at_floor.iter().any(|name| name == service)
     }
@@ -75,14 +75,14 @@
     let mut text = String::new();
     for mismatch in &explanation.skipped {
         let line = format!("skipped {}: {}", mismatch.rule, mismatch.condition);
-        text.push_str(&printable(&line));
+        text.push_str(&escape_control_chars(&line));
         text.push('\n');
     }
-    let verdict = match &explanation.matched {
+    let result = match &explanation.matched {
         Some(rule) => format!("matched {}: {}", rule.name, action_text(&rule.then)),
         None => "no rule matches: refused, reason rule".to_owned(),
     };
-    text.push_str(&printable(&verdict));
+    text.push_str(&escape_control_chars(&result));
     text.push('\n');
     text
 }
--- a/crates/pistachiotrack/src/main.rs
+++ b/crates/pistachiotrack/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command-line tool of the pistachiotrack proxy fleet.
+//! Command-line tool for the operators of the pistachiotrack proxy fleet.
 
 mod admin_client;
 mod check;
--- a/crates/pistachiotrack/src/output.rs
+++ b/crates/pistachiotrack/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing: plain text, aligned tables and JSON.
+//! Output as plain text, aligned tables and JSON.
 
 use std::{
     fmt::{self, Write as _},
@@ -10,17 +10,17 @@
 
 const COLUMN_GAP: &str = "  ";
 
-/// Prints a text to the standard output.
+/// Prints text to standard output.
 ///
 /// # Errors
 ///
-/// Returns an error if the output can't be written, but not when its reader
-/// has gone.
+/// Returns an error if the output can't be written, except when its reader has closed the
+/// pipe.
 pub(crate) fn print(text: &str) -> anyhow::Result<()> {
     let mut stdout = io::stdout().lock();
     match stdout.write_all(text.as_bytes()).and_then(|()| stdout.flush()) {
-        // `pistachiotrack members ... | head` closes the pipe early; the
-        // reader has all it wants, so this is no failure to report.
+        // `pistachiotrack members ... | head` closes the pipe when it has read enough, so this
+        // is no failure.
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
         result => result.context("standard output"),
     }
@@ -37,11 +37,11 @@
     print(&text)
 }
 
-/// Returns the text with control characters escaped.
+/// Returns the text with its control characters escaped.
 ///
-/// Names and reasons come over the network: an escape sequence in one could
-/// overwrite what the operator's terminal shows.
-pub(crate) fn printable(text: &str) -> String {
+/// Names and reasons come from the network, and an escape sequence in one could overwrite
+/// other output on the operator's terminal.
+pub(crate) fn escape_control_chars(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for character in text.chars() {
         if character.is_control() {
@@ -73,7 +73,7 @@
 
     /// Adds a row, with a cell for each column.
     pub(crate) fn push(&mut self, row: Vec<String>) {
-        self.rows.push(row.iter().map(|cell| printable(cell)).collect());
+        self.rows.push(row.iter().map(|cell| escape_control_chars(cell)).collect());
     }
 
     /// Sorts the rows by their cells, the first column first.
--- a/crates/pistachiotrack/src/trace.rs
+++ b/crates/pistachiotrack/src/trace.rs
@@ -1,5 +1,5 @@
-//! `trace`: orders the log lines of one request from many VMs and names the one
-//! that decided.
+//! `trace`: sorts the log lines that many VMs wrote about one request and finds the line that
+//! decided its outcome.
 
 use std::{
     fs,
@@ -12,21 +12,21 @@
 use crate::{
     config::TraceConfig,
     exit_codes::ExitCode,
-    output::{self, printable},
+    output::{self, escape_control_chars},
 };
 
-/// What the logs say of a request.
+/// Log lines about a request.
 #[derive(Debug, Serialize)]
 struct Trace {
     request: String,
     lines: Vec<String>,
-    /// The line after which nothing could change the outcome any more.
+    /// Line that decided the outcome: the last refusal, or the last line without one.
     deciding: Option<String>,
-    /// VM that decided, if the line names it.
+    /// VM that decided the outcome, if the line names it.
     decided_by: Option<String>,
 }
 
-/// Prints the lines of a request in the order of their times.
+/// Prints the log lines of a request in the order of their timestamps.
 ///
 /// # Errors
 ///
@@ -54,8 +54,8 @@
     let mut lines: Vec<&str> =
         text.lines().filter(|line| field(line, "request") == Some(request)).collect();
     lines.sort_by_key(|line| field(line, "time").unwrap_or_default());
-    let is_final = |line: &&&str| field(line, "event") == Some("refused");
-    let deciding = lines.iter().rfind(is_final).or(lines.last());
+    let is_refusal = |line: &&&str| field(line, "event") == Some("refused");
+    let deciding = lines.iter().rfind(is_refusal).or(lines.last());
     Trace {
         request: request.to_owned(),
         deciding: deciding.map(|line| (*line).to_owned()),
@@ -64,20 +64,25 @@
     }
 }
 
-/// Returns the value of a key=value pair of a line.
+/// Returns the value of a `key=value` pair of a line.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     line.split_whitespace().find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='))
 }
 
 fn trace_text(trace: &Trace) -> String {
     let Some(deciding) = &trace.deciding else {
-        let request = printable(&trace.request);
+        let request = escape_control_chars(&trace.request);
         return format!(
             "request {request} is in none of these logs: it was served at once, it never \
              reached a VM, or its lines were left out (event=log_lines_left_out)\n"
         );
     };
-    let lines: String = trace.lines.iter().map(|line| printable(line) + "\n").collect();
-    let by = trace.decided_by.as_deref().map(|vm| format!("decided by: {}\n", printable(vm)));
-    format!("{lines}deciding: {}\n{}", printable(deciding), by.unwrap_or_default())
+    let lines: String = trace.lines.iter().map(|line| escape_control_chars(line) + "\n").collect();
+    let decided_by =
+        trace.decided_by.as_deref().map(|vm| format!("decided by: {}\n", escape_control_chars(vm)));
+    format!(
+        "{lines}deciding: {}\n{}",
+        escape_control_chars(deciding),
+        decided_by.unwrap_or_default()
+    )
 }
--- a/crates/pistachiotrack/src/views.rs
+++ b/crates/pistachiotrack/src/views.rs
@@ -1,5 +1,5 @@
-//! The pages of the admin ports: `status`, `endpoints`, `members`, `quarantine`
-//! and `histograms`.
+//! Views of the admin ports' pages: `status`, `endpoints`, `members`, `quarantine` and
+//! `histograms`.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -8,14 +8,14 @@
 use serde_json::json;
 
 use crate::{
-    admin_client::{self, Reply},
+    admin_client::{self, VmResponse},
     config::{View, ViewConfig},
-    endpoints::{self, Owners},
+    endpoints::{self, ShardOwners},
     exit_codes::ExitCode,
-    output::{self, Table, or_dash, printable},
+    output::{self, Table, escape_control_chars, or_dash},
 };
 
-/// Asks the VMs and prints their pages as one.
+/// Requests the page from each VM and prints the combined result.
 ///
 /// # Errors
 ///
@@ -24,12 +24,12 @@
     match config.view {
         View::Status => show(config, "/status", status_text),
         View::Endpoints => {
-            let owners = Owners::of(&ask::<Status>(config, "/status")?);
-            show(config, "/endpoints", |answers| endpoints::text(answers, &owners))
+            let owners = ShardOwners::from_responses(&fetch::<Status>(config, "/status")?);
+            show(config, "/endpoints", |responses| endpoints::text(responses, &owners))
         }
         View::AllEndpoints => {
-            let owners = Owners::default();
-            show(config, "/endpoints", |answers| endpoints::text(answers, &owners))
+            let owners = ShardOwners::default();
+            show(config, "/endpoints", |responses| endpoints::text(responses, &owners))
         }
         View::Members => show(config, "/members", members_text),
         View::Quarantine => show(config, "/quarantine", quarantine_text),
@@ -38,57 +38,57 @@
     }
 }
 
-/// The answers that came, each with the address that gave it.
-pub(crate) type Answers<'a, T> = [(SocketAddr, &'a T)];
+/// Responses received, each with the address of its VM.
+pub(crate) type Responses<'a, T> = [(SocketAddr, &'a T)];
 
-fn ask<T>(config: &ViewConfig, path: &'static str) -> anyhow::Result<Vec<Reply<T>>>
+fn fetch<T>(config: &ViewConfig, path: &'static str) -> anyhow::Result<Vec<VmResponse<T>>>
 where
     T: DeserializeOwned + Send + 'static,
 {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(admin_client::ask_all(&config.admin_addresses, path, config.timeout))
+    runtime.block_on(admin_client::fetch_all(&config.admin_addresses, path, config.timeout))
 }
 
 fn show<T>(
     config: &ViewConfig,
     path: &'static str,
-    text: impl Fn(&Answers<'_, T>) -> String,
+    text: impl Fn(&Responses<'_, T>) -> String,
 ) -> anyhow::Result<ExitCode>
 where
     T: DeserializeOwned + Serialize + Send + 'static,
 {
-    let replies = ask::<T>(config, path)?;
+    let responses = fetch::<T>(config, path)?;
     if config.json {
-        output::print_json(&replies.iter().map(reply_json).collect::<Vec<_>>())?;
+        output::print_json(&responses.iter().map(response_json).collect::<Vec<_>>())?;
     } else {
-        let answers: Vec<(SocketAddr, &T)> = replies
+        let responses: Vec<(SocketAddr, &T)> = responses
             .iter()
-            .filter_map(|reply| Some((reply.address, reply.answer.as_ref().ok()?)))
+            .filter_map(|response| Some((response.address, response.result.as_ref().ok()?)))
             .collect();
-        if !answers.is_empty() {
-            output::print(&text(&answers))?;
+        if !responses.is_empty() {
+            output::print(&text(&responses))?;
         }
     }
-    Ok(report_failures(&replies))
+    Ok(report_failures(&responses))
 }
 
-fn reply_json<T: Serialize>(reply: &Reply<T>) -> serde_json::Value {
-    match &reply.answer {
-        Ok(answer) => json!({"address": reply.address, "answer": answer}),
-        Err(error) => json!({"address": reply.address, "error": error.to_string()}),
+fn response_json<T: Serialize>(response: &VmResponse<T>) -> serde_json::Value {
+    match &response.result {
+        Ok(page) => json!({"address": response.address, "answer": page}),
+        Err(error) => json!({"address": response.address, "error": error.to_string()}),
     }
 }
 
-fn report_failures<T>(replies: &[Reply<T>]) -> ExitCode {
+fn report_failures<T>(responses: &[VmResponse<T>]) -> ExitCode {
     let mut code = ExitCode::Success;
-    for error in replies.iter().filter_map(|reply| reply.answer.as_ref().err()) {
-        eprintln!("pistachiotrack: {}", printable(&error.to_string()));
-        code = ExitCode::NoAnswer;
+    for error in responses.iter().filter_map(|response| response.result.as_ref().err()) {
+        eprintln!("pistachiotrack: {}", escape_control_chars(&error.to_string()));
+        code = ExitCode::NoResponse;
     }
     code
 }
 
-fn status_text(answers: &Answers<'_, Status>) -> String {
+fn status_text(responses: &Responses<'_, Status>) -> String {
     let mut vms = Table::new(&[
         "VM",
         "ADMIN",
@@ -101,7 +101,7 @@
         "SHARDS",
     ]);
     let mut text = String::new();
-    for (address, status) in answers {
+    for (address, status) in responses {
         vms.push(vec![
             status.vm.to_string(),
             address.to_string(),
@@ -115,10 +115,10 @@
         ]);
         if let Some(error) = &status.config_error {
             let line = format!("{}: configuration not accepted: {error}", status.vm);
-            text.push_str(&format!("\n{}\n", printable(&line)));
+            text.push_str(&format!("\n{}\n", escape_control_chars(&line)));
         }
     }
-    let counters = counters_table(answers);
+    let counters = counters_table(responses);
     format!("{vms}{text}\n{counters}")
 }
 
@@ -131,9 +131,9 @@
 }
 
 /// Returns the counters summed over the VMs.
-fn counters_table(answers: &Answers<'_, Status>) -> Table {
+fn counters_table(responses: &Responses<'_, Status>) -> Table {
     let mut sums: BTreeMap<&str, u64> = BTreeMap::new();
-    for counter in answers.iter().flat_map(|(_, status)| &status.counters) {
+    for counter in responses.iter().flat_map(|(_, status)| &status.counters) {
         let sum = sums.entry(counter.name.as_str()).or_default();
         *sum = sum.saturating_add(counter.value);
     }
@@ -144,43 +144,43 @@
     table
 }
 
-/// Returns the members as text, with one row for each different opinion.
+/// Returns the members as text, with one row for each distinct report.
 ///
-/// VMs may see the same member differently, as in a one-way partition; rows
-/// that agree are merged and the last column says who holds the opinion.
-fn members_text(answers: &Answers<'_, Vec<MemberStatus>>) -> String {
-    let mut opinions: BTreeMap<Vec<String>, Vec<String>> = BTreeMap::new();
-    for (address, member) in rows(answers) {
-        let opinion = vec![
+/// VMs may report different states of the same member, as in a one-way partition. Identical
+/// reports are merged to one row, whose last column lists the VMs that sent it.
+fn members_text(responses: &Responses<'_, Vec<MemberStatus>>) -> String {
+    let mut reports: BTreeMap<Vec<String>, Vec<String>> = BTreeMap::new();
+    for (address, member) in rows(responses) {
+        let report = vec![
             member.vm.to_string(),
             member.data_centre.to_string(),
             member.state.to_string(),
             member.incarnation.to_string(),
             or_dash(member.config_version),
         ];
-        opinions.entry(opinion).or_default().push(address.to_string());
+        reports.entry(report).or_default().push(address.to_string());
     }
     let mut table = Table::new(&["VM", "DATA CENTRE", "STATE", "INCARNATION", "CONFIG", "SEEN BY"]);
-    for (mut row, seen_by) in opinions {
-        let all = answers.len() > 1 && seen_by.len() == answers.len();
-        row.push(if all { "all".to_owned() } else { seen_by.join(",") });
+    for (mut row, seen_by) in reports {
+        let is_unanimous = responses.len() > 1 && seen_by.len() == responses.len();
+        row.push(if is_unanimous { "all".to_owned() } else { seen_by.join(",") });
         table.push(row);
     }
     table.to_string()
 }
 
-/// Returns the requests under which endpoints ended as text, with a row for each VM that
-/// knows of one.
-fn quarantine_text(answers: &Answers<'_, Vec<QuarantineStatus>>) -> String {
+/// Returns the requests during which endpoints crashed as text, with a row for each VM that
+/// has a record of one.
+fn quarantine_text(responses: &Responses<'_, Vec<QuarantineStatus>>) -> String {
     let mut table =
         Table::new(&["REQUEST", "STATE", "CRASHES", "TRIALS", "RETRY AFTER MS", "KNOWN BY"]);
-    for (address, known) in rows(answers) {
+    for (address, record) in rows(responses) {
         table.push(vec![
-            known.request.to_string(),
-            known.state.to_string(),
-            known.crashes.to_string(),
-            known.trials.to_string(),
-            or_dash(known.retry_after_ms),
+            record.request.to_string(),
+            record.state.to_string(),
+            record.crashes.to_string(),
+            record.trials.to_string(),
+            or_dash(record.retry_after_ms),
             address.to_string(),
         ]);
     }
@@ -188,13 +188,13 @@
     table.to_string()
 }
 
-/// Returns the histograms as text, with a row for each VM: percentiles of
-/// different VMs can't be added up.
-fn histograms_text(answers: &Answers<'_, Vec<HistogramStatus>>) -> String {
+/// Returns the histograms as text, with a row for each VM, since percentiles of different VMs
+/// can't be combined.
+fn histograms_text(responses: &Responses<'_, Vec<HistogramStatus>>) -> String {
     let mut table = Table::new(&[
         "CUSTOMER", "CLASS", "ADMIN", "COUNT", "P50 US", "P90 US", "P99 US", "MAX US",
     ]);
-    for (address, histogram) in rows(answers) {
+    for (address, histogram) in rows(responses) {
         table.push(vec![
             histogram.customer.to_string(),
             histogram.class.to_string(),
@@ -210,9 +210,9 @@
     table.to_string()
 }
 
-/// Returns the lines of all answers, each with the address that gave it.
+/// Returns the items of all responses, each with the address of its VM.
 pub(crate) fn rows<'a, T>(
-    answers: &'a Answers<'_, Vec<T>>,
+    responses: &'a Responses<'_, Vec<T>>,
 ) -> impl Iterator<Item = (SocketAddr, &'a T)> {
-    answers.iter().flat_map(|&(address, lines)| lines.iter().map(move |line| (address, line)))
+    responses.iter().flat_map(|&(address, items)| items.iter().map(move |item| (address, item)))
 }
