--- a/crates/pistachiotrack/tests/command_line.rs
+++ b/crates/pistachiotrack/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line itself: help, version and usage errors.
+//! Tests of the command line: help, version and usage errors.
 
 mod testenv;
 
@@ -6,28 +6,28 @@
 
 #[test]
 fn help_names_every_command_and_exit_code() {
-    let outcome = run(&["--help"]);
+    let output = run(&["--help"]);
 
-    assert_eq!(outcome.code, Some(0));
+    assert_eq!(output.code, Some(0));
     for command in ["check", "explain", "status", "endpoints", "members", "histograms", "entries"] {
-        let listed = outcome.stdout.lines().any(|line| line.starts_with(&format!("  {command} ")));
-        assert!(listed, "{command} is missing in\n{}", outcome.stdout);
+        let listed = output.stdout.lines().any(|line| line.starts_with(&format!("  {command} ")));
+        assert!(listed, "{command} is missing in\n{}", output.stdout);
     }
     for code in 0..=4 {
-        assert!(outcome.stdout.contains(&format!("\n  {code}  ")), "{}", outcome.stdout);
+        assert!(output.stdout.contains(&format!("\n  {code}  ")), "{}", output.stdout);
     }
 }
 
 #[test]
 fn version_is_the_package_version() {
-    let outcome = run(&["--version"]);
+    let output = run(&["--version"]);
 
-    assert_eq!(outcome.code, Some(0));
-    assert_eq!(outcome.stdout, format!("pistachiotrack {}\n", env!("CARGO_PKG_VERSION")));
+    assert_eq!(output.code, Some(0));
+    assert_eq!(output.stdout, format!("pistachiotrack {}\n", env!("CARGO_PKG_VERSION")));
 }
 
 #[test]
-fn wrong_command_lines_end_with_2_and_name_the_fault() {
+fn usage_errors_exit_with_2_and_name_the_problem() {
     let cases: [(&[&str], &str); 10] = [
         (&[], "no command"),
         (&["paint"], "paint"),
@@ -40,10 +40,10 @@
         (&["explain", "--config", "x.json", "--customer", "c", "--method", "GET"], "--path"),
         (&["entries", "--vm", "127.0.0.1:1", "--service", "s"], "--customer"),
     ];
-    for (args, fault) in cases {
-        let outcome = run(args);
-        assert_eq!(outcome.code, Some(2), "{args:?}: {}", outcome.stderr);
-        assert!(outcome.stderr.contains(fault), "{args:?}: {}", outcome.stderr);
-        assert_eq!(outcome.stdout, "", "{args:?}");
+    for (args, problem) in cases {
+        let output = run(args);
+        assert_eq!(output.code, Some(2), "{args:?}: {}", output.stderr);
+        assert!(output.stderr.contains(problem), "{args:?}: {}", output.stderr);
+        assert_eq!(output.stdout, "", "{args:?}");
     }
 }
--- a/crates/pistachiotrack/tests/explain.rs
+++ b/crates/pistachiotrack/tests/explain.rs
@@ -1,23 +1,23 @@
-//! `explain` on a file with four rules.
+//! Tests of `explain` on a file with four rules.
 
 mod testenv;
 
 use serde_json::json;
-use testenv::{CONFIG, Outcome, TempFile, run};
+use testenv::{CONFIG, TempFile, ToolOutput, run};
 
-fn explain(name: &str, args: &[&str]) -> Outcome {
+fn explain(name: &str, args: &[&str]) -> ToolOutput {
     let file = TempFile::new(name, CONFIG);
     let fixed = ["explain", "--config", file.arg(), "--customer", "timeliten"];
     run(&[&fixed, args].concat())
 }
 
 #[test]
-fn the_first_rule_that_holds_is_shown_and_each_rule_before_it() {
-    let outcome = explain("explain.json", &["--method", "GET", "--path", "/slots/today"]);
+fn the_first_matching_rule_is_shown_with_each_rule_skipped_before_it() {
+    let output = explain("explain.json", &["--method", "GET", "--path", "/slots/today"]);
 
-    assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
-    let lines: Vec<&str> = outcome.stdout.lines().collect();
-    assert_eq!(lines.len(), 4, "{}", outcome.stdout);
+    assert_eq!(output.code, Some(0), "{}", output.stderr);
+    let lines: Vec<&str> = output.stdout.lines().collect();
+    assert_eq!(lines.len(), 4, "{}", output.stdout);
     for (line, rule) in lines.iter().zip(["no-batch-when-busy", "bookings", "beta"]) {
         assert!(line.starts_with(&format!("skipped {rule}: ")), "{line}");
     }
@@ -28,16 +28,17 @@
 }
 
 #[test]
-fn a_skipped_rule_says_what_was_wanted_and_what_was_found() {
-    let outcome = explain("explain-why.json", &["--method", "GET", "--path", "/slots"]);
+fn a_skipped_rule_shows_expected_and_actual_value() {
+    let output = explain("explain-why.json", &["--method", "GET", "--path", "/slots"]);
 
-    let line = outcome.stdout.lines().find(|line| line.starts_with("skipped bookings: "));
-    let is_whole = |line: &str| ["method", "POST", "GET"].iter().all(|part| line.contains(part));
-    assert!(line.is_some_and(is_whole), "{}", outcome.stdout);
+    let line = output.stdout.lines().find(|line| line.starts_with("skipped bookings: "));
+    let names_both_values =
+        |line: &str| ["method", "POST", "GET"].iter().all(|part| line.contains(part));
+    assert!(line.is_some_and(names_both_values), "{}", output.stdout);
 }
 
 #[test]
-fn headers_and_live_facts_are_taken_from_the_command_line() {
+fn headers_and_service_state_come_from_the_command_line() {
     let request = ["--method", "GET", "--path", "/slots"];
     let cases: [(&[&str], &str); 4] = [
         (&["--header", "X-Beta=on"], "beta"),
@@ -46,36 +47,36 @@
         (&["--class", "batch", "--queue-wait", "slot-search=499"], "search"),
     ];
     for (position, (args, rule)) in cases.into_iter().enumerate() {
-        let outcome = explain(&format!("facts-{position}.json"), &[&request, args].concat());
-        let last = outcome.stdout.lines().last().unwrap_or_default();
-        assert!(last.starts_with(&format!("matched {rule}: ")), "{args:?}: {}", outcome.stdout);
+        let output = explain(&format!("state-{position}.json"), &[&request, args].concat());
+        let last = output.stdout.lines().last().unwrap_or_default();
+        assert!(last.starts_with(&format!("matched {rule}: ")), "{args:?}: {}", output.stdout);
     }
 }
 
 #[test]
-fn no_rule_that_holds_is_a_refusal() {
-    let outcome = explain("explain-none.json", &["--method", "PUT", "--path", "/slots"]);
+fn a_request_that_matches_no_rule_is_refused() {
+    let output = explain("explain-none.json", &["--method", "PUT", "--path", "/slots"]);
 
-    assert_eq!(outcome.code, Some(1));
-    assert!(outcome.stdout.ends_with("no rule matches: refused, reason rule\n"));
+    assert_eq!(output.code, Some(1));
+    assert!(output.stdout.ends_with("no rule matches: refused, reason rule\n"));
 }
 
 #[test]
-fn json_carries_the_matched_rule() {
-    let outcome =
+fn json_contains_the_matched_rule() {
+    let output =
         explain("explain-json.json", &["--json", "--method", "POST", "--path", "/bookings/1"]);
 
-    assert_eq!(outcome.code, Some(0), "{}", outcome.stderr);
-    let json = outcome.json();
+    assert_eq!(output.code, Some(0), "{}", output.stderr);
+    let json = output.json();
     assert_eq!(json["matched"]["name"], json!("bookings"));
     assert_eq!(json["skipped"][0]["rule"], json!("no-batch-when-busy"));
 }
 
 #[test]
-fn a_file_that_is_not_accepted_is_not_explained() {
+fn an_invalid_file_is_an_error() {
     let file = TempFile::new("explain-bad.json", "{}");
 
-    let outcome = run(&[
+    let output = run(&[
         "explain",
         "--config",
         file.arg(),
@@ -87,7 +88,7 @@
         "/",
     ]);
 
-    assert_eq!(outcome.code, Some(1));
-    assert!(outcome.stderr.contains(file.arg()), "{}", outcome.stderr);
-    assert_eq!(outcome.stdout, "");
+    assert_eq!(output.code, Some(1));
+    assert!(output.stderr.contains(file.arg()), "{}", output.stderr);
+    assert_eq!(output.stdout, "");
 }
--- a/crates/pistachiotrack/tests/testenv/mod.rs
+++ b/crates/pistachiotrack/tests/testenv/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the tool against fake VMs and files in a directory of the test's own.
+//! Runs the tool against fake VMs and temporary files.
 
 #![allow(dead_code, unreachable_pub, reason = "each test file uses a part of it")]
 
@@ -15,48 +15,48 @@
 
 use serde_json::Value;
 
-/// A loopback address that refuses connections: port 1 is reserved, and no
-/// test can bind it by chance.
+/// A loopback address that refuses connections: port 1 is reserved, so no test binds it by
+/// chance.
 pub const CLOSED_ADDRESS: &str = "127.0.0.1:1";
 
 /// A configuration that the daemon accepts.
 pub const CONFIG: &str = include_str!("config.json");
 
-/// What the tool printed and how it ended.
+/// Output and exit code of the tool.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct ToolOutput {
     pub code: Option<i32>,
     pub stdout: String,
     pub stderr: String,
 }
 
-impl Outcome {
+impl ToolOutput {
     /// Returns the standard output as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.stdout).expect("JSON on the standard output")
     }
 
-    /// Returns the standard output with runs of spaces as one.
-    pub fn words(&self) -> String {
+    /// Returns the standard output with each run of spaces replaced by one space.
+    pub fn normalized_stdout(&self) -> String {
         let lines = self.stdout.lines().map(|l| l.split_whitespace().collect::<Vec<_>>().join(" "));
         lines.collect::<Vec<_>>().join("\n")
     }
 }
 
 /// Runs the tool.
-pub fn run(args: &[&str]) -> Outcome {
+pub fn run(args: &[&str]) -> ToolOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_pistachiotrack"))
         .args(args)
         .output()
         .expect("the tool starts");
-    Outcome {
+    ToolOutput {
         code: output.status.code(),
         stdout: String::from_utf8(output.stdout).expect("UTF-8"),
         stderr: String::from_utf8(output.stderr).expect("UTF-8"),
     }
 }
 
-/// A file that lasts as long as this value.
+/// A file that is removed when this value is dropped.
 #[derive(Debug)]
 pub struct TempFile(PathBuf);
 
@@ -81,18 +81,18 @@
     }
 }
 
-/// What a fake VM does with a connection.
+/// Behaviour of a fake VM on each connection.
 #[derive(Clone, Debug)]
 enum Behaviour {
     /// Answers with the page of the path, or 404.
     Pages(HashMap<String, String>),
     /// Accepts and never answers.
     Silent,
-    /// Sends these bytes and closes.
+    /// Sends this text and closes the connection.
     Raw(String),
 }
 
-/// A fake VM on a port of its own.
+/// A fake VM on its own port.
 #[derive(Debug)]
 pub struct FakeVm {
     pub address: SocketAddr,
@@ -111,9 +111,9 @@
         FakeVm::start(Behaviour::Silent)
     }
 
-    /// Starts a VM that sends these bytes to whatever is asked.
-    pub fn raw(answer: &str) -> FakeVm {
-        FakeVm::start(Behaviour::Raw(answer.to_owned()))
+    /// Starts a VM that sends this text in response to any request.
+    pub fn raw(response: &str) -> FakeVm {
+        FakeVm::start(Behaviour::Raw(response.to_owned()))
     }
 
     /// Returns the head of the next request, in lower case.
@@ -136,22 +136,23 @@
 }
 
 fn serve(listener: &TcpListener, behaviour: &Behaviour, requests: &Sender<String>) {
-    let mut silent = Vec::new();
+    // Keeps the connections open.
+    let mut open_streams = Vec::new();
     while let Ok((mut stream, _)) = listener.accept() {
         let head = read_head(&stream);
         let path = head.split(' ').nth(1).unwrap_or_default().to_owned();
         if requests.send(head).is_err() {
             return;
         }
-        let answer = match behaviour {
+        let response = match behaviour {
             Behaviour::Silent => {
-                silent.push(stream);
+                open_streams.push(stream);
                 continue;
             }
-            Behaviour::Raw(answer) => answer.clone(),
-            Behaviour::Pages(pages) => page_answer(pages.get(&path)),
+            Behaviour::Raw(response) => response.clone(),
+            Behaviour::Pages(pages) => page_response(pages.get(&path)),
         };
-        let _ = stream.write_all(answer.as_bytes());
+        let _ = stream.write_all(response.as_bytes());
     }
 }
 
@@ -168,7 +169,7 @@
     head
 }
 
-fn page_answer(page: Option<&String>) -> String {
+fn page_response(page: Option<&String>) -> String {
     let (status, body) = page.map_or(("404 Not Found", ""), |body| ("200 OK", body));
     format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/pistachiotrack/tests/trace.rs
+++ b/crates/pistachiotrack/tests/trace.rs
@@ -1,4 +1,4 @@
-//! The way from a request's identity to what decided it.
+//! Tests of `trace`: the log lines of a request and the one that decided its outcome.
 
 mod testenv;
 
@@ -14,50 +14,50 @@
 time=2026-02-05T07:31:17.600+00:00 level=warn event=attempt_ended request=9c417 endpoint=i-3 outcome=Broken
 ";
 
-/// An on-call engineer has the identity of a failed booking and the logs of two
-/// VMs. The lines come out in the order of their times, whatever file they are in,
-/// and those of another request with a longer identity stay out.
+/// The lines of a request are sorted by time across the logs of two VMs. The lines of another
+/// request whose identity starts with the same characters are left out.
 #[test]
-fn the_lines_of_a_request_are_ordered_over_several_vms() {
+fn the_lines_of_a_request_are_sorted_across_vms() {
     let (first, second) =
         (TempFile::new("first.log", FIRST_VM), TempFile::new("second.log", SECOND_VM));
-    let outcome = run(&["trace", "9c41", first.arg(), second.arg()]);
-    let lines: Vec<&str> = outcome.stdout.lines().collect();
-    assert_eq!(outcome.code, Some(0));
+    let output = run(&["trace", "9c41", first.arg(), second.arg()]);
+    let lines: Vec<&str> = output.stdout.lines().collect();
+    assert_eq!(output.code, Some(0));
     assert_eq!(lines.len(), 4, "{lines:?}");
     assert!(lines[0].contains("endpoint=i-1") && lines[1].contains("endpoint=i-2"));
     assert!(lines[2].contains("event=refused"));
     assert!(lines[3].starts_with("deciding: ") && lines[3].contains("reason=deadline-passed"));
 }
 
-/// A refusal was passed on: the VM that the request came in at is not the one that decided.
+/// A VM forwarded the request and passed the other VM's refusal on to the caller: the VM that
+/// received the request is not the one that decided.
 #[test]
 fn the_vm_that_decided_is_named() {
-    const PASSED_ON: &str = "\
+    const FORWARDED_REFUSAL: &str = "\
 time=2026-02-05T07:31:17.901+00:00 level=warn event=refused request=7 to=caller decided_by=vm-04 \
 execution=not-run reason=queue-full sent=vm-04/not-run/31
 time=2026-02-05T07:31:17.900+00:00 level=warn event=refused request=7 to=vm decided_by=vm-04 \
 execution=not-run reason=queue-full sent=none
 ";
-    let file = TempFile::new("passed-on.log", PASSED_ON);
-    let outcome = run(&["trace", "7", file.arg()]);
-    let lines: Vec<&str> = outcome.stdout.lines().collect();
+    let file = TempFile::new("forwarded-refusal.log", FORWARDED_REFUSAL);
+    let output = run(&["trace", "7", file.arg()]);
+    let lines: Vec<&str> = output.stdout.lines().collect();
     assert_eq!(lines.len(), 4, "{lines:?}");
     assert!(lines[2].starts_with("deciding: ") && lines[2].contains("to=caller"));
     assert_eq!(lines[3], "decided by: vm-04");
 }
 
 #[test]
-fn a_request_that_no_log_has_is_said_so() {
+fn a_request_in_no_log_is_reported() {
     let file = TempFile::new("empty.log", FIRST_VM);
-    let outcome = run(&["trace", "none-such", file.arg()]);
-    assert_eq!(outcome.code, Some(1));
-    assert!(outcome.stdout.contains("is in none of these logs"), "{}", outcome.stdout);
+    let output = run(&["trace", "none-such", file.arg()]);
+    assert_eq!(output.code, Some(1));
+    assert!(output.stdout.contains("is in none of these logs"), "{}", output.stdout);
 }
 
 #[test]
-fn a_log_that_can_t_be_read_is_named() {
-    let outcome = run(&["trace", "9c41", "/no/such/file.log"]);
-    assert_eq!(outcome.code, Some(4));
-    assert!(outcome.stderr.contains("/no/such/file.log"), "{}", outcome.stderr);
+fn an_unreadable_log_is_named() {
+    let output = run(&["trace", "9c41", "/no/such/file.log"]);
+    assert_eq!(output.code, Some(4));
+    assert!(output.stderr.contains("/no/such/file.log"), "{}", output.stderr);
 }
