--- a/crates/pistachiotrack/src/views.rs
+++ b/crates/pistachiotrack/src/views.rs
@@ -162,8 +162,8 @@
     }
     let mut table = Table::new(&["VM", "DATA CENTRE", "STATE", "INCARNATION", "CONFIG", "SEEN BY"]);
     for (mut row, seen_by) in reports {
-        let is_unanimous = responses.len() > 1 && seen_by.len() == responses.len();
-        row.push(if is_unanimous { "all".to_owned() } else { seen_by.join(",") });
+        let all = responses.len() > 1 && seen_by.len() == responses.len();
+        row.push(if all { "all".to_owned() } else { seen_by.join(",") });
         table.push(row);
     }
     table.to_string()
--- a/crates/pistachiotrack/tests/trace.rs
+++ b/crates/pistachiotrack/tests/trace.rs
@@ -39,7 +39,7 @@
 time=2026-02-05T07:31:17.900+00:00 level=warn event=refused request=7 to=vm decided_by=vm-04 \
 execution=not-run reason=queue-full sent=none
 ";
-    let file = TempFile::new("forwarded-refusal.log", FORWARDED_REFUSAL);
+    let file = TempFile::new("passed-on.log", FORWARDED_REFUSAL);
     let output = run(&["trace", "7", file.arg()]);
     let lines: Vec<&str> = output.stdout.lines().collect();
     assert_eq!(lines.len(), 4, "{lines:?}");
