--- a/crates/pistachiotrackd/src/answer.rs
+++ b/crates/pistachiotrackd/src/answer.rs
@@ -20,24 +20,24 @@
 
 /// A refusal on its way to whoever asked, which has not been written yet.
 #[derive(Debug)]
-pub(crate) struct Refused {
+pub(crate) struct PendingRefusal {
     /// The refusal.
     pub(crate) refusal: Refusal,
     /// Status for the fleet's own callers.
     pub(crate) status: StatusCode,
 }
 
-impl From<Refusal> for Refused {
-    fn from(refusal: Refusal) -> Refused {
+impl From<Refusal> for PendingRefusal {
+    fn from(refusal: Refusal) -> PendingRefusal {
         let status = status(refusal.reason());
-        Refused { refusal, status }
+        PendingRefusal { refusal, status }
     }
 }
 
 /// Returns the answer of a VM that is asked for addresses and has no configuration yet.
 pub(crate) fn no_config(dialect: &dyn Dialect) -> Response<AnswerBody> {
     let refusal = Undispatched::on_arrival().refuse(Reason::NoConfig, Some(NO_CONFIG_RETRY_MS));
-    let Refused { refusal, status } = refusal.into();
+    let PendingRefusal { refusal, status } = refusal.into();
     dialect.write_refusal(None, &refusal, status).map(AnswerBody::whole)
 }
 
--- a/crates/pistachiotrackd/src/arrival.rs
+++ b/crates/pistachiotrackd/src/arrival.rs
@@ -25,18 +25,18 @@
 /// having arrived when the pause began, unless the connection was seen empty
 /// since.
 #[derive(Debug)]
-pub(crate) struct ArrivalWatch {
+pub(crate) struct ArrivalTracker {
     clock: Clock,
     gate: PauseGate,
     empty_at_us: AtomicU64,
     read_after_us: AtomicU64,
 }
 
-impl ArrivalWatch {
+impl ArrivalTracker {
     /// Creates the watch of a connection that nothing was read from.
-    pub(crate) fn new(clock: Clock, gate: PauseGate) -> ArrivalWatch {
+    pub(crate) fn new(clock: Clock, gate: PauseGate) -> ArrivalTracker {
         let [empty_at_us, read_after_us] = [AtomicU64::new(0), AtomicU64::new(0)];
-        ArrivalWatch { clock, gate, empty_at_us, read_after_us }
+        ArrivalTracker { clock, gate, empty_at_us, read_after_us }
     }
 
     /// Notes that there was nothing to read.
--- a/crates/pistachiotrackd/src/attempt.rs
+++ b/crates/pistachiotrackd/src/attempt.rs
@@ -13,10 +13,10 @@
 use crate::{
     connection_pool::{CheckoutError, ConnectionPool},
     context::Context,
-    dialect::{AnswerFacts, AnswerKind, OutgoingFacts},
-    exchange::{self, BegunAnswer, ExchangeError, GiveUp, RequestHead, Target},
+    dialect::{AnswerKind, AnswerMetadata, OutgoingMetadata},
+    exchange::{self, AbandonSignal, ExchangeError, RequestHead, StartedAnswer, Target},
     inbound::Inbound,
-    via,
+    relay_client,
 };
 
 /// Time for which the rest of a refusal's body is waited for.
@@ -38,7 +38,7 @@
     /// What the endpoint reports.
     pub(crate) report: EndpointReport,
     /// The answer, if the outcome is that it began.
-    pub(crate) answer: Option<Box<BegunAnswer>>,
+    pub(crate) answer: Option<Box<StartedAnswer>>,
     /// Pool that the answer's connection belongs to.
     pub(crate) pool: Arc<ConnectionPool>,
 }
@@ -49,11 +49,11 @@
     inbound: Arc<Inbound>,
     dispatch: Dispatch,
     budget: u32,
-    give_up: GiveUp,
+    give_up: AbandonSignal,
 ) -> AttemptEnd {
     let begun = context.clock.now();
     let choice = connection_choice(&inbound, dispatch.connection);
-    let facts = OutgoingFacts {
+    let facts = OutgoingMetadata {
         request_id: Some(&inbound.fleet_id),
         endpoint: &dispatch.endpoint,
         time_left: remaining(inbound.deadline, context.clock.now()),
@@ -74,12 +74,13 @@
             (pool, result.map_err(|error| (outcome_of_error(&error), error.to_string())))
         }
         Some(witness) => {
-            let result = via::send(&context, witness, &dispatch, choice, head, &inbound.body).await;
+            let result =
+                relay_client::send(&context, witness, &dispatch, choice, head, &inbound.body).await;
             let result = result.map_err(|error| (error.outcome(), error.to_string()));
             (&context.peers, result)
         }
     };
-    let read = |answer: &BegunAnswer| context.dialect.read_answer(&answer.parts, facts);
+    let read = |answer: &StartedAnswer| context.dialect.read_answer(&answer.parts, facts);
     let result = result.map(|answer| (read(&answer), answer));
     let mut end = AttemptEnd {
         endpoint: dispatch.endpoint.clone(),
@@ -117,7 +118,7 @@
     }
 }
 
-fn request_head(context: &Context, inbound: &Inbound, facts: OutgoingFacts<'_>) -> RequestHead {
+fn request_head(context: &Context, inbound: &Inbound, facts: OutgoingMetadata<'_>) -> RequestHead {
     let mut fields = inbound.headers.clone();
     context.dialect.write_request(&mut fields, facts);
     RequestHead { method: inbound.method.clone(), uri: inbound.uri.clone(), headers: fields }
@@ -131,7 +132,7 @@
     /// caller gets another one's roster. It shows as an answer that bears another
     /// request's identity. The guard holds because such an answer is dropped with its
     /// connection, and its request counts as possibly run.
-    async fn take(&mut self, facts: AnswerFacts, answer: BegunAnswer) {
+    async fn take(&mut self, facts: AnswerMetadata, answer: StartedAnswer) {
         self.outcome = outcome_of_answer(facts.kind, &answer);
         self.report = facts.report;
         match facts.kind {
@@ -143,7 +144,7 @@
 }
 
 /// Keeps the connection of a refusal if its short body is there already.
-pub(crate) async fn return_connection(pool: &ConnectionPool, mut answer: BegunAnswer) {
+pub(crate) async fn return_connection(pool: &ConnectionPool, mut answer: StartedAnswer) {
     while !answer.body.is_end_stream() {
         let frame = tokio::time::timeout(SHED_BODY_WAIT, answer.body.frame()).await;
         if !matches!(frame, Ok(Some(Ok(_)))) {
@@ -154,7 +155,7 @@
 }
 
 /// Returns what a shard is told of an answer that has begun.
-pub(crate) fn outcome_of_answer(kind: AnswerKind, answer: &BegunAnswer) -> Outcome {
+pub(crate) fn outcome_of_answer(kind: AnswerKind, answer: &StartedAnswer) -> Outcome {
     let fresh_connection = answer.fresh;
     match kind {
         AnswerKind::Answer => {
--- a/crates/pistachiotrackd/src/body.rs
+++ b/crates/pistachiotrackd/src/body.rs
@@ -25,7 +25,7 @@
 use crate::{
     connection::Connection,
     connection_pool::ConnectionPool,
-    crash_check::RunWatch,
+    crash_check::ExecutionMonitor,
     shard_actor::{BodyEnded, ShardActor},
 };
 
@@ -49,7 +49,7 @@
     /// A whole body in memory.
     Whole(Option<Bytes>),
     /// A body that is passed on as it arrives.
-    Relayed(Box<RelayedBody>),
+    Relayed(Box<StreamingBody>),
 }
 
 impl AnswerBody {
@@ -66,12 +66,12 @@
         pool: Arc<ConnectionPool>,
         idle_limit: Duration,
         ends_by_closing: bool,
-        watch: Option<AnswerWatch>,
+        watch: Option<AnswerMonitor>,
     ) -> AnswerBody {
         let has_length = ends_by_closing
             || parts.headers.contains_key(CONTENT_LENGTH)
             || parts.headers.contains_key(TRANSFER_ENCODING);
-        let mut body = RelayedBody {
+        let mut body = StreamingBody {
             incoming,
             connection: Some(connection),
             pool,
@@ -133,17 +133,17 @@
 /// error here, upon which the server closes the caller's connection without
 /// ending the body.
 #[derive(Debug)]
-pub(crate) struct RelayedBody {
+pub(crate) struct StreamingBody {
     incoming: Incoming,
     connection: Option<Connection>,
     pool: Arc<ConnectionPool>,
     idle_limit: Duration,
     idle: Option<Pin<Box<Sleep>>>,
     has_length: bool,
-    watch: Option<AnswerWatch>,
+    watch: Option<AnswerMonitor>,
 }
 
-impl RelayedBody {
+impl StreamingBody {
     fn poll(
         &mut self,
         cx: &mut Context<'_>,
@@ -199,7 +199,7 @@
     }
 }
 
-impl Drop for RelayedBody {
+impl Drop for StreamingBody {
     fn drop(&mut self) {
         self.finish(BodyEnd::CallerGone);
     }
@@ -207,7 +207,7 @@
 
 /// Tells a shard how the body of an answer ended.
 #[derive(Debug)]
-pub(crate) struct AnswerWatch {
+pub(crate) struct AnswerMonitor {
     /// The shard.
     pub(crate) shard: ActorRef<ShardActor>,
     /// Attempt whose answer it is.
@@ -215,10 +215,10 @@
     /// Copy of the answer that is kept for duplicates of the request.
     pub(crate) copy: Option<AnswerCopy>,
     /// The run that brought it.
-    pub(crate) run: RunWatch,
+    pub(crate) run: ExecutionMonitor,
 }
 
-impl AnswerWatch {
+impl AnswerMonitor {
     fn note(&mut self, data: &Bytes) {
         let Some(copy) = &mut self.copy else { return };
         if copy.answer.body.len() + data.len() > MAX_STORED_BODY_BYTES {
--- a/crates/pistachiotrackd/src/connection_pool.rs
+++ b/crates/pistachiotrackd/src/connection_pool.rs
@@ -143,7 +143,7 @@
     }
 
     /// Cuts or restores the path to an address: a cut one refuses connections.
-    pub(crate) fn set_cut(&self, address: SocketAddr, is_cut: bool) {
+    pub(crate) fn set_blocked(&self, address: SocketAddr, is_cut: bool) {
         let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
         let place = places.entry(address).or_default();
         place.is_cut = is_cut;
--- a/crates/pistachiotrackd/src/context.rs
+++ b/crates/pistachiotrackd/src/context.rs
@@ -9,8 +9,8 @@
 use tokio::sync::watch;
 
 use crate::{
-    clock::Clock, connection_pool::ConnectionPool, dialect::Dialect, forward_record::ForwardRecord,
-    histogram::Histograms, metrics::Metrics, quarantine::QuarantineGate, settings::Settings,
+    clock::Clock, connection_pool::ConnectionPool, dialect::Dialect, forward_stats::ForwardStats,
+    histogram::Histograms, metrics::Metrics, quarantine::QuarantineManager, settings::Settings,
     shard_table::ShardTable, source::Source, timer::PauseGate, traffic::Traffic, view::FleetView,
 };
 
@@ -60,9 +60,9 @@
     /// Connections to other VMs.
     pub(crate) peers: Arc<ConnectionPool>,
     /// What is known of the requests sent on.
-    pub(crate) forwards: ForwardRecord,
+    pub(crate) forwards: ForwardStats,
     /// Requests that are held back because endpoints end under them.
-    pub(crate) quarantine: Arc<QuarantineGate>,
+    pub(crate) quarantine: Arc<QuarantineManager>,
     /// Counters.
     pub(crate) metrics: Metrics,
     /// What this VM says to and hears from others.
--- a/crates/pistachiotrackd/src/crash_check.rs
+++ b/crates/pistachiotrackd/src/crash_check.rs
@@ -8,7 +8,7 @@
 
 /// A request at an endpoint that may end under it.
 #[derive(Debug)]
-pub(crate) struct EndpointRun {
+pub(crate) struct EndpointExecution {
     /// What all parts share.
     pub(crate) context: Arc<Context>,
     /// The request.
@@ -19,7 +19,7 @@
     pub(crate) address: Option<SocketAddr>,
 }
 
-impl EndpointRun {
+impl EndpointExecution {
     /// Looks, after the connection broke, whether the endpoint still takes others; one that
     /// doesn't has ended under the request.
     pub(crate) fn check_endpoint(self) {
@@ -29,7 +29,7 @@
     }
 
     async fn look_at(self, address: SocketAddr) {
-        let EndpointRun { context, inbound, endpoint, .. } = self;
+        let EndpointExecution { context, inbound, endpoint, .. } = self;
         let listening = context.endpoints.listening(address).await;
         let fingerprint = inbound.fingerprint();
         log::info!(
@@ -46,14 +46,14 @@
 
 /// Watches a run whose answer has begun.
 #[derive(Debug)]
-pub(crate) struct RunWatch {
+pub(crate) struct ExecutionMonitor {
     /// The run.
-    pub(crate) run: EndpointRun,
+    pub(crate) run: EndpointExecution,
     /// Whether the answer is a failure, which says nothing about the request.
     pub(crate) is_failure: bool,
 }
 
-impl RunWatch {
+impl ExecutionMonitor {
     /// Notes how the answer ended.
     pub(crate) fn finish(self, end: BodyEnd) {
         match end {
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -29,17 +29,17 @@
     connection::Connector,
     connection_pool::ConnectionPool,
     context::Context,
-    dialect::{Dialect, OwnDialect},
+    dialect::{Dialect, NativeDialect},
     entries,
     fleet::{Fleet, FleetArgs, Leave, NewSeeds, TICK_INTERVAL},
-    forward_record::ForwardRecord,
+    forward_stats::ForwardStats,
     histogram::Histograms,
     listener::Listener,
     metrics::Metrics,
     news_link::NewsLink,
     path_check::PathCheck,
     peer_service, proxy,
-    quarantine::{QuarantineGate, QuarantineLink, QuarantineRounds},
+    quarantine::{QuarantineGossip, QuarantineManager, QuarantineTransport},
     settings::{Settings, SettingsFile},
     shard_table::{ShardTable, ShardTableArgs},
     source::Source,
@@ -86,7 +86,7 @@
 
 impl Default for Adapter {
     fn default() -> Adapter {
-        Adapter { dialect: Arc::new(OwnDialect), source: None }
+        Adapter { dialect: Arc::new(NativeDialect), source: None }
     }
 }
 
@@ -161,10 +161,10 @@
             view.clone(),
             Arc::clone(&traffic),
         ));
-        let quarantine = Arc::new(QuarantineGate::new(
+        let quarantine = Arc::new(QuarantineManager::new(
             clock,
             settings.quarantine.clone(),
-            QuarantineLink::new(
+            QuarantineTransport::new(
                 &me,
                 &settings.deployment,
                 Arc::clone(&socket),
@@ -194,7 +194,7 @@
             shards,
             endpoints,
             peers: Arc::new(ConnectionPool::new(Connector { source: peer_source, ..connector })),
-            forwards: ForwardRecord::new(clock.now()),
+            forwards: ForwardStats::new(clock.now()),
             quarantine: Arc::clone(&quarantine),
             metrics,
             traffic: Arc::clone(&traffic),
@@ -219,8 +219,8 @@
             .tell(SubscribeSlowly { recipient: fleet.clone().recipient(), interval: TICK_INTERVAL })
             .try_send();
         let interval = Duration::from_millis(context.settings.quarantine.round_ms);
-        let rounds = QuarantineRounds::spawn_with_mailbox(
-            QuarantineRounds(quarantine),
+        let rounds = QuarantineGossip::spawn_with_mailbox(
+            QuarantineGossip(quarantine),
             mailbox::unbounded(),
         );
         let _ = timer.tell(SubscribeSlowly { recipient: rounds.recipient(), interval }).try_send();
@@ -327,7 +327,7 @@
     /// refuses its connections would; for tests.
     #[doc(hidden)]
     pub fn set_path_cut(&self, endpoint: SocketAddr, is_cut: bool) {
-        self.context.endpoints.set_cut(endpoint, is_cut);
+        self.context.endpoints.set_blocked(endpoint, is_cut);
     }
 
     /// Serves until the process is asked to stop, or a newer daemon runs under
--- a/crates/pistachiotrackd/src/dialect.rs
+++ b/crates/pistachiotrackd/src/dialect.rs
@@ -1,7 +1,7 @@
 //! How callers and endpoints of a deployment speak: names of headers, formats
 //! and statuses. Nothing here decides.
 
-mod own;
+mod native;
 
 use std::{fmt, time::Duration};
 
@@ -18,11 +18,11 @@
     steering::EntryResponse,
 };
 
-pub use self::own::OwnDialect;
+pub use self::native::NativeDialect;
 
 /// What a caller says about its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Customer that it acts for.
     pub customer: Option<Name>,
     /// Class that it asks for.
@@ -36,7 +36,7 @@
 /// A request's head that can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{header}: {problem}")]
-pub struct HeadError {
+pub struct HeaderError {
     /// Name of the header.
     pub header: &'static str,
     /// What is wrong with it, with its value.
@@ -45,7 +45,7 @@
 
 /// What an endpoint is told about a request.
 #[derive(Clone, Copy, Debug)]
-pub struct OutgoingFacts<'a> {
+pub struct OutgoingMetadata<'a> {
     /// Identity of the request; none for a health check.
     pub request_id: Option<&'a Name>,
     /// Endpoint that is meant.
@@ -69,7 +69,7 @@
 
 /// What the head of an answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct AnswerMetadata {
     /// What the answer is.
     pub kind: AnswerKind,
     /// What the endpoint reports about itself.
@@ -78,7 +78,7 @@
 
 /// A caller's question for addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EntryWish {
+pub struct EntryRequest {
     /// Host that it will name in its requests.
     pub host: Name,
     /// Data centre that it is in or next to.
@@ -100,16 +100,16 @@
     /// # Errors
     ///
     /// Returns an error that names the header at fault.
-    fn read_request(&self, parts: &request::Parts) -> Result<RequestFacts, HeadError>;
+    fn read_request(&self, parts: &request::Parts) -> Result<RequestMetadata, HeaderError>;
 
     /// Returns the identity that a caller gave its request.
     fn request_id<'a>(&self, fields: &'a HeaderMap) -> Option<&'a str>;
 
     /// Tells an endpoint about a request.
-    fn write_request(&self, fields: &mut HeaderMap, facts: OutgoingFacts<'_>);
+    fn write_request(&self, fields: &mut HeaderMap, facts: OutgoingMetadata<'_>);
 
     /// Reads what the head of an endpoint's answer says.
-    fn read_answer(&self, parts: &response::Parts, facts: OutgoingFacts<'_>) -> AnswerFacts;
+    fn read_answer(&self, parts: &response::Parts, facts: OutgoingMetadata<'_>) -> AnswerMetadata;
 
     /// Tells a caller who answered it.
     fn write_answer(&self, fields: &mut HeaderMap, endpoint: &Name, vm: &Name);
@@ -128,7 +128,7 @@
     fn ends_answers_by_closing(&self) -> bool;
 
     /// Reads a caller's question for addresses; `None` if it is none.
-    fn read_entry_wish(&self, parts: &request::Parts) -> Option<EntryWish>;
+    fn read_entry_request(&self, parts: &request::Parts) -> Option<EntryRequest>;
 
     /// Builds the answer to a caller's question for addresses.
     fn write_entries(&self, answer: &EntryResponse) -> Response<Bytes>;
--- a/crates/pistachiotrackd/src/dialect/own.rs
+++ b/crates/pistachiotrackd/src/dialect/native.rs
@@ -17,8 +17,8 @@
 };
 
 use super::{
-    AnswerFacts, AnswerKind, Dialect, EntryWish, HeadError, OutgoingFacts, RequestFacts,
-    read_rate_limit,
+    AnswerKind, AnswerMetadata, Dialect, EntryRequest, HeaderError, OutgoingMetadata,
+    RequestMetadata, read_rate_limit,
 };
 use crate::headers;
 
@@ -27,12 +27,12 @@
 
 /// The fleet's own headers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnDialect;
+pub struct NativeDialect;
 
-impl Dialect for OwnDialect {
-    fn read_request(&self, parts: &request::Parts) -> Result<RequestFacts, HeadError> {
+impl Dialect for NativeDialect {
+    fn read_request(&self, parts: &request::Parts) -> Result<RequestMetadata, HeaderError> {
         let text = |name| headers::text(&parts.headers, name);
-        let wrong = |header, problem| HeadError { header, problem };
+        let wrong = |header, problem| HeaderError { header, problem };
         let customer = text(header::CUSTOMER).unwrap_or_default();
         if customer.is_empty() || customer.len() > MAX_CUSTOMER_CHARS {
             let problem = format!("{customer:?} is missing or too long");
@@ -46,7 +46,7 @@
             let no_number = |_| wrong(header::DEADLINE_MS, format!("{left:?} is no number"));
             left.trim().parse().map(Duration::from_millis).map_err(no_number)
         });
-        Ok(RequestFacts {
+        Ok(RequestMetadata {
             customer: Some(Name::from(customer)),
             class: class.transpose()?.unwrap_or_default(),
             service: text(header::SERVICE).map(Name::from),
@@ -58,18 +58,18 @@
         None
     }
 
-    fn write_request(&self, fields: &mut HeaderMap, facts: OutgoingFacts<'_>) {
+    fn write_request(&self, fields: &mut HeaderMap, facts: OutgoingMetadata<'_>) {
         if let Some(id) = facts.request_id {
             headers::set_number(fields, header::DEADLINE_MS, facts.time_left.as_millis() as u64);
             headers::set(fields, header::REQUEST_ID, id);
         }
     }
 
-    fn read_answer(&self, parts: &response::Parts, _: OutgoingFacts<'_>) -> AnswerFacts {
+    fn read_answer(&self, parts: &response::Parts, _: OutgoingMetadata<'_>) -> AnswerMetadata {
         let text = |name| headers::text(&parts.headers, name);
         let is_shed = parts.status == StatusCode::SERVICE_UNAVAILABLE
             && text(header::NOT_RUN) == Some("true");
-        AnswerFacts {
+        AnswerMetadata {
             kind: if is_shed { AnswerKind::NotRun } else { AnswerKind::Answer },
             report: EndpointReport {
                 in_flight: text(header::LOAD).and_then(|load| load.trim().parse().ok()),
@@ -112,7 +112,7 @@
     }
 
     /// The fleet's own callers ask at a path of the caller address instead.
-    fn read_entry_wish(&self, _: &request::Parts) -> Option<EntryWish> {
+    fn read_entry_request(&self, _: &request::Parts) -> Option<EntryRequest> {
         None
     }
 
--- a/crates/pistachiotrackd/src/entries.rs
+++ b/crates/pistachiotrackd/src/entries.rs
@@ -14,7 +14,7 @@
     answer,
     body::AnswerBody,
     context::{Context, LifeState},
-    dialect::OwnDialect,
+    dialect::NativeDialect,
     headers,
 };
 
@@ -30,7 +30,7 @@
 /// Returns the addresses for the service and customer that the caller names.
 pub(crate) fn answer(context: &Context, parts: &Parts) -> Response<AnswerBody> {
     let view = context.view();
-    let Some(active) = &view.active else { return answer::no_config(&OwnDialect) };
+    let Some(active) = &view.active else { return answer::no_config(&NativeDialect) };
     let service = service(parts.uri.query().unwrap_or_default());
     if active.service(&service).is_none() {
         let error = match service.as_str() {
@@ -65,7 +65,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let parts = request.into_parts().0;
-    let Some(wish) = context.dialect.read_entry_wish(&parts) else {
+    let Some(wish) = context.dialect.read_entry_request(&parts) else {
         return Ok(answer::plain(StatusCode::NOT_FOUND));
     };
     let view = context.view();
--- a/crates/pistachiotrackd/src/exchange.rs
+++ b/crates/pistachiotrackd/src/exchange.rs
@@ -30,14 +30,14 @@
     /// Moment at which the exchange is given up.
     pub(crate) time_limit: Time,
     /// Gives it up sooner.
-    pub(crate) give_up: GiveUp,
+    pub(crate) give_up: AbandonSignal,
 }
 
 /// Ends an exchange without an answer as if its time had passed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct GiveUp(Arc<Notify>);
+pub(crate) struct AbandonSignal(Arc<Notify>);
 
-impl GiveUp {
+impl AbandonSignal {
     /// Ends the exchange, now or as soon as it has a connection.
     pub(crate) fn now(&self) {
         self.0.notify_one();
@@ -57,7 +57,7 @@
 
 /// An answer that has begun.
 #[derive(Debug)]
-pub(crate) struct BegunAnswer {
+pub(crate) struct StartedAnswer {
     /// Status and headers.
     pub(crate) parts: Parts,
     /// The body, still arriving.
@@ -148,7 +148,7 @@
     target: Target,
     head: RequestHead,
     body: &RequestBody,
-) -> Result<BegunAnswer, ExchangeError> {
+) -> Result<StartedAnswer, ExchangeError> {
     let mut choice = target.choice;
     loop {
         let checked_out =
@@ -174,7 +174,7 @@
     checked_out: CheckedOut,
     head: RequestHead,
     body: &RequestBody,
-) -> Result<BegunAnswer, ExchangeError> {
+) -> Result<StartedAnswer, ExchangeError> {
     let CheckedOut { mut connection, fresh } = checked_out;
     let Some(send_body) = body.take() else { return Err(ExchangeError::BodyGone) };
     let request = request(head, send_body);
@@ -193,7 +193,7 @@
     match answer {
         Some(Ok(response)) => {
             let (parts, incoming) = response.into_parts();
-            Ok(BegunAnswer { parts, body: incoming, connection, fresh, sent, began: clock.now() })
+            Ok(StartedAnswer { parts, body: incoming, connection, fresh, sent, began: clock.now() })
         }
         Some(Err(error)) => Err(failure(&connection, fresh, error, body)),
         None if connection.guard.seal() => Err(ExchangeError::TooLate),
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -16,11 +16,11 @@
     attempt,
     body::{self, AnswerBody},
     context::Context,
-    exchange::{self, BegunAnswer, ExchangeError, GiveUp, RequestHead, Target},
+    exchange::{self, AbandonSignal, ExchangeError, RequestHead, StartedAnswer, Target},
     headers,
     inbound::Inbound,
     metrics::Event,
-    peer_word::{PeerAnswer, PeerWord, RefusalWord},
+    peer_result::{PeerAnswer, PeerRefusal, PeerResult},
     request_task::Served,
     traffic::{Place, Topic},
 };
@@ -65,14 +65,14 @@
 
 /// How one copy ended that was sent to the owner.
 enum CopyEnd {
-    Answered(Box<BegunAnswer>, Option<Duration>),
-    Refused(RefusalWord, OutstandingCopy),
+    Answered(Box<StartedAnswer>, Option<Duration>),
+    Refused(PeerRefusal, OutstandingCopy),
     Failed(ForwardError, OutstandingCopy),
 }
 
 /// Why a copy brought no answer.
 enum NoAnswer {
-    Refused(RefusalWord),
+    Refused(PeerRefusal),
     Failed(ForwardError),
 }
 
@@ -206,7 +206,7 @@
             budget: PEER_BUDGET,
             not_after: inbound.deadline,
             time_limit: inbound.deadline + OWNER_GRACE,
-            give_up: GiveUp::default(),
+            give_up: AbandonSignal::default(),
         };
         let head = request_head(context, inbound);
         let place = Place::of(&owner.data_centre, &context.me.data_centre);
@@ -217,7 +217,7 @@
             Err(error) => return CopyEnd::Failed(error.into(), copy),
         };
         context.traffic.received(Topic::Forwarded, place, body::known_bytes(&answer.body));
-        match PeerWord::take(&mut answer.parts.headers, &inbound.fleet_id) {
+        match PeerResult::take(&mut answer.parts.headers, &inbound.fleet_id) {
             PeerAnswer::Answer(endpoint_time) => CopyEnd::Answered(Box::new(answer), endpoint_time),
             PeerAnswer::Refused(word) => {
                 attempt::return_connection(&context.peers, answer).await;
@@ -229,8 +229,8 @@
 }
 
 /// Returns the refusal of a request whose owner refused it.
-fn refusal(copies: Copies, word: RefusalWord) -> Refusal {
-    let RefusalWord { vm, execution, reason, retry_after_ms, .. } = word;
+fn refusal(copies: Copies, word: PeerRefusal) -> Refusal {
+    let PeerRefusal { vm, execution, reason, retry_after_ms, .. } = word;
     copies.refuse_with(RefusalDecision { execution, reason, retry_after_ms }).decided_by(vm)
 }
 
@@ -244,8 +244,8 @@
     RequestHead { method: inbound.method.clone(), uri: inbound.uri.clone(), headers: fields }
 }
 
-fn served(context: &Context, answer: BegunAnswer, endpoint_time: Option<Duration>) -> Served {
-    let BegunAnswer { mut parts, body, connection, .. } = answer;
+fn served(context: &Context, answer: StartedAnswer, endpoint_time: Option<Duration>) -> Served {
+    let StartedAnswer { mut parts, body, connection, .. } = answer;
     let idle_limit = Duration::from_millis(context.settings.limits.body_idle_ms);
     let body = AnswerBody::relayed(
         &parts,
--- a/crates/pistachiotrackd/src/forward_record.rs
+++ b/crates/pistachiotrackd/src/forward_stats.rs
@@ -25,7 +25,7 @@
 /// while answers become fewer. The guard holds because only answers of owners
 /// fill the budget, so that the extra load stays a fixed part of the work done.
 #[derive(Debug)]
-pub(crate) struct ForwardRecord {
+pub(crate) struct ForwardStats {
     known: Mutex<Known>,
 }
 
@@ -35,11 +35,11 @@
     usual: FxHashMap<ShardId, SlotTimeAverage>,
 }
 
-impl ForwardRecord {
+impl ForwardStats {
     /// Creates a record without any request and with a full budget.
-    pub(crate) fn new(now: Time) -> ForwardRecord {
+    pub(crate) fn new(now: Time) -> ForwardStats {
         let budget = RetryBudget::new(now, BudgetSettings::default());
-        ForwardRecord { known: Mutex::new(Known { budget, usual: FxHashMap::default() }) }
+        ForwardStats { known: Mutex::new(Known { budget, usual: FxHashMap::default() }) }
     }
 
     /// Notes the time to an owner's answer.
--- a/crates/pistachiotrackd/src/http_call.rs
+++ b/crates/pistachiotrackd/src/http_call.rs
@@ -43,7 +43,7 @@
 /// source that times out again and again while it is well. The guard holds because only
 /// silence counts soon.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct ResponseTimeouts {
     /// Time allowed until the head of the answer is there.
     pub head: Duration,
     /// Time allowed from one piece of the body to the next.
@@ -76,11 +76,11 @@
 ///
 /// Returns an error if the exchange fails, the body exceeds `max_bytes`, or a part of
 /// the answer takes longer than `pace` allows.
-pub async fn call_paced(
+pub async fn call_with_timeouts(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     max_bytes: usize,
-    pace: Pace,
+    pace: ResponseTimeouts,
 ) -> Result<Response<Bytes>, CallError> {
     let answer = timeout(pace.head, open(address, request)).await;
     let (answer, _closes) = answer.map_err(|_| CallError::NoAnswer(pace.head))??;
--- a/crates/pistachiotrackd/src/listener.rs
+++ b/crates/pistachiotrackd/src/listener.rs
@@ -17,7 +17,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::{
-    arrival::ArrivalWatch, body::AnswerBody, context::Context, metrics::Event, settings::Limits,
+    arrival::ArrivalTracker, body::AnswerBody, context::Context, metrics::Event, settings::Limits,
     socket, stall_guard::StallGuard,
 };
 
@@ -85,7 +85,7 @@
     }
     let limits = &context.settings.limits;
     let builder = builder(limits);
-    let arrivals = Arc::new(ArrivalWatch::new(context.clock, context.gate.clone()));
+    let arrivals = Arc::new(ArrivalTracker::new(context.clock, context.gate.clone()));
     let idle_limit = Duration::from_millis(limits.body_idle_ms);
     let stream = StallGuard::new(stream, idle_limit, Arc::clone(&arrivals));
     let service = service_fn(move |mut request| {
--- a/crates/pistachiotrackd/src/peer_word.rs
+++ b/crates/pistachiotrackd/src/peer_result.rs
@@ -15,19 +15,19 @@
 /// What a VM says of a request that another one sent on to it; travels with its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum PeerWord {
+pub enum PeerResult {
     /// The answer is an endpoint's, or one that was kept for duplicates.
     Answered {
         /// Time that the endpoint took to begin it.
         endpoint_time_us: Option<u64>,
     },
     /// The VM refused the request.
-    Refused(RefusalWord),
+    Refused(PeerRefusal),
 }
 
 /// A VM's word that it refused a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RefusalWord {
+pub struct PeerRefusal {
     /// Identity of the request within the fleet.
     pub request: Name,
     /// The VM.
@@ -40,10 +40,10 @@
     pub retry_after_ms: Option<u64>,
 }
 
-impl RefusalWord {
+impl PeerRefusal {
     /// Returns the word of `vm` on its refusal of `request`.
-    pub fn new(vm: &Name, request: &Name, refusal: &Refusal) -> RefusalWord {
-        RefusalWord {
+    pub fn new(vm: &Name, request: &Name, refusal: &Refusal) -> PeerRefusal {
+        PeerRefusal {
             request: request.clone(),
             vm: vm.clone(),
             execution: refusal.execution(),
@@ -59,12 +59,12 @@
     /// An answer to be passed on, with the time that the endpoint took.
     Answer(Option<Duration>),
     /// A refusal, in the VM's own words.
-    Refused(RefusalWord),
+    Refused(PeerRefusal),
     /// A refusal without a word that can be relied on.
     Wordless,
 }
 
-impl PeerWord {
+impl PeerResult {
     /// Adds the word to an answer's headers.
     pub fn mark(&self, fields: &mut HeaderMap) {
         if let Ok(text) = serde_json::to_string(self) {
@@ -82,11 +82,13 @@
         let word = fields.remove(header::PEER_RESULT);
         let word = word.as_ref().and_then(|word| serde_json::from_slice(word.as_bytes()).ok());
         match word {
-            Some(PeerWord::Answered { endpoint_time_us }) => {
+            Some(PeerResult::Answered { endpoint_time_us }) => {
                 PeerAnswer::Answer(endpoint_time_us.map(Duration::from_micros))
             }
-            Some(PeerWord::Refused(word)) if word.request == *request => PeerAnswer::Refused(word),
-            Some(PeerWord::Refused(_)) => PeerAnswer::Wordless,
+            Some(PeerResult::Refused(word)) if word.request == *request => {
+                PeerAnswer::Refused(word)
+            }
+            Some(PeerResult::Refused(_)) => PeerAnswer::Wordless,
             None if fields.contains_key(header::OUTCOME) => PeerAnswer::Wordless,
             None => PeerAnswer::Answer(None),
         }
--- a/crates/pistachiotrackd/src/peer_service.rs
+++ b/crates/pistachiotrackd/src/peer_service.rs
@@ -21,7 +21,7 @@
         CONFIG_PATH, HAND_OVER_PATH, MAX_MESSAGE_BYTES, REACH_PATH, ReachAnswer, ReachQuestion,
     },
     proxy,
-    shard_actor::TakeHandOver,
+    shard_actor::ReceiveHandOver,
     shard_table::shard_name,
     traffic::{Place, Topic},
     view::ActiveConfig,
@@ -89,7 +89,10 @@
     log::info!("event=hand_over_received shard={}", shard_name(&shard));
     let mode = ShardMode::without_ownership(Some(service));
     let actor = context.shards.find_or_start(&shard, &active.config, mode);
-    actor.tell(TakeHandOver(hand_over)).try_send().map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
+    actor
+        .tell(ReceiveHandOver(hand_over))
+        .try_send()
+        .map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
     Ok(Vec::new())
 }
 
--- a/crates/pistachiotrackd/src/probe.rs
+++ b/crates/pistachiotrackd/src/probe.rs
@@ -18,8 +18,8 @@
     attempt::{outcome_of_answer, outcome_of_error},
     clock::Clock,
     connection_pool::ConnectionPool,
-    dialect::{AnswerFacts, AnswerKind, Dialect, OutgoingFacts},
-    exchange::{self, BegunAnswer, GiveUp, RequestHead, Target},
+    dialect::{AnswerKind, AnswerMetadata, Dialect, OutgoingMetadata},
+    exchange::{self, AbandonSignal, RequestHead, StartedAnswer, Target},
     request_body::RequestBody,
     shard_actor::{AttemptOutcome, BodyEnded, ShardActor},
 };
@@ -51,14 +51,14 @@
         clock: Clock,
         dialect: Arc<dyn Dialect>,
     ) {
-        let facts = OutgoingFacts {
+        let facts = OutgoingMetadata {
             request_id: None,
             endpoint: &self.endpoint,
             time_left: self.time_limit.since(clock.now()),
         };
         let (outcome, report, answer) = match self.exchange(&pool, clock, &*dialect, facts).await {
             Ok(answer) => {
-                let AnswerFacts { kind, report } = dialect.read_answer(&answer.parts, facts);
+                let AnswerMetadata { kind, report } = dialect.read_answer(&answer.parts, facts);
                 let outcome = outcome_of_answer(kind, &answer);
                 (outcome, report, Some(answer).filter(|_| kind == AnswerKind::Answer))
             }
@@ -79,8 +79,8 @@
         pool: &ConnectionPool,
         clock: Clock,
         dialect: &dyn Dialect,
-        facts: OutgoingFacts<'_>,
-    ) -> Result<BegunAnswer, Outcome> {
+        facts: OutgoingMetadata<'_>,
+    ) -> Result<StartedAnswer, Outcome> {
         let uri: Uri = self.path.parse().unwrap_or_default();
         let mut headers = HeaderMap::new();
         if let Ok(host) = HeaderValue::from_str(&self.address.to_string()) {
@@ -94,7 +94,7 @@
             budget: PROBE_BUDGET,
             not_after: self.time_limit,
             time_limit: self.time_limit,
-            give_up: GiveUp::default(),
+            give_up: AbandonSignal::default(),
         };
         let body = RequestBody::Whole(None);
         exchange::run(pool, clock, target, head, &body).await.map_err(|e| outcome_of_error(&e))
@@ -102,7 +102,7 @@
 
     async fn read_body(
         &self,
-        mut answer: BegunAnswer,
+        mut answer: StartedAnswer,
         pool: &ConnectionPool,
         clock: Clock,
     ) -> BodyEnd {
--- a/crates/pistachiotrackd/src/proxy.rs
+++ b/crates/pistachiotrackd/src/proxy.rs
@@ -26,24 +26,24 @@
 };
 
 use crate::{
-    answer::{self, NO_CONFIG_RETRY_MS, Refused},
+    answer::{self, NO_CONFIG_RETRY_MS, PendingRefusal},
     arrival::Arrival,
     body::AnswerBody,
     context::Context,
-    dialect::{Dialect, OwnDialect, RequestFacts},
+    dialect::{Dialect, NativeDialect, RequestMetadata},
     entries,
     forward::{self, ForwardError, Forwarded},
     forwarded_route::ForwardedRoute,
     headers,
     inbound::{Inbound, MAX_DEADLINE, caller_deadline, origin_form},
     metrics::Event,
-    peer_word::{PeerWord, RefusalWord},
+    peer_result::{PeerRefusal, PeerResult},
     refusal_log::{self, Audience},
     rejection::Rejection,
+    relay_server,
     request_body::{BodyLimits, RequestBody, RequestBodyError},
     request_task::{self, Served},
     view::{ActiveConfig, FleetView},
-    witness,
 };
 
 /// Start of the paths that the daemon answers by itself.
@@ -90,7 +90,7 @@
 ) -> Result<Response<AnswerBody>, Infallible> {
     context.metrics.count(Event::PeerRequest);
     if request.headers().contains_key(header::VIA) {
-        return Ok(witness::handle(&context, request).await);
+        return Ok(relay_server::handle(&context, request).await);
     }
     let received = context.clock.now();
     let number = context.next_request();
@@ -103,12 +103,12 @@
     };
     let endpoint_time_us = served.endpoint_time.map(|time| time.as_micros() as u64);
     let (word, mut response) = match served.answer {
-        Ok(response) => (PeerWord::Answered { endpoint_time_us }, response),
-        Err(Refused { refusal, status }) => {
+        Ok(response) => (PeerResult::Answered { endpoint_time_us }, response),
+        Err(PendingRefusal { refusal, status }) => {
             refusal_log::on_refusal(&context, &id, received, &refusal, Audience::Peer);
-            let word = RefusalWord::new(&context.me.name, &id, &refusal);
-            let response = OwnDialect.write_refusal(Some(&id), &refusal, status);
-            (PeerWord::Refused(word), response.map(AnswerBody::whole))
+            let word = PeerRefusal::new(&context.me.name, &id, &refusal);
+            let response = NativeDialect.write_refusal(Some(&id), &refusal, status);
+            (PeerResult::Refused(word), response.map(AnswerBody::whole))
         }
     };
     word.mark(response.headers_mut());
@@ -249,7 +249,7 @@
 }
 
 fn decide<'c>(
-    asked: &RequestFacts,
+    asked: &RequestMetadata,
     context: &Context,
     active: &'c ActiveConfig,
     parts: &request::Parts,
--- a/crates/pistachiotrackd/src/quarantine.rs
+++ b/crates/pistachiotrackd/src/quarantine.rs
@@ -1,6 +1,6 @@
 //! Holds back requests that crash endpoints, together with the other VMs.
 
-mod link;
+mod transport;
 
 use std::{
     net::SocketAddr,
@@ -23,29 +23,29 @@
     shard::EndpointKey,
 };
 
-pub(crate) use self::link::{QUARANTINE_TAG, QuarantineLink};
+pub(crate) use self::transport::{QUARANTINE_TAG, QuarantineTransport};
 use crate::{clock::Clock, inbound::Inbound, timer::TimerEvent};
 
 /// Decides which requests are held back, and tells the other VMs.
 #[derive(Debug)]
-pub(crate) struct QuarantineGate {
+pub(crate) struct QuarantineManager {
     clock: Clock,
     known: Mutex<Quarantine>,
     /// Whether nothing is known, so that most requests need no fingerprint.
     is_empty: AtomicBool,
-    link: QuarantineLink,
+    link: QuarantineTransport,
 }
 
-impl QuarantineGate {
+impl QuarantineManager {
     /// Creates a gate that holds nothing back.
     pub(crate) fn new(
         clock: Clock,
         settings: QuarantineSettings,
-        link: QuarantineLink,
+        link: QuarantineTransport,
         seed: u64,
-    ) -> QuarantineGate {
+    ) -> QuarantineManager {
         let known = Mutex::new(Quarantine::new(settings, seed));
-        QuarantineGate { clock, known, is_empty: AtomicBool::new(true), link }
+        QuarantineManager { clock, known, is_empty: AtomicBool::new(true), link }
     }
 
     /// Returns how long a request that has just come in is held back, if it is.
@@ -154,9 +154,9 @@
 
 /// The actor that tells other VMs in rounds.
 #[derive(Actor)]
-pub(crate) struct QuarantineRounds(pub(crate) Arc<QuarantineGate>);
+pub(crate) struct QuarantineGossip(pub(crate) Arc<QuarantineManager>);
 
-impl Message<TimerEvent> for QuarantineRounds {
+impl Message<TimerEvent> for QuarantineGossip {
     type Reply = ();
 
     async fn handle(&mut self, event: TimerEvent, _: &mut MessageContext<Self, ()>) {
--- a/crates/pistachiotrackd/src/quarantine/link.rs
+++ b/crates/pistachiotrackd/src/quarantine/transport.rs
@@ -47,7 +47,7 @@
 
 /// Tells other VMs about requests that crash endpoints.
 #[derive(Debug)]
-pub(crate) struct QuarantineLink {
+pub(crate) struct QuarantineTransport {
     me: Name,
     deployment: u64,
     socket: Arc<UdpSocket>,
@@ -55,7 +55,7 @@
     traffic: Arc<Traffic>,
 }
 
-impl QuarantineLink {
+impl QuarantineTransport {
     /// Creates a link over the socket that the membership uses too.
     pub(crate) fn new(
         me: &Vm,
@@ -63,9 +63,9 @@
         socket: Arc<UdpSocket>,
         view: watch::Receiver<Arc<FleetView>>,
         traffic: Arc<Traffic>,
-    ) -> QuarantineLink {
+    ) -> QuarantineTransport {
         let deployment = hash::fnv(deployment.as_bytes());
-        QuarantineLink { me: me.name.clone(), deployment, socket, view, traffic }
+        QuarantineTransport { me: me.name.clone(), deployment, socket, view, traffic }
     }
 
     /// Tells the VMs that `telling` is for.
--- a/crates/pistachiotrackd/src/rejection.rs
+++ b/crates/pistachiotrackd/src/rejection.rs
@@ -6,7 +6,7 @@
 use pistachiotrack_core::{copies::Undispatched, refusal::Reason, rule::Refuse};
 
 use crate::{
-    answer::{NO_CONFIG_RETRY_MS, Refused},
+    answer::{NO_CONFIG_RETRY_MS, PendingRefusal},
     request_task::Served,
 };
 
@@ -51,7 +51,7 @@
 
     /// Refuses the request.
     pub(crate) fn refuse(self, held: Undispatched) -> Served {
-        let mut refused = Refused::from(held.refuse(self.reason, self.retry_after_ms));
+        let mut refused = PendingRefusal::from(held.refuse(self.reason, self.retry_after_ms));
         refused.status = self.status.unwrap_or(refused.status);
         Served::refused(refused)
     }
--- a/crates/pistachiotrackd/src/via.rs
+++ b/crates/pistachiotrackd/src/relay_client.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     context::Context,
-    exchange::{self, BegunAnswer, ExchangeError, GiveUp, RequestHead, Target},
+    exchange::{self, AbandonSignal, ExchangeError, RequestHead, StartedAnswer, Target},
     forward::PEER_BUDGET,
     headers,
     request_body::RequestBody,
@@ -30,7 +30,7 @@
 /// What a witness is asked to do, as it travels with the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct ViaOrder {
+pub(crate) struct RelayRequest {
     /// Name of the endpoint.
     pub(crate) endpoint: Name,
     /// Address of the endpoint.
@@ -45,9 +45,9 @@
     pub(crate) time_limit_us: u64,
 }
 
-impl ViaOrder {
-    fn new(dispatch: &Dispatch, choice: ConnectionChoice, now: Time) -> ViaOrder {
-        ViaOrder {
+impl RelayRequest {
+    fn new(dispatch: &Dispatch, choice: ConnectionChoice, now: Time) -> RelayRequest {
+        RelayRequest {
             endpoint: dispatch.endpoint.clone(),
             address: dispatch.address,
             fresh: choice == ConnectionChoice::Fresh,
@@ -75,7 +75,7 @@
 /// How the witness's part ended, as it travels with the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum ViaEnd {
+pub(crate) enum RelayResult {
     /// The endpoint's answer is the one that this travels with.
     Answered {
         /// Whether the connection to the endpoint was new.
@@ -101,18 +101,18 @@
     BodyBroken,
 }
 
-impl ViaEnd {
+impl RelayResult {
     /// Returns what the owner's shard is told.
     fn outcome(self) -> Outcome {
         match self {
             // Only with an answer, which is then passed on.
-            ViaEnd::Answered { .. } => Outcome::RelayFailed { sent: true },
-            ViaEnd::Refused => Outcome::RelayFailed { sent: false },
-            ViaEnd::ConnectFailed => Outcome::ConnectFailed,
-            ViaEnd::NotSent => Outcome::NotSent,
-            ViaEnd::Broken { fresh } => Outcome::Broken { fresh_connection: fresh },
-            ViaEnd::TimedOut { fresh } => Outcome::TimedOut { fresh_connection: fresh },
-            ViaEnd::BodyBroken => Outcome::RelayFailed { sent: true },
+            RelayResult::Answered { .. } => Outcome::RelayFailed { sent: true },
+            RelayResult::Refused => Outcome::RelayFailed { sent: false },
+            RelayResult::ConnectFailed => Outcome::ConnectFailed,
+            RelayResult::NotSent => Outcome::NotSent,
+            RelayResult::Broken { fresh } => Outcome::Broken { fresh_connection: fresh },
+            RelayResult::TimedOut { fresh } => Outcome::TimedOut { fresh_connection: fresh },
+            RelayResult::BodyBroken => Outcome::RelayFailed { sent: true },
         }
     }
 
@@ -123,14 +123,14 @@
         }
     }
 
-    fn read(fields: &HeaderMap) -> Option<ViaEnd> {
+    fn read(fields: &HeaderMap) -> Option<RelayResult> {
         serde_json::from_str(headers::text(fields, header::VIA_END)?).ok()
     }
 }
 
 /// Why no answer of the endpoint could be had through the witness.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum ViaError {
+pub(crate) enum RelayError {
     /// The witness is no longer alive; nothing was sent.
     #[error("witness {0} is not alive")]
     NoWitness(Name),
@@ -139,7 +139,7 @@
     Leg(#[from] ExchangeError),
     /// The witness says that its part failed.
     #[error("witness says {0:?}")]
-    Ended(ViaEnd),
+    Ended(RelayResult),
     /// The answer has no word of the witness on it.
     #[error("witness answered {status} without a word")]
     Unmarked {
@@ -148,7 +148,7 @@
     },
 }
 
-impl ViaError {
+impl RelayError {
     /// Returns what the shard is told.
     ///
     /// Failure guarded against: the leg to the witness breaks after a booking
@@ -158,10 +158,10 @@
     /// written, or the witness's own word, makes an attempt certainly not run.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
-            ViaError::NoWitness(_) => Outcome::RelayFailed { sent: false },
-            ViaError::Ended(end) => end.outcome(),
-            ViaError::Unmarked { .. } => Outcome::RelayFailed { sent: true },
-            ViaError::Leg(error) => match error {
+            RelayError::NoWitness(_) => Outcome::RelayFailed { sent: false },
+            RelayError::Ended(end) => end.outcome(),
+            RelayError::Unmarked { .. } => Outcome::RelayFailed { sent: true },
+            RelayError::Leg(error) => match error {
                 ExchangeError::NoConnection(_) | ExchangeError::ClosedUnsent => {
                     Outcome::RelayFailed { sent: false }
                 }
@@ -190,10 +190,10 @@
     choice: ConnectionChoice,
     mut head: RequestHead,
     body: &RequestBody,
-) -> Result<BegunAnswer, ViaError> {
+) -> Result<StartedAnswer, RelayError> {
     let address =
-        peer_address(context, witness).ok_or_else(|| ViaError::NoWitness(witness.clone()))?;
-    let order = ViaOrder::new(dispatch, choice, context.clock.now());
+        peer_address(context, witness).ok_or_else(|| RelayError::NoWitness(witness.clone()))?;
+    let order = RelayRequest::new(dispatch, choice, context.clock.now());
     if let Ok(text) = serde_json::to_string(&order) {
         headers::set(&mut head.headers, header::VIA, &text);
     }
@@ -204,16 +204,16 @@
         budget: PEER_BUDGET,
         not_after: dispatch.not_after,
         time_limit: dispatch.time_limit + WITNESS_GRACE,
-        give_up: GiveUp::default(),
+        give_up: AbandonSignal::default(),
     };
     let mut answer = exchange::run(&context.peers, context.clock, target, head, body).await?;
-    match ViaEnd::read(&answer.parts.headers) {
-        Some(ViaEnd::Answered { fresh }) => {
+    match RelayResult::read(&answer.parts.headers) {
+        Some(RelayResult::Answered { fresh }) => {
             answer.fresh = fresh;
             Ok(answer)
         }
-        Some(end) => Err(ViaError::Ended(end)),
-        None => Err(ViaError::Unmarked { status: answer.parts.status.as_u16() }),
+        Some(end) => Err(RelayError::Ended(end)),
+        None => Err(RelayError::Unmarked { status: answer.parts.status.as_u16() }),
     }
 }
 
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -26,13 +26,13 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver};
 
 use crate::{
-    answer::{self, Refused},
+    answer::{self, PendingRefusal},
     attempt::{self, AttemptEnd},
-    body::{self, AnswerBody, AnswerCopy, AnswerWatch},
+    body::{self, AnswerBody, AnswerCopy, AnswerMonitor},
     connection_pool::ConnectionPool,
     context::Context,
-    crash_check::{EndpointRun, RunWatch},
-    exchange::{BegunAnswer, GiveUp},
+    crash_check::{EndpointExecution, ExecutionMonitor},
+    exchange::{AbandonSignal, StartedAnswer},
     headers,
     inbound::Inbound,
     metrics::Event,
@@ -47,7 +47,7 @@
 /// What came of a request.
 pub(crate) struct Served {
     /// The answer, or the refusal, which is still to be written and logged.
-    pub(crate) answer: Result<Response<AnswerBody>, Refused>,
+    pub(crate) answer: Result<Response<AnswerBody>, PendingRefusal>,
     /// Time between sending the request and the answer's head, if an endpoint
     /// answered.
     pub(crate) endpoint_time: Option<Duration>,
@@ -55,7 +55,7 @@
 
 impl Served {
     /// Returns what came of a request that is refused.
-    pub(crate) fn refused(refusal: impl Into<Refused>) -> Served {
+    pub(crate) fn refused(refusal: impl Into<PendingRefusal>) -> Served {
         Served { answer: Err(refusal.into()), endpoint_time: None }
     }
 }
@@ -116,7 +116,7 @@
     copy: OutstandingCopy,
     end: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
     place: Place,
-    give_up: GiveUp,
+    give_up: AbandonSignal,
 }
 
 /// A request that a shard decides about.
@@ -143,7 +143,7 @@
     endpoint: Name,
     /// Its address, unless it was asked through another VM.
     address: Option<SocketAddr>,
-    answer: Box<BegunAnswer>,
+    answer: Box<StartedAnswer>,
     pool: Arc<ConnectionPool>,
 }
 
@@ -237,7 +237,7 @@
             let queued = context.clock.now().since(self.began);
             context.queued.record(&inbound.route.customer, inbound.route.class, queued);
         }
-        let give_up = GiveUp::default();
+        let give_up = AbandonSignal::default();
         let copy = self.copies.send(dispatch.endpoint.clone(), context.clock.now());
         let end = Box::pin(attempt::run(context, inbound, dispatch, budget, give_up.clone()));
         self.running.push(RunningAttempt { attempt, copy, end, place, give_up });
@@ -300,9 +300,9 @@
         None
     }
 
-    fn run_at(&self, endpoint: &Name, address: Option<SocketAddr>) -> EndpointRun {
+    fn run_at(&self, endpoint: &Name, address: Option<SocketAddr>) -> EndpointExecution {
         let (context, inbound) = (Arc::clone(&self.context), Arc::clone(&self.inbound));
-        EndpointRun { context, inbound, endpoint: endpoint.clone(), address }
+        EndpointExecution { context, inbound, endpoint: endpoint.clone(), address }
     }
 
     /// Says how an attempt ended; a failure is worth a line at any time.
@@ -333,12 +333,12 @@
         let index = self.answered.iter().position(|answered| answered.attempt == attempt)?;
         let Answered { endpoint, address, answer, pool, .. } = self.answered.swap_remove(index);
         self.finished = true;
-        let BegunAnswer { mut parts, body, connection, sent, began, .. } = *answer;
+        let StartedAnswer { mut parts, body, connection, sent, began, .. } = *answer;
         let endpoint_time = began.since(sent);
         let copy = self.inbound.key().map(|_| AnswerCopy::begin(self.inbound.id, &parts));
         let is_failure = parts.status.as_u16() >= FIRST_FAILURE_STATUS;
-        let run = RunWatch { run: self.run_at(&endpoint, address), is_failure };
-        let watch = AnswerWatch { shard: self.shard.clone(), attempt, copy, run };
+        let run = ExecutionMonitor { run: self.run_at(&endpoint, address), is_failure };
+        let watch = AnswerMonitor { shard: self.shard.clone(), attempt, copy, run };
         let body = AnswerBody::relayed(
             &parts,
             body,
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -30,7 +30,7 @@
 use rustc_hash::FxHashMap;
 use tokio::sync::mpsc::UnboundedSender;
 
-pub(crate) use self::peers::{HandOverTo, PathChecked, PeerNews, TakeHandOver};
+pub(crate) use self::peers::{PathChecked, PeerUpdate, ReceiveHandOver, SendHandOver};
 use crate::{
     clock::Clock,
     connection_pool::ConnectionPool,
@@ -38,7 +38,7 @@
     news_link::NewsLink,
     path_check::PathCheck,
     probe::Probe,
-    shard_table::{FactsTable, ShardFacts},
+    shard_table::{ShardStatus, ShardStatusTable},
     timer::TimerEvent,
 };
 
@@ -82,7 +82,7 @@
     /// Connections to endpoints.
     pub(crate) endpoints: Arc<ConnectionPool>,
     /// Where the shard's live facts are published.
-    pub(crate) facts: FactsTable,
+    pub(crate) facts: ShardStatusTable,
     /// Asks VMs elsewhere about endpoints.
     pub(crate) path_check: PathCheck,
     /// Tells the other VMs that dispatch for the shard.
@@ -103,7 +103,7 @@
     shard: Shard,
     clock: Clock,
     endpoints: Arc<ConnectionPool>,
-    facts: FactsTable,
+    facts: ShardStatusTable,
     path_check: PathCheck,
     news: Arc<NewsLink>,
     dialect: Arc<dyn Dialect>,
@@ -435,7 +435,7 @@
     }
 
     fn publish_facts(&self, now: Time) {
-        let facts = ShardFacts {
+        let facts = ShardStatus {
             at_floor: self.shard.at_floor(),
             queue_wait_ms: self.shard.queue_wait(now).as_millis() as u64,
         };
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -13,17 +13,17 @@
 };
 
 /// Takes what another VM that dispatches for the shard tells.
-pub(crate) struct PeerNews {
+pub(crate) struct PeerUpdate {
     /// Address of the VM.
     pub(crate) address: SocketAddr,
     /// What it tells.
     pub(crate) datagram: NewsDatagram,
 }
 
-impl Message<PeerNews> for ShardActor {
+impl Message<PeerUpdate> for ShardActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: PeerNews, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: PeerUpdate, _: &mut Context<Self, ()>) {
         let now = self.clock.now();
         self.last_use = now;
         self.heard = now;
@@ -72,18 +72,18 @@
 }
 
 /// Hands the shard over to its new owner.
-pub(crate) struct HandOverTo {
+pub(crate) struct SendHandOver {
     /// The new owner.
     pub(crate) to: Vm,
     /// Dropped when the new owner has been told, or can't be.
     pub(crate) told: Option<mpsc::Sender<()>>,
 }
 
-impl Message<HandOverTo> for ShardActor {
+impl Message<SendHandOver> for ShardActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: HandOverTo, _: &mut Context<Self, ()>) {
-        let HandOverTo { to, told } = message;
+    async fn handle(&mut self, message: SendHandOver, _: &mut Context<Self, ()>) {
+        let SendHandOver { to, told } = message;
         let hand_over = self.shard.hand_over(self.clock.now());
         tokio::spawn(async move {
             hand_over::send(to, hand_over).await;
@@ -93,12 +93,12 @@
 }
 
 /// Takes what the shard's old owner knew.
-pub(crate) struct TakeHandOver(pub(crate) ShardHandOver);
+pub(crate) struct ReceiveHandOver(pub(crate) ShardHandOver);
 
-impl Message<TakeHandOver> for ShardActor {
+impl Message<ReceiveHandOver> for ShardActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: TakeHandOver, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: ReceiveHandOver, _: &mut Context<Self, ()>) {
         let actions = self.shard.on_hand_over(self.clock.now(), &message.0);
         self.apply(actions);
     }
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -28,14 +28,14 @@
     dialect::Dialect,
     news_link::{NewsDatagram, NewsLink},
     path_check::PathCheck,
-    shard_actor::{HandOverTo, PeerNews, SetMode, ShardActor, ShardArgs},
+    shard_actor::{PeerUpdate, SendHandOver, SetMode, ShardActor, ShardArgs},
     timer::{Subscribe, TimerService},
     view::FleetView,
 };
 
 /// Live facts about a shard that rules may ask for.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ShardFacts {
+pub(crate) struct ShardStatus {
     /// Whether further ejections are held back.
     pub(crate) at_floor: bool,
     /// Expected wait of a new request.
@@ -43,7 +43,7 @@
 }
 
 /// Facts of all shards that this VM works on.
-pub(crate) type FactsTable = Arc<RwLock<FxHashMap<ShardId, ShardFacts>>>;
+pub(crate) type ShardStatusTable = Arc<RwLock<FxHashMap<ShardId, ShardStatus>>>;
 
 /// What the shards of a VM have in common.
 #[derive(Debug)]
@@ -75,14 +75,14 @@
 #[derive(Debug)]
 pub(crate) struct ShardTable {
     actors: RwLock<FxHashMap<ShardId, ActorRef<ShardActor>>>,
-    facts: FactsTable,
+    facts: ShardStatusTable,
     shared: ShardTableArgs,
 }
 
 impl ShardTable {
     /// Creates an empty table.
     pub(crate) fn new(shared: ShardTableArgs) -> ShardTable {
-        ShardTable { actors: RwLock::default(), facts: FactsTable::default(), shared }
+        ShardTable { actors: RwLock::default(), facts: ShardStatusTable::default(), shared }
     }
 
     /// Returns the actor of a shard, if it runs.
@@ -149,7 +149,7 @@
     pub(crate) fn hand_over(&self, shard: &ShardId, to: Vm, told: Option<mpsc::Sender<()>>) {
         if let Some(actor) = self.find(shard) {
             // A shard that has just stopped has nothing to tell.
-            let _ = actor.tell(HandOverTo { to, told }).try_send();
+            let _ = actor.tell(SendHandOver { to, told }).try_send();
         }
     }
 
@@ -157,7 +157,12 @@
     ///
     /// A dispatcher starts the shard for it, so that it knows the endpoints
     /// before its own first request.
-    pub(crate) fn on_news(&self, view: &FleetView, from: SocketAddr, datagram: NewsDatagram) {
+    pub(crate) fn on_peer_update(
+        &self,
+        view: &FleetView,
+        from: SocketAddr,
+        datagram: NewsDatagram,
+    ) {
         let shard = datagram.content.shard();
         let actor = self.find(shard).or_else(|| {
             let active = view.active.as_ref()?;
@@ -168,7 +173,7 @@
             wanted.then(|| self.find_or_start(shard, &active.config, ShardMode::Shared))
         });
         if let Some(actor) = actor {
-            let news = PeerNews { address: from, datagram };
+            let news = PeerUpdate { address: from, datagram };
             // A shard that has just stopped needs no news.
             let _ = actor.tell(news).try_send();
         }
@@ -189,9 +194,9 @@
     }
 
     fn facts_of<'a>(
-        facts: &'a FxHashMap<ShardId, ShardFacts>,
+        facts: &'a FxHashMap<ShardId, ShardStatus>,
         service: &'a str,
-    ) -> impl Iterator<Item = &'a ShardFacts> {
+    ) -> impl Iterator<Item = &'a ShardStatus> {
         facts.iter().filter(move |(id, _)| id.service.as_str() == service).map(|(_, facts)| facts)
     }
 }
--- a/crates/pistachiotrackd/src/stall_guard.rs
+++ b/crates/pistachiotrackd/src/stall_guard.rs
@@ -15,7 +15,7 @@
     time::Sleep,
 };
 
-use crate::arrival::ArrivalWatch;
+use crate::arrival::ArrivalTracker;
 
 /// A TCP stream that fails when the other end takes nothing for too long, and
 /// whose reads are watched.
@@ -29,7 +29,7 @@
     inner: TcpStream,
     limit: Duration,
     stalled: Option<Pin<Box<Sleep>>>,
-    arrivals: Arc<ArrivalWatch>,
+    arrivals: Arc<ArrivalTracker>,
 }
 
 impl StallGuard {
@@ -37,7 +37,7 @@
     pub(crate) fn new(
         inner: TcpStream,
         limit: Duration,
-        arrivals: Arc<ArrivalWatch>,
+        arrivals: Arc<ArrivalTracker>,
     ) -> StallGuard {
         StallGuard { inner, limit, stalled: None, arrivals }
     }
--- a/crates/pistachiotrackd/src/udp.rs
+++ b/crates/pistachiotrackd/src/udp.rs
@@ -36,7 +36,7 @@
                     let topic = datagram.as_ref().map_or(Topic::News, |it| it.content.topic());
                     traffic.received(topic, view.place(from), length);
                     match datagram {
-                        Ok(datagram) => context.shards.on_news(&view, from, datagram),
+                        Ok(datagram) => context.shards.on_peer_update(&view, from, datagram),
                         Err(error) => {
                             context.metrics.count(Event::NewsUnused);
                             news.log_unused(from, &error);
--- a/crates/pistachiotrackd/tests/peer_word.rs
+++ b/crates/pistachiotrackd/tests/peer_word.rs
@@ -9,19 +9,19 @@
     name::Name,
     refusal::{Execution, Reason, RefusalDecision},
 };
-use pistachiotrackd::peer_word::{PeerAnswer, PeerWord, RefusalWord};
+use pistachiotrackd::peer_result::{PeerAnswer, PeerRefusal, PeerResult};
 
 const REQUEST: &str = "vm-01-1a23-7";
 
-fn word(execution: Execution) -> RefusalWord {
+fn word(execution: Execution) -> PeerRefusal {
     let verdict =
         RefusalDecision { execution, reason: Reason::QueueFull, retry_after_ms: Some(40) };
     let refusal = Copies::from(Undispatched::on_arrival()).refuse_with(verdict);
-    RefusalWord::new(&Name::from("vm-02"), &Name::from(REQUEST), &refusal)
+    PeerRefusal::new(&Name::from("vm-02"), &Name::from(REQUEST), &refusal)
 }
 
 fn take(fields: &mut HeaderMap, request: &str) -> PeerAnswer {
-    PeerWord::take(fields, &Name::from(request))
+    PeerResult::take(fields, &Name::from(request))
 }
 
 #[test]
@@ -29,12 +29,12 @@
     for execution in [Execution::NotRun, Execution::Unknown] {
         let word = word(execution);
         let mut fields = HeaderMap::new();
-        PeerWord::Refused(word.clone()).mark(&mut fields);
+        PeerResult::Refused(word.clone()).mark(&mut fields);
         assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Refused(word));
         assert!(fields.is_empty());
     }
     let mut fields = HeaderMap::new();
-    PeerWord::Answered { endpoint_time_us: Some(1_500) }.mark(&mut fields);
+    PeerResult::Answered { endpoint_time_us: Some(1_500) }.mark(&mut fields);
     let time = Duration::from_micros(1_500);
     assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Answer(Some(time)));
 }
@@ -44,7 +44,7 @@
 #[test]
 fn nothing_but_the_word_on_this_request_says_that_it_did_not_run() {
     let mut other = HeaderMap::new();
-    PeerWord::Refused(word(Execution::NotRun)).mark(&mut other);
+    PeerResult::Refused(word(Execution::NotRun)).mark(&mut other);
     assert_eq!(take(&mut other, "vm-01-1a23-8"), PeerAnswer::Wordless);
 
     let large = "x".repeat(64 << 10);
