--- a/crates/pistachiotrackd/src/arrival.rs
+++ b/crates/pistachiotrackd/src/arrival.rs
@@ -10,7 +10,7 @@
 use crate::{clock::Clock, timer::PauseGate};
 
 /// Time after a pause within which what arrived during it is read.
-const BACKLOG: Duration = Duration::from_secs(1);
+const BACKLOG_READ_TIME: Duration = Duration::from_secs(1);
 
 /// Moment of a request's arrival, where it was well before it was read.
 #[derive(Clone, Copy, Debug)]
@@ -28,34 +28,35 @@
 pub(crate) struct ArrivalTracker {
     clock: Clock,
     gate: PauseGate,
-    empty_at_us: AtomicU64,
+    drained_at_us: AtomicU64,
     read_after_us: AtomicU64,
 }
 
 impl ArrivalTracker {
     /// Creates the watch of a connection that nothing was read from.
     pub(crate) fn new(clock: Clock, gate: PauseGate) -> ArrivalTracker {
-        let [empty_at_us, read_after_us] = [AtomicU64::new(0), AtomicU64::new(0)];
-        ArrivalTracker { clock, gate, empty_at_us, read_after_us }
+        let [drained_at_us, read_after_us] = [AtomicU64::new(0), AtomicU64::new(0)];
+        ArrivalTracker { clock, gate, drained_at_us, read_after_us }
     }
 
     /// Notes that there was nothing to read.
-    pub(crate) fn on_empty(&self) {
-        self.empty_at_us.store(self.clock.now().as_micros(), Ordering::Relaxed);
+    pub(crate) fn on_drained(&self) {
+        self.drained_at_us.store(self.clock.now().as_micros(), Ordering::Relaxed);
     }
 
     /// Notes that bytes were read.
     pub(crate) fn on_bytes(&self) {
-        self.read_after_us.store(self.empty_at_us.load(Ordering::Relaxed), Ordering::Relaxed);
+        self.read_after_us.store(self.drained_at_us.load(Ordering::Relaxed), Ordering::Relaxed);
     }
 
     /// Returns the earliest moment at which the bytes read last can have
     /// arrived, if that was before the end of a pause.
-    pub(crate) fn before_wake(&self) -> Option<Arrival> {
+    pub(crate) fn arrival_before_resume(&self) -> Option<Arrival> {
         let now = self.clock.now();
         let pause = self.gate.pause_at(now)?;
         let read_after = Time::from_micros(self.read_after_us.load(Ordering::Relaxed));
-        let may_be_old = read_after < pause.ended_at && now.since(pause.ended_at) < BACKLOG;
+        let may_be_old =
+            read_after < pause.ended_at && now.since(pause.ended_at) < BACKLOG_READ_TIME;
         may_be_old.then(|| Arrival(read_after.max(pause.began_at)))
     }
 }
--- a/crates/pistachiotrackd/src/attempt.rs
+++ b/crates/pistachiotrackd/src/attempt.rs
@@ -20,7 +20,7 @@
 };
 
 /// Time for which the rest of a refusal's body is waited for.
-const SHED_BODY_WAIT: Duration = Duration::from_millis(5);
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// How an attempt ended, or how its answer began.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     /// Its address, unless it was asked through another VM.
     pub(crate) address: Option<SocketAddr>,
     /// Why the endpoint was chosen.
-    pub(crate) grounds: SelectionDetails,
+    pub(crate) selection: SelectionDetails,
     /// Time from the dispatch to the outcome.
     pub(crate) took: Duration,
     /// What the shard is told.
@@ -49,16 +49,16 @@
     inbound: Arc<Inbound>,
     dispatch: Dispatch,
     budget: u32,
-    give_up: AbandonSignal,
+    abandon: AbandonSignal,
 ) -> AttemptEnd {
-    let begun = context.clock.now();
+    let started_at = context.clock.now();
     let choice = connection_choice(&inbound, dispatch.connection);
-    let facts = OutgoingMetadata {
+    let metadata = OutgoingMetadata {
         request_id: Some(&inbound.fleet_id),
         endpoint: &dispatch.endpoint,
         time_left: remaining(inbound.deadline, context.clock.now()),
     };
-    let head = request_head(&context, &inbound, facts);
+    let head = request_head(&context, &inbound, metadata);
     let (pool, result) = match &dispatch.via {
         None => {
             let target = Target {
@@ -67,33 +67,33 @@
                 budget,
                 not_after: dispatch.not_after,
                 time_limit: dispatch.time_limit,
-                give_up,
+                abandon,
             };
             let pool = &context.endpoints;
             let result = exchange::run(pool, context.clock, target, head, &inbound.body).await;
             (pool, result.map_err(|error| (outcome_of_error(&error), error.to_string())))
         }
-        Some(witness) => {
+        Some(relay) => {
             let result =
-                relay_client::send(&context, witness, &dispatch, choice, head, &inbound.body).await;
+                relay_client::send(&context, relay, &dispatch, choice, head, &inbound.body).await;
             let result = result.map_err(|error| (error.outcome(), error.to_string()));
             (&context.peers, result)
         }
     };
-    let read = |answer: &StartedAnswer| context.dialect.read_answer(&answer.parts, facts);
+    let read = |answer: &StartedAnswer| context.dialect.read_answer(&answer.parts, metadata);
     let result = result.map(|answer| (read(&answer), answer));
     let mut end = AttemptEnd {
         endpoint: dispatch.endpoint.clone(),
         address: dispatch.via.is_none().then_some(dispatch.address),
-        grounds: dispatch.selection,
-        took: context.clock.now().since(begun),
+        selection: dispatch.selection,
+        took: context.clock.now().since(started_at),
         outcome: Outcome::NotSent,
         report: EndpointReport::default(),
         answer: None,
         pool: Arc::clone(pool),
     };
     match result {
-        Ok((facts, answer)) => end.take(facts, answer).await,
+        Ok((metadata, answer)) => end.set_answer(metadata, answer).await,
         Err((outcome, error)) => {
             log::debug!(
                 "event=attempt_failed request={} endpoint={} via={} error={error:?}",
@@ -118,9 +118,13 @@
     }
 }
 
-fn request_head(context: &Context, inbound: &Inbound, facts: OutgoingMetadata<'_>) -> RequestHead {
+fn request_head(
+    context: &Context,
+    inbound: &Inbound,
+    metadata: OutgoingMetadata<'_>,
+) -> RequestHead {
     let mut fields = inbound.headers.clone();
-    context.dialect.write_request(&mut fields, facts);
+    context.dialect.write_request(&mut fields, metadata);
     RequestHead { method: inbound.method.clone(), uri: inbound.uri.clone(), headers: fields }
 }
 
@@ -132,10 +136,10 @@
     /// caller gets another one's roster. It shows as an answer that bears another
     /// request's identity. The guard holds because such an answer is dropped with its
     /// connection, and its request counts as possibly run.
-    async fn take(&mut self, facts: AnswerMetadata, answer: StartedAnswer) {
-        self.outcome = outcome_of_answer(facts.kind, &answer);
-        self.report = facts.report;
-        match facts.kind {
+    async fn set_answer(&mut self, metadata: AnswerMetadata, answer: StartedAnswer) {
+        self.outcome = outcome_of_answer(metadata.kind, &answer);
+        self.report = metadata.report;
+        match metadata.kind {
             AnswerKind::Answer => self.answer = Some(Box::new(answer)),
             AnswerKind::NotRun => return_connection(&self.pool, answer).await,
             AnswerKind::WrongEndpoint | AnswerKind::Unrelated => {}
@@ -146,7 +150,7 @@
 /// Keeps the connection of a refusal if its short body is there already.
 pub(crate) async fn return_connection(pool: &ConnectionPool, mut answer: StartedAnswer) {
     while !answer.body.is_end_stream() {
-        let frame = tokio::time::timeout(SHED_BODY_WAIT, answer.body.frame()).await;
+        let frame = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, answer.body.frame()).await;
         if !matches!(frame, Ok(Some(Ok(_)))) {
             return;
         }
@@ -175,7 +179,7 @@
         }
         ExchangeError::NoConnection(CheckoutError::OverBudget { .. })
         | ExchangeError::TooLate
-        | ExchangeError::BodyGone
+        | ExchangeError::BodyConsumed
         | ExchangeError::CallerBody { sent: false } => Outcome::NotSent,
         ExchangeError::CallerBody { sent: true } => Outcome::Cancelled,
         ExchangeError::Broken { fresh } => Outcome::Broken { fresh_connection: *fresh },
--- a/crates/pistachiotrackd/src/body.rs
+++ b/crates/pistachiotrackd/src/body.rs
@@ -49,7 +49,7 @@
     /// A whole body in memory.
     Whole(Option<Bytes>),
     /// A body that is passed on as it arrives.
-    Relayed(Box<StreamingBody>),
+    Streaming(Box<StreamingBody>),
 }
 
 impl AnswerBody {
@@ -59,14 +59,14 @@
     }
 
     /// Returns a body that is passed on from a connection.
-    pub(crate) fn relayed(
+    pub(crate) fn streaming(
         parts: &Parts,
         incoming: Incoming,
         connection: Connection,
         pool: Arc<ConnectionPool>,
         idle_limit: Duration,
         ends_by_closing: bool,
-        watch: Option<AnswerMonitor>,
+        monitor: Option<AnswerMonitor>,
     ) -> AnswerBody {
         let has_length = ends_by_closing
             || parts.headers.contains_key(CONTENT_LENGTH)
@@ -78,17 +78,17 @@
             idle_limit,
             idle: None,
             has_length,
-            watch,
+            monitor,
         };
         if body.incoming.is_end_stream() {
             body.finish(BodyEnd::Complete);
         }
-        AnswerBody::Relayed(Box::new(body))
+        AnswerBody::Streaming(Box::new(body))
     }
 }
 
 /// Returns the length of a body as far as it was announced.
-pub(crate) fn known_bytes(body: &Incoming) -> usize {
+pub(crate) fn announced_bytes(body: &Incoming) -> usize {
     body.size_hint().lower() as usize
 }
 
@@ -104,14 +104,14 @@
             AnswerBody::Whole(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            AnswerBody::Relayed(relayed) => relayed.poll(cx),
+            AnswerBody::Streaming(streaming) => streaming.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             AnswerBody::Whole(bytes) => bytes.is_none(),
-            AnswerBody::Relayed(relayed) => relayed.incoming.is_end_stream(),
+            AnswerBody::Streaming(streaming) => streaming.incoming.is_end_stream(),
         }
     }
 
@@ -120,7 +120,7 @@
             AnswerBody::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerBody::Relayed(relayed) => relayed.incoming.size_hint(),
+            AnswerBody::Streaming(streaming) => streaming.incoming.size_hint(),
         }
     }
 }
@@ -140,7 +140,7 @@
     idle_limit: Duration,
     idle: Option<Pin<Box<Sleep>>>,
     has_length: bool,
-    watch: Option<AnswerMonitor>,
+    monitor: Option<AnswerMonitor>,
 }
 
 impl StreamingBody {
@@ -154,8 +154,8 @@
         self.idle = None;
         match frame {
             Some(Ok(frame)) => {
-                if let (Some(watch), Some(data)) = (&mut self.watch, frame.data_ref()) {
-                    watch.note(data);
+                if let (Some(monitor), Some(data)) = (&mut self.monitor, frame.data_ref()) {
+                    monitor.record(data);
                 }
                 if self.incoming.is_end_stream() {
                     self.finish(BodyEnd::Complete);
@@ -193,8 +193,8 @@
         if end == BodyEnd::Complete {
             self.pool.check_in(connection);
         }
-        if let Some(watch) = self.watch.take() {
-            watch.finish(end);
+        if let Some(monitor) = self.monitor.take() {
+            monitor.finish(end);
         }
     }
 }
@@ -219,7 +219,7 @@
 }
 
 impl AnswerMonitor {
-    fn note(&mut self, data: &Bytes) {
+    fn record(&mut self, data: &Bytes) {
         let Some(copy) = &mut self.copy else { return };
         if copy.answer.body.len() + data.len() > MAX_STORED_BODY_BYTES {
             self.copy = None;
--- a/crates/pistachiotrackd/src/connection.rs
+++ b/crates/pistachiotrackd/src/connection.rs
@@ -155,9 +155,9 @@
         &self,
         address: SocketAddr,
         open: OpenCount,
-        give_up: Time,
+        deadline: Time,
     ) -> Result<Connection, ConnectError> {
-        let stream = self.connect_within(address, give_up.since(self.clock.now())).await?;
+        let stream = self.connect_within(address, deadline.since(self.clock.now())).await?;
         socket::guard_outgoing(&stream).map_err(|source| ConnectError::Io { address, source })?;
         let guard = ExchangeGuard::new(self.clock, self.gate.clone());
         let stream = GuardedStream::new(stream, Arc::clone(&guard));
--- a/crates/pistachiotrackd/src/connection_pool.rs
+++ b/crates/pistachiotrackd/src/connection_pool.rs
@@ -23,15 +23,15 @@
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     connector: Connector,
-    places: Mutex<FxHashMap<SocketAddr, Place>>,
+    addresses: Mutex<FxHashMap<SocketAddr, AddressPool>>,
 }
 
 #[derive(Debug, Default)]
-struct Place {
+struct AddressPool {
     idle: Vec<Connection>,
     open: Arc<AtomicU32>,
     /// Whether a test has cut the path to the address.
-    is_cut: bool,
+    is_blocked: bool,
 }
 
 /// Whether an address takes connections.
@@ -73,7 +73,7 @@
 impl ConnectionPool {
     /// Creates an empty pool.
     pub(crate) fn new(connector: Connector) -> ConnectionPool {
-        ConnectionPool { connector, places: Mutex::default() }
+        ConnectionPool { connector, addresses: Mutex::default() }
     }
 
     /// Returns a connection to `address` that fits `choice`, a new one if needed.
@@ -87,7 +87,7 @@
         address: SocketAddr,
         choice: ConnectionChoice,
         budget: u32,
-        give_up: Time,
+        deadline: Time,
     ) -> Result<CheckedOut, CheckoutError> {
         if choice != ConnectionChoice::Fresh {
             while let Some(mut connection) = self.take_idle(address, choice) {
@@ -96,20 +96,20 @@
                 }
             }
         }
-        if self.is_cut(address) {
+        if self.is_blocked(address) {
             let source = io::ErrorKind::ConnectionRefused.into();
             return Err(ConnectError::Io { address, source }.into());
         }
         let Some(open) = self.acquire(address, budget) else {
             return Err(CheckoutError::OverBudget { address, budget });
         };
-        let connection = self.connector.open(address, open, give_up).await?;
+        let connection = self.connector.open(address, open, deadline).await?;
         Ok(CheckedOut { connection, fresh: true })
     }
 
     /// Looks whether `address` takes connections.
     pub(crate) async fn listening(&self, address: SocketAddr) -> Listening {
-        if self.is_cut(address) {
+        if self.is_blocked(address) {
             return Listening::Unknown;
         }
         match self.connector.try_connect(address).await {
@@ -127,58 +127,59 @@
     pub(crate) fn check_in(&self, mut connection: Connection) {
         let now = self.connector.clock.now();
         connection.last_answer = Some(now);
-        if connection.sender.is_closed() || !self.is_young(&connection, now) {
+        if connection.sender.is_closed() || !self.is_within_max_age(&connection, now) {
             return;
         }
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        places.entry(connection.address).or_default().idle.push(connection);
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        addresses.entry(connection.address).or_default().idle.push(connection);
     }
 
     /// Closes all unused connections to `address`.
     pub(crate) fn close_idle(&self, address: SocketAddr) {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(place) = places.get_mut(&address) {
-            place.idle.clear();
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(pool) = addresses.get_mut(&address) {
+            pool.idle.clear();
         }
     }
 
     /// Cuts or restores the path to an address: a cut one refuses connections.
-    pub(crate) fn set_blocked(&self, address: SocketAddr, is_cut: bool) {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = places.entry(address).or_default();
-        place.is_cut = is_cut;
-        place.idle.clear();
+    pub(crate) fn set_blocked(&self, address: SocketAddr, is_blocked: bool) {
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        let pool = addresses.entry(address).or_default();
+        pool.is_blocked = is_blocked;
+        pool.idle.clear();
     }
 
-    fn is_cut(&self, address: SocketAddr) -> bool {
-        let places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        places.get(&address).is_some_and(|place| place.is_cut)
+    fn is_blocked(&self, address: SocketAddr) -> bool {
+        let addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        addresses.get(&address).is_some_and(|pool| pool.is_blocked)
     }
 
     /// Closes connections that have been unused for too long and forgets
     /// addresses without any.
-    pub(crate) fn sweep(&self) {
+    pub(crate) fn close_expired(&self) {
         let now = self.connector.clock.now();
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        for place in places.values_mut() {
-            place.idle.retain(|connection| {
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        for pool in addresses.values_mut() {
+            pool.idle.retain(|connection| {
                 !connection.sender.is_closed() && self.is_usable(connection, now)
             });
         }
-        places.retain(|_, place| {
-            !place.idle.is_empty() || Arc::strong_count(&place.open) > 1 || place.is_cut
+        addresses.retain(|_, pool| {
+            !pool.idle.is_empty() || Arc::strong_count(&pool.open) > 1 || pool.is_blocked
         });
     }
 
     fn take_idle(&self, address: SocketAddr, choice: ConnectionChoice) -> Option<Connection> {
         let now = self.connector.clock.now();
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let idle = &mut places.get_mut(&address).filter(|place| !place.is_cut)?.idle;
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        let idle = &mut addresses.get_mut(&address).filter(|pool| !pool.is_blocked)?.idle;
         while let Some(connection) = idle.pop() {
             if connection.sender.is_closed() || !self.is_usable(&connection, now) {
                 continue;
             }
-            if choice == ConnectionChoice::RecentlyUsed && !self.is_lively(&connection, now) {
+            if choice == ConnectionChoice::RecentlyUsed && !self.is_recently_used(&connection, now)
+            {
                 // The list is in the order of last answers: no other one is
                 // livelier. This one stays for requests that may be repeated.
                 idle.push(connection);
@@ -190,23 +191,23 @@
     }
 
     fn acquire(&self, address: SocketAddr, budget: u32) -> Option<OpenCount> {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = places.entry(address).or_default();
-        let open = OpenCount::acquire(&place.open, budget);
-        if open.is_some() || place.idle.is_empty() {
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        let pool = addresses.entry(address).or_default();
+        let open = OpenCount::acquire(&pool.open, budget);
+        if open.is_some() || pool.idle.is_empty() {
             return open;
         }
-        place.idle.remove(0);
-        OpenCount::acquire(&place.open, budget)
+        pool.idle.remove(0);
+        OpenCount::acquire(&pool.open, budget)
     }
 
     fn is_usable(&self, connection: &Connection, now: Time) -> bool {
         let idle_limit = Duration::from_millis(self.connector.limits.idle_ms);
         let last_use = connection.last_answer.unwrap_or(connection.opened);
-        self.is_young(connection, now) && now.since(last_use) < idle_limit
+        self.is_within_max_age(connection, now) && now.since(last_use) < idle_limit
     }
 
-    fn is_young(&self, connection: &Connection, now: Time) -> bool {
+    fn is_within_max_age(&self, connection: &Connection, now: Time) -> bool {
         now.since(connection.opened) < Duration::from_millis(self.connector.limits.age_ms)
     }
 
@@ -214,7 +215,7 @@
     /// of the connection, and what is written to it vanishes. It shows as a
     /// connection on which no answer comes. A connection that has just
     /// answered was known to both ends then.
-    fn is_lively(&self, connection: &Connection, now: Time) -> bool {
+    fn is_recently_used(&self, connection: &Connection, now: Time) -> bool {
         let limit = Duration::from_millis(self.connector.limits.lively_ms);
         connection.last_answer.is_some_and(|last| now.since(last) < limit)
     }
--- a/crates/pistachiotrackd/src/crash_check.rs
+++ b/crates/pistachiotrackd/src/crash_check.rs
@@ -24,11 +24,11 @@
     /// doesn't has ended under the request.
     pub(crate) fn check_endpoint(self) {
         if let Some(address) = self.address {
-            tokio::spawn(self.look_at(address));
+            tokio::spawn(self.check_listening(address));
         }
     }
 
-    async fn look_at(self, address: SocketAddr) {
+    async fn check_listening(self, address: SocketAddr) {
         let EndpointExecution { context, inbound, endpoint, .. } = self;
         let listening = context.endpoints.listening(address).await;
         let fingerprint = inbound.fingerprint();
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -180,7 +180,7 @@
             path_check,
             news: Arc::clone(&news),
             dialect: Arc::clone(&adapter.dialect),
-            careful_idle: Duration::from_millis(settings.limits.careful_idle_ms),
+            non_owner_idle: Duration::from_millis(settings.limits.careful_idle_ms),
             seed,
             data_centre: me.data_centre.clone(),
             mechanisms: settings.mechanisms,
--- a/crates/pistachiotrackd/src/dialect.rs
+++ b/crates/pistachiotrackd/src/dialect.rs
@@ -106,10 +106,14 @@
     fn request_id<'a>(&self, fields: &'a HeaderMap) -> Option<&'a str>;
 
     /// Tells an endpoint about a request.
-    fn write_request(&self, fields: &mut HeaderMap, facts: OutgoingMetadata<'_>);
+    fn write_request(&self, fields: &mut HeaderMap, metadata: OutgoingMetadata<'_>);
 
     /// Reads what the head of an endpoint's answer says.
-    fn read_answer(&self, parts: &response::Parts, facts: OutgoingMetadata<'_>) -> AnswerMetadata;
+    fn read_answer(
+        &self,
+        parts: &response::Parts,
+        metadata: OutgoingMetadata<'_>,
+    ) -> AnswerMetadata;
 
     /// Tells a caller who answered it.
     fn write_answer(&self, fields: &mut HeaderMap, endpoint: &Name, vm: &Name);
--- a/crates/pistachiotrackd/src/dialect/native.rs
+++ b/crates/pistachiotrackd/src/dialect/native.rs
@@ -32,19 +32,20 @@
 impl Dialect for NativeDialect {
     fn read_request(&self, parts: &request::Parts) -> Result<RequestMetadata, HeaderError> {
         let text = |name| headers::text(&parts.headers, name);
-        let wrong = |header, problem| HeaderError { header, problem };
+        let header_error = |header, problem| HeaderError { header, problem };
         let customer = text(header::CUSTOMER).unwrap_or_default();
         if customer.is_empty() || customer.len() > MAX_CUSTOMER_CHARS {
             let problem = format!("{customer:?} is missing or too long");
-            return Err(wrong(header::CUSTOMER, problem));
+            return Err(header_error(header::CUSTOMER, problem));
         }
         let class = text(header::CLASS).map(|class| {
-            let unknown = || wrong(header::CLASS, format!("{class:?} is no class"));
+            let unknown = || header_error(header::CLASS, format!("{class:?} is no class"));
             Class::parse(class).ok_or_else(unknown)
         });
-        let time_left = text(header::DEADLINE_MS).map(|left| {
-            let no_number = |_| wrong(header::DEADLINE_MS, format!("{left:?} is no number"));
-            left.trim().parse().map(Duration::from_millis).map_err(no_number)
+        let time_left = text(header::DEADLINE_MS).map(|value| {
+            let not_a_number =
+                |_| header_error(header::DEADLINE_MS, format!("{value:?} is no number"));
+            value.trim().parse().map(Duration::from_millis).map_err(not_a_number)
         });
         Ok(RequestMetadata {
             customer: Some(Name::from(customer)),
@@ -58,9 +59,9 @@
         None
     }
 
-    fn write_request(&self, fields: &mut HeaderMap, facts: OutgoingMetadata<'_>) {
-        if let Some(id) = facts.request_id {
-            headers::set_number(fields, header::DEADLINE_MS, facts.time_left.as_millis() as u64);
+    fn write_request(&self, fields: &mut HeaderMap, metadata: OutgoingMetadata<'_>) {
+        if let Some(id) = metadata.request_id {
+            headers::set_number(fields, header::DEADLINE_MS, metadata.time_left.as_millis() as u64);
             headers::set(fields, header::REQUEST_ID, id);
         }
     }
--- a/crates/pistachiotrackd/src/entries.rs
+++ b/crates/pistachiotrackd/src/entries.rs
@@ -41,14 +41,14 @@
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     }
-    let question = EntryQuery {
+    let query = EntryQuery {
         config: &active.config,
         ownership: &view.ownership,
         me: &context.me,
         service: &service,
         customer: headers::text(&parts.headers, header::CUSTOMER).unwrap_or_default(),
     };
-    answer::json(&steering::entries_for_query(question, view.members.iter()))
+    answer::json(&steering::entries_for_query(query, view.members.iter()))
 }
 
 /// Returns the service that a query names; empty if it names none.
@@ -65,21 +65,21 @@
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let parts = request.into_parts().0;
-    let Some(wish) = context.dialect.read_entry_request(&parts) else {
+    let Some(requested) = context.dialect.read_entry_request(&parts) else {
         return Ok(answer::plain(StatusCode::NOT_FOUND));
     };
     let view = context.view();
     let Some(active) = &view.active else {
         return Ok(answer::no_config(&*context.dialect));
     };
-    let question = HostQuery {
+    let query = HostQuery {
         config: &active.config,
         ownership: &view.ownership,
         me: &context.me,
-        host: &wish.host,
-        data_centre: wish.data_centre.as_deref(),
+        host: &requested.host,
+        data_centre: requested.data_centre.as_deref(),
     };
-    let entries = steering::entries_for_host(question, view.members.iter());
+    let entries = steering::entries_for_host(query, view.members.iter());
     Ok(context.dialect.write_entries(&entries).map(AnswerBody::whole))
 }
 
--- a/crates/pistachiotrackd/src/exchange.rs
+++ b/crates/pistachiotrackd/src/exchange.rs
@@ -30,7 +30,7 @@
     /// Moment at which the exchange is given up.
     pub(crate) time_limit: Time,
     /// Gives it up sooner.
-    pub(crate) give_up: AbandonSignal,
+    pub(crate) abandon: AbandonSignal,
 }
 
 /// Ends an exchange without an answer as if its time had passed.
@@ -39,7 +39,7 @@
 
 impl AbandonSignal {
     /// Ends the exchange, now or as soon as it has a connection.
-    pub(crate) fn now(&self) {
+    pub(crate) fn trigger(&self) {
         self.0.notify_one();
     }
 }
@@ -69,7 +69,7 @@
     /// Moment at which the request was handed to the connection.
     pub(crate) sent: Time,
     /// Moment at which the answer began.
-    pub(crate) began: Time,
+    pub(crate) started_at: Time,
 }
 
 /// Why no answer began.
@@ -86,7 +86,7 @@
     TooLate,
     /// The request's body has been sent before; nothing was sent.
     #[error("body can't be sent again")]
-    BodyGone,
+    BodyConsumed,
     /// The caller's body broke off.
     #[error("caller's body broke off")]
     CallerBody {
@@ -114,7 +114,7 @@
             ExchangeError::NoConnection(_)
             | ExchangeError::ClosedUnsent
             | ExchangeError::TooLate
-            | ExchangeError::BodyGone => true,
+            | ExchangeError::BodyConsumed => true,
             ExchangeError::CallerBody { sent } => !sent,
             ExchangeError::Broken { .. } | ExchangeError::TimedOut { .. } => false,
         }
@@ -126,7 +126,7 @@
     /// of all connections that were open at some moment. It shows as silence on
     /// one pooled connection after the other, each of which costs a request.
     /// The guard holds because the first one that fails closes the others.
-    fn casts_doubt_on_pool(&self) -> bool {
+    fn invalidates_idle_connections(&self) -> bool {
         matches!(
             self,
             ExchangeError::Broken { fresh: false } | ExchangeError::TimedOut { fresh: false }
@@ -156,10 +156,10 @@
         let fresh = checked_out.fresh;
         let result = send(clock, &target, checked_out, head.clone(), body).await;
         match result {
-            Err(ExchangeError::ClosedUnsent) if !fresh && body.is_at_hand() => {
+            Err(ExchangeError::ClosedUnsent) if !fresh && body.is_available() => {
                 choice = ConnectionChoice::Fresh;
             }
-            Err(error) if error.casts_doubt_on_pool() => {
+            Err(error) if error.invalidates_idle_connections() => {
                 pool.close_idle(target.address);
                 return Err(error);
             }
@@ -176,7 +176,7 @@
     body: &RequestBody,
 ) -> Result<StartedAnswer, ExchangeError> {
     let CheckedOut { mut connection, fresh } = checked_out;
-    let Some(send_body) = body.take() else { return Err(ExchangeError::BodyGone) };
+    let Some(send_body) = body.take() else { return Err(ExchangeError::BodyConsumed) };
     let request = request(head, send_body);
     connection.guard.begin(target.not_after);
     let sent = clock.now();
@@ -185,7 +185,7 @@
         tokio::select! {
             biased;
             answer = answer => Some(answer),
-            () = target.give_up.0.notified() => None,
+            () = target.abandon.0.notified() => None,
         }
     })
     .await
@@ -193,10 +193,17 @@
     match answer {
         Some(Ok(response)) => {
             let (parts, incoming) = response.into_parts();
-            Ok(StartedAnswer { parts, body: incoming, connection, fresh, sent, began: clock.now() })
+            Ok(StartedAnswer {
+                parts,
+                body: incoming,
+                connection,
+                fresh,
+                sent,
+                started_at: clock.now(),
+            })
         }
         Some(Err(error)) => Err(failure(&connection, fresh, error, body)),
-        None if connection.guard.seal() => Err(ExchangeError::TooLate),
+        None if connection.guard.close() => Err(ExchangeError::TooLate),
         None => Err(ExchangeError::TimedOut { fresh }),
     }
 }
@@ -208,16 +215,16 @@
     body: &RequestBody,
 ) -> ExchangeError {
     if let Some(request) = error.take_message() {
-        body.give_back(request.into_body());
+        body.restore(request.into_body());
     }
-    let sent = !connection.guard.seal();
+    let sent = !connection.guard.close();
     if error.error().is_user() {
         return ExchangeError::CallerBody { sent };
     }
     if sent {
         return ExchangeError::Broken { fresh };
     }
-    if connection.guard.was_held_back() {
+    if connection.guard.was_blocked() {
         return ExchangeError::TooLate;
     }
     ExchangeError::ClosedUnsent
--- a/crates/pistachiotrackd/src/fleet.rs
+++ b/crates/pistachiotrackd/src/fleet.rs
@@ -285,8 +285,8 @@
         }
         if now.since(self.swept) >= SWEEP_INTERVAL {
             self.swept = now;
-            self.context.endpoints.sweep();
-            self.context.peers.sweep();
+            self.context.endpoints.close_expired();
+            self.context.peers.close_expired();
         }
     }
 
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -37,8 +37,8 @@
     #[error("forward: {0}")]
     Exchange(#[from] ExchangeError),
     /// The owner refused without a word that can be relied on.
-    #[error("forward: refused without a word")]
-    Wordless,
+    #[error("forward: refused without a result")]
+    Unverified,
 }
 
 impl ForwardError {
@@ -71,7 +71,7 @@
 }
 
 /// Why a copy brought no answer.
-enum NoAnswer {
+enum CopyFailure {
     Refused(PeerRefusal),
     Failed(ForwardError),
 }
@@ -89,13 +89,13 @@
     context: &Context,
     owner: &Vm,
     inbound: &Inbound,
-    held: Undispatched,
+    undispatched: Undispatched,
 ) -> Forwarded {
     let sent = context.clock.now();
     let forward = Forward { context, owner, inbound, sent };
-    let (copies, copy) = held.send(owner.name.clone(), sent);
-    match inbound.route.idempotent && inbound.body.can_be_repeated() {
-        true => forward.watched(copies, copy).await,
+    let (copies, copy) = undispatched.send(owner.name.clone(), sent);
+    match inbound.route.idempotent && inbound.body.is_repeatable() {
+        true => forward.send_with_retry(copies, copy).await,
         false => {
             let end = forward.exchange(ConnectionChoice::RecentlyUsed, copy).await;
             forward.conclude(copies, end)
@@ -112,12 +112,12 @@
     /// wait until their deadline although both VMs are well. The guard holds because
     /// the answer on the new connection is taken, and the first connection and all
     /// unused ones are closed then.
-    async fn watched(&self, mut copies: Copies, copy: OutstandingCopy) -> Forwarded {
+    async fn send_with_retry(&self, mut copies: Copies, copy: OutstandingCopy) -> Forwarded {
         let Forward { context, owner, inbound, .. } = self;
         let mut first = pin!(self.exchange(ConnectionChoice::RecentlyUsed, copy));
         let left = remaining(inbound.deadline, context.clock.now());
-        let suspicion = context.forwards.suspicion(&inbound.route.shard).unwrap_or(left / 2);
-        if let Ok(end) = tokio::time::timeout(suspicion, first.as_mut()).await {
+        let retry_delay = context.forwards.retry_delay(&inbound.route.shard).unwrap_or(left / 2);
+        if let Ok(end) = tokio::time::timeout(retry_delay, first.as_mut()).await {
             return self.conclude(copies, end);
         }
         let now = context.clock.now();
@@ -128,31 +128,31 @@
         let copy = copies.send(owner.name.clone(), now);
         let second = pin!(self.exchange(ConnectionChoice::Fresh, copy));
         match select(first, second).await {
-            Either::Left((end, second)) => match self.note(&mut copies, end) {
+            Either::Left((end, second)) => match self.record(&mut copies, end) {
                 Ok(served) => Forwarded::Answered(served),
-                Err(earlier) => self.conclude_both(copies, earlier, second.await),
+                Err(earlier) => self.conclude_two(copies, earlier, second.await),
             },
-            Either::Right((end, first)) => match self.note(&mut copies, end) {
+            Either::Right((end, first)) => match self.record(&mut copies, end) {
                 Ok(served) => {
                     context.peers.close_idle(owner.peer_address);
                     Forwarded::Answered(served)
                 }
                 // No new connection opens: the owner is out of reach, and this VM
                 // serves the request itself.
-                Err(NoAnswer::Failed(error)) if error.is_unsent() => {
+                Err(CopyFailure::Failed(error)) if error.is_unsent() => {
                     Forwarded::Failed { error, copies }
                 }
-                Err(earlier) => self.conclude_both(copies, earlier, first.await),
+                Err(earlier) => self.conclude_two(copies, earlier, first.await),
             },
         }
     }
 
     /// Returns what came of a request of which one copy was sent.
     fn conclude(&self, mut copies: Copies, end: CopyEnd) -> Forwarded {
-        match self.note(&mut copies, end) {
+        match self.record(&mut copies, end) {
             Ok(served) => Forwarded::Answered(served),
-            Err(NoAnswer::Refused(word)) => Forwarded::Refused(refusal(copies, word)),
-            Err(NoAnswer::Failed(error)) => Forwarded::Failed { error, copies },
+            Err(CopyFailure::Refused(result)) => Forwarded::Refused(refusal(copies, result)),
+            Err(CopyFailure::Failed(error)) => Forwarded::Failed { error, copies },
         }
     }
 
@@ -162,38 +162,39 @@
     /// second copy while the first is at an endpoint. It shows as a lookup that is said not
     /// to have run and runs. The guard holds because a refusal is passed on only when no
     /// copy is left that could bring an answer, and as not run only if both came back.
-    fn conclude_both(&self, mut copies: Copies, earlier: NoAnswer, end: CopyEnd) -> Forwarded {
-        let later = match self.note(&mut copies, end) {
+    fn conclude_two(&self, mut copies: Copies, earlier: CopyFailure, end: CopyEnd) -> Forwarded {
+        let later = match self.record(&mut copies, end) {
             Ok(served) => return Forwarded::Answered(served),
             Err(later) => later,
         };
         match (earlier, later) {
-            (NoAnswer::Failed(_), NoAnswer::Failed(error)) => Forwarded::Failed { error, copies },
-            (NoAnswer::Refused(word), NoAnswer::Failed(_)) | (_, NoAnswer::Refused(word)) => {
-                Forwarded::Refused(refusal(copies, word))
+            (CopyFailure::Failed(_), CopyFailure::Failed(error)) => {
+                Forwarded::Failed { error, copies }
             }
+            (CopyFailure::Refused(result), CopyFailure::Failed(_))
+            | (_, CopyFailure::Refused(result)) => Forwarded::Refused(refusal(copies, result)),
         }
     }
 
     /// Notes how a copy ended, and returns the answer if it brought one.
-    fn note(&self, copies: &mut Copies, end: CopyEnd) -> Result<Served, NoAnswer> {
+    fn record(&self, copies: &mut Copies, end: CopyEnd) -> Result<Served, CopyFailure> {
         match end {
             CopyEnd::Answered(answer, endpoint_time) => {
                 let latency = self.context.clock.now().since(self.sent);
                 self.context.forwards.on_answer(&self.inbound.route.shard, latency);
                 Ok(served(self.context, *answer, endpoint_time))
             }
-            CopyEnd::Refused(word, copy) => {
-                if let Some(copy) = copy.on_reported_execution(word.execution) {
+            CopyEnd::Refused(result, copy) => {
+                if let Some(copy) = copy.on_reported_execution(result.execution) {
                     copies.record_not_run(copy);
                 }
-                Err(NoAnswer::Refused(word))
+                Err(CopyFailure::Refused(result))
             }
             CopyEnd::Failed(error, copy) => {
                 if error.is_unsent() {
                     copies.record_not_run(copy.unsent());
                 }
-                Err(NoAnswer::Failed(error))
+                Err(CopyFailure::Failed(error))
             }
         }
     }
@@ -206,31 +207,31 @@
             budget: PEER_BUDGET,
             not_after: inbound.deadline,
             time_limit: inbound.deadline + OWNER_GRACE,
-            give_up: AbandonSignal::default(),
+            abandon: AbandonSignal::default(),
         };
         let head = request_head(context, inbound);
         let place = Place::of(&owner.data_centre, &context.me.data_centre);
-        context.traffic.sent(Topic::Forwarded, place, inbound.body.known_bytes());
+        context.traffic.sent(Topic::Forwarded, place, inbound.body.announced_bytes());
         let ended = exchange::run(&context.peers, context.clock, target, head, &inbound.body).await;
         let mut answer = match ended {
             Ok(answer) => answer,
             Err(error) => return CopyEnd::Failed(error.into(), copy),
         };
-        context.traffic.received(Topic::Forwarded, place, body::known_bytes(&answer.body));
-        match PeerResult::take(&mut answer.parts.headers, &inbound.fleet_id) {
+        context.traffic.received(Topic::Forwarded, place, body::announced_bytes(&answer.body));
+        match PeerResult::take_from(&mut answer.parts.headers, &inbound.fleet_id) {
             PeerAnswer::Answer(endpoint_time) => CopyEnd::Answered(Box::new(answer), endpoint_time),
-            PeerAnswer::Refused(word) => {
+            PeerAnswer::Refused(result) => {
                 attempt::return_connection(&context.peers, answer).await;
-                CopyEnd::Refused(word, copy)
+                CopyEnd::Refused(result, copy)
             }
-            PeerAnswer::Wordless => CopyEnd::Failed(ForwardError::Wordless, copy),
+            PeerAnswer::Unverified => CopyEnd::Failed(ForwardError::Unverified, copy),
         }
     }
 }
 
 /// Returns the refusal of a request whose owner refused it.
-fn refusal(copies: Copies, word: PeerRefusal) -> Refusal {
-    let PeerRefusal { vm, execution, reason, retry_after_ms, .. } = word;
+fn refusal(copies: Copies, result: PeerRefusal) -> Refusal {
+    let PeerRefusal { vm, execution, reason, retry_after_ms, .. } = result;
     copies.refuse_with(RefusalDecision { execution, reason, retry_after_ms }).decided_by(vm)
 }
 
@@ -247,7 +248,7 @@
 fn served(context: &Context, answer: StartedAnswer, endpoint_time: Option<Duration>) -> Served {
     let StartedAnswer { mut parts, body, connection, .. } = answer;
     let idle_limit = Duration::from_millis(context.settings.limits.body_idle_ms);
-    let body = AnswerBody::relayed(
+    let body = AnswerBody::streaming(
         &parts,
         body,
         connection,
--- a/crates/pistachiotrackd/src/forward_stats.rs
+++ b/crates/pistachiotrackd/src/forward_stats.rs
@@ -14,9 +14,9 @@
 
 /// Multiple of the usual time to an answer after which its connection is
 /// suspected.
-const SUSPICION_FACTOR: u32 = 8;
+const RETRY_DELAY_FACTOR: u32 = 8;
 /// Shortest silence that is suspect.
-const MIN_SUSPICION: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Usual times of forwarded requests, and the budget of further tries.
 ///
@@ -26,43 +26,45 @@
 /// fill the budget, so that the extra load stays a fixed part of the work done.
 #[derive(Debug)]
 pub(crate) struct ForwardStats {
-    known: Mutex<Known>,
+    state: Mutex<State>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct State {
     budget: RetryBudget,
-    usual: FxHashMap<ShardId, SlotTimeAverage>,
+    average_latencies: FxHashMap<ShardId, SlotTimeAverage>,
 }
 
 impl ForwardStats {
     /// Creates a record without any request and with a full budget.
     pub(crate) fn new(now: Time) -> ForwardStats {
         let budget = RetryBudget::new(now, BudgetSettings::default());
-        ForwardStats { known: Mutex::new(Known { budget, usual: FxHashMap::default() }) }
+        ForwardStats {
+            state: Mutex::new(State { budget, average_latencies: FxHashMap::default() }),
+        }
     }
 
     /// Notes the time to an owner's answer.
     pub(crate) fn on_answer(&self, shard: &ShardId, latency: Duration) {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        known.budget.on_success();
-        match known.usual.get_mut(shard) {
-            Some(usual) => usual.record(latency),
-            None => known.usual.entry(shard.clone()).or_default().record(latency),
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        state.budget.on_success();
+        match state.average_latencies.get_mut(shard) {
+            Some(average) => average.record(latency),
+            None => state.average_latencies.entry(shard.clone()).or_default().record(latency),
         }
     }
 
     /// Returns the silence after which the connection is suspected, if it is
     /// known how long answers usually take.
-    pub(crate) fn suspicion(&self, shard: &ShardId) -> Option<Duration> {
-        let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let usual = known.usual.get(shard)?.value()?;
-        Some((usual * SUSPICION_FACTOR).max(MIN_SUSPICION))
+    pub(crate) fn retry_delay(&self, shard: &ShardId) -> Option<Duration> {
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let average = state.average_latencies.get(shard)?.value()?;
+        Some((average * RETRY_DELAY_FACTOR).max(MIN_RETRY_DELAY))
     }
 
     /// Takes a further try of a request from the budget and returns whether
     /// there was one.
     pub(crate) fn take_retry(&self, now: Time) -> bool {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner).budget.take(now)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner).budget.take(now)
     }
 }
--- a/crates/pistachiotrackd/src/guarded_stream.rs
+++ b/crates/pistachiotrackd/src/guarded_stream.rs
@@ -20,11 +20,11 @@
 use crate::{clock::Clock, timer::PauseGate};
 
 /// No byte of the exchange was written.
-const UNTOUCHED: u8 = 0;
+const NOT_WRITTEN: u8 = 0;
 /// A byte of the exchange is being written or was written.
-const TOUCHED: u8 = 1;
+const WRITTEN: u8 = 1;
 /// No byte of the exchange was written and none will be.
-const SEALED: u8 = 2;
+const CLOSED: u8 = 2;
 
 /// What is known about the present exchange of a connection.
 ///
@@ -39,7 +39,7 @@
     gate: PauseGate,
     not_after_us: AtomicU64,
     state: AtomicU8,
-    held_back: AtomicBool,
+    blocked: AtomicBool,
 }
 
 impl ExchangeGuard {
@@ -49,43 +49,43 @@
             clock,
             gate,
             not_after_us: AtomicU64::new(0),
-            state: AtomicU8::new(UNTOUCHED),
-            held_back: AtomicBool::new(false),
+            state: AtomicU8::new(NOT_WRITTEN),
+            blocked: AtomicBool::new(false),
         })
     }
 
     /// Begins an exchange whose first byte may be written until `not_after`.
     pub(crate) fn begin(&self, not_after: Time) {
         self.not_after_us.store(not_after.as_micros(), Ordering::Release);
-        self.state.store(UNTOUCHED, Ordering::Release);
+        self.state.store(NOT_WRITTEN, Ordering::Release);
     }
 
     /// Ends the exchange and returns whether it is certain that no byte of it
     /// left this VM or ever will.
-    pub(crate) fn seal(&self) -> bool {
-        let sealed =
-            self.state.compare_exchange(UNTOUCHED, SEALED, Ordering::AcqRel, Ordering::Acquire);
-        sealed != Err(TOUCHED)
+    pub(crate) fn close(&self) -> bool {
+        let previous =
+            self.state.compare_exchange(NOT_WRITTEN, CLOSED, Ordering::AcqRel, Ordering::Acquire);
+        previous != Err(WRITTEN)
     }
 
     /// Returns whether the first byte was held back because it came too late.
-    pub(crate) fn was_held_back(&self) -> bool {
-        self.held_back.load(Ordering::Acquire)
+    pub(crate) fn was_blocked(&self) -> bool {
+        self.blocked.load(Ordering::Acquire)
     }
 
     /// Returns whether the write that follows is the first of the exchange.
     fn before_write(&self) -> io::Result<bool> {
-        if self.state.load(Ordering::Acquire) == TOUCHED {
+        if self.state.load(Ordering::Acquire) == WRITTEN {
             return Ok(false);
         }
         let now = self.clock.now();
         let too_late = now.as_micros() > self.not_after_us.load(Ordering::Acquire);
         if too_late || self.gate.is_shut(now) {
-            self.held_back.store(true, Ordering::Release);
+            self.blocked.store(true, Ordering::Release);
             return Err(io::Error::other("too late to send"));
         }
         self.state
-            .compare_exchange(UNTOUCHED, TOUCHED, Ordering::AcqRel, Ordering::Acquire)
+            .compare_exchange(NOT_WRITTEN, WRITTEN, Ordering::AcqRel, Ordering::Acquire)
             .map_err(|_| io::Error::other("exchange was given up"))?;
         Ok(true)
     }
@@ -93,7 +93,7 @@
     fn after_write(&self, first: bool, result: &Poll<io::Result<usize>>) {
         let written = matches!(result, Poll::Ready(Ok(bytes)) if *bytes > 0);
         if first && !written {
-            self.state.store(UNTOUCHED, Ordering::Release);
+            self.state.store(NOT_WRITTEN, Ordering::Release);
         }
     }
 }
--- a/crates/pistachiotrackd/src/hand_over.rs
+++ b/crates/pistachiotrackd/src/hand_over.rs
@@ -7,11 +7,11 @@
 use crate::{peer_client, peer_message::HAND_OVER_PATH, shard_table::shard_name};
 
 /// Tries before the hand-over is given up.
-const TRIES: u32 = 3;
+const MAX_TRIES: u32 = 3;
 /// Time allowed for one try.
 const TRY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Sends the hand-over to the new owner.
 ///
@@ -26,7 +26,7 @@
             return;
         }
     };
-    for tries in 1..=TRIES {
+    for tries in 1..=MAX_TRIES {
         let sent = peer_client::ask(to.peer_address, HAND_OVER_PATH, message.clone(), TRY_TIMEOUT);
         match sent.await {
             Ok(_) => {
@@ -41,6 +41,6 @@
                 );
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/pistachiotrackd/src/http_call.rs
+++ b/crates/pistachiotrackd/src/http_call.rs
@@ -47,7 +47,7 @@
     /// Time allowed until the head of the answer is there.
     pub head: Duration,
     /// Time allowed from one piece of the body to the next.
-    pub piece: Duration,
+    pub chunk: Duration,
     /// Time allowed for the whole body.
     pub body: Duration,
 }
@@ -62,7 +62,7 @@
     request: Request<Full<Bytes>>,
     max_bytes: usize,
 ) -> Result<Response<Bytes>, CallError> {
-    let (answer, _closes) = open(address, request).await?;
+    let (answer, _connection) = open(address, request).await?;
     let (head, body) = answer.into_parts();
     let body = Limited::new(body, max_bytes).collect().await;
     let body = body.map_err(|error| body_error(error, max_bytes))?;
@@ -75,18 +75,18 @@
 /// # Errors
 ///
 /// Returns an error if the exchange fails, the body exceeds `max_bytes`, or a part of
-/// the answer takes longer than `pace` allows.
+/// the answer takes longer than `timeouts` allows.
 pub async fn call_with_timeouts(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     max_bytes: usize,
-    pace: ResponseTimeouts,
+    timeouts: ResponseTimeouts,
 ) -> Result<Response<Bytes>, CallError> {
-    let answer = timeout(pace.head, open(address, request)).await;
-    let (answer, _closes) = answer.map_err(|_| CallError::NoAnswer(pace.head))??;
+    let answer = timeout(timeouts.head, open(address, request)).await;
+    let (answer, _connection) = answer.map_err(|_| CallError::NoAnswer(timeouts.head))??;
     let (head, body) = answer.into_parts();
-    let body = timeout(pace.body, collect(body, max_bytes, pace.piece)).await;
-    let body = body.map_err(|_| CallError::Unfinished(pace.body))??;
+    let body = timeout(timeouts.body, collect(body, max_bytes, timeouts.chunk)).await;
+    let body = body.map_err(|_| CallError::Unfinished(timeouts.body))??;
     Ok(Response::from_parts(head, body))
 }
 
@@ -98,16 +98,16 @@
     socket::guard_outgoing(&stream)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = tokio::spawn(connection);
-    let closes = AbortOnDrop(connection.abort_handle());
-    Ok((sender.send_request(request).await?, closes))
+    let connection = AbortOnDrop(connection.abort_handle());
+    Ok((sender.send_request(request).await?, connection))
 }
 
-async fn collect(body: Incoming, max_bytes: usize, piece: Duration) -> Result<Bytes, CallError> {
+async fn collect(body: Incoming, max_bytes: usize, chunk: Duration) -> Result<Bytes, CallError> {
     let mut body = Limited::new(body, max_bytes);
     let mut collected = BytesMut::new();
     loop {
-        let frame = timeout(piece, body.frame()).await;
-        let Some(frame) = frame.map_err(|_| CallError::Stalled(piece))? else { break };
+        let frame = timeout(chunk, body.frame()).await;
+        let Some(frame) = frame.map_err(|_| CallError::Stalled(chunk))? else { break };
         let frame = frame.map_err(|error| body_error(error, max_bytes))?;
         if let Some(data) = frame.data_ref() {
             collected.extend_from_slice(data);
--- a/crates/pistachiotrackd/src/inbound.rs
+++ b/crates/pistachiotrackd/src/inbound.rs
@@ -72,7 +72,7 @@
             class: self.route.class,
             deadline: self.deadline,
             idempotent: self.route.idempotent,
-            hedge: self.route.hedge && self.route.idempotent && self.body.can_be_repeated(),
+            hedge: self.route.hedge && self.route.idempotent && self.body.is_repeatable(),
             max_attempts: self.route.max_attempts,
             key: self.key().map(Name::from),
             repeat: headers::text(&self.headers, header::REPEAT) == Some("true"),
--- a/crates/pistachiotrackd/src/listener.rs
+++ b/crates/pistachiotrackd/src/listener.rs
@@ -43,7 +43,7 @@
         H: Fn(Arc<Context>, Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Result<Response<AnswerBody>, Infallible>> + Send + 'static,
     {
-        let places = Arc::new(Semaphore::new(self.max_connections));
+        let permits = Arc::new(Semaphore::new(self.max_connections));
         let mut stopping = self.stopping.clone();
         loop {
             let accepted = tokio::select! {
@@ -58,20 +58,20 @@
                     continue;
                 }
             };
-            let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 context.metrics.count(Event::ConnectionTurnedAway);
                 continue;
             };
             let context = Arc::clone(&context);
             let stopping = self.stopping.clone();
-            self.connections.spawn(connection(stream, place, context, handler.clone(), stopping));
+            self.connections.spawn(connection(stream, permit, context, handler.clone(), stopping));
         }
     }
 }
 
 async fn connection<H, F>(
     stream: TcpStream,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
     context: Arc<Context>,
     handler: H,
     mut stopping: watch::Receiver<bool>,
@@ -89,7 +89,7 @@
     let idle_limit = Duration::from_millis(limits.body_idle_ms);
     let stream = StallGuard::new(stream, idle_limit, Arc::clone(&arrivals));
     let service = service_fn(move |mut request| {
-        if let Some(arrival) = arrivals.before_wake() {
+        if let Some(arrival) = arrivals.arrival_before_resume() {
             request.extensions_mut().insert(arrival);
         }
         answer(Arc::clone(&context), &handler, request)
--- a/crates/pistachiotrackd/src/path_check.rs
+++ b/crates/pistachiotrackd/src/path_check.rs
@@ -41,8 +41,8 @@
         let Ok(question) = postcard::to_stdvec(&ReachQuestion { endpoint, address }) else {
             return (PathAnswer::NoAnswer, Vec::new());
         };
-        let mut asked: FuturesUnordered<_> = self
-            .witnesses(address)
+        let mut queries: FuturesUnordered<_> = self
+            .probing_vms(address)
             .into_iter()
             .map(|vm| {
                 let question = question.clone();
@@ -50,9 +50,9 @@
             })
             .collect();
         let mut answer = PathAnswer::NoAnswer;
-        while let Some((reply, witness)) = asked.next().await {
+        while let Some((reply, relay)) = queries.next().await {
             match reply {
-                Some(ReachAnswer::Reached) => return (PathAnswer::ReachedByOthers, vec![witness]),
+                Some(ReachAnswer::Reached) => return (PathAnswer::ReachedByOthers, vec![relay]),
                 Some(ReachAnswer::Unreachable) => answer = PathAnswer::UnreachableByOthers,
                 Some(ReachAnswer::Unknown) | None => {}
             }
@@ -62,7 +62,7 @@
 
     /// Returns the VMs to ask: of two data centres, not of this VM's own if
     /// there are others, and other ones for each endpoint and VM that asks.
-    fn witnesses(&self, endpoint: SocketAddr) -> Vec<Vm> {
+    fn probing_vms(&self, endpoint: SocketAddr) -> Vec<Vm> {
         let view = Arc::clone(&self.view.borrow());
         let mut alive: Vec<&Vm> = view
             .members
@@ -71,8 +71,8 @@
             .map(|member| &member.vm)
             .collect();
         alive.sort_by_cached_key(|vm| {
-            let spread = FxBuildHasher.hash_one((&self.me.name, endpoint, &vm.name));
-            (vm.data_centre == self.me.data_centre, spread)
+            let hash = FxBuildHasher.hash_one((&self.me.name, endpoint, &vm.name));
+            (vm.data_centre == self.me.data_centre, hash)
         });
         let Some(first) = alive.first().copied() else { return Vec::new() };
         let rest = &alive[1..];
--- a/crates/pistachiotrackd/src/peer_result.rs
+++ b/crates/pistachiotrackd/src/peer_result.rs
@@ -61,12 +61,12 @@
     /// A refusal, in the VM's own words.
     Refused(PeerRefusal),
     /// A refusal without a word that can be relied on.
-    Wordless,
+    Unverified,
 }
 
 impl PeerResult {
     /// Adds the word to an answer's headers.
-    pub fn mark(&self, fields: &mut HeaderMap) {
+    pub fn write_to(&self, fields: &mut HeaderMap) {
         if let Ok(text) = serde_json::to_string(self) {
             headers::set(fields, header::PEER_RESULT, &text);
         }
@@ -78,18 +78,19 @@
     /// another version, put on an answer is read as the promise that the request was not
     /// run. It shows as a booking that runs twice. The guard holds because only a word that
     /// names this request makes that promise, and a refusal without one promises nothing.
-    pub fn take(fields: &mut HeaderMap, request: &Name) -> PeerAnswer {
-        let word = fields.remove(header::PEER_RESULT);
-        let word = word.as_ref().and_then(|word| serde_json::from_slice(word.as_bytes()).ok());
-        match word {
+    pub fn take_from(fields: &mut HeaderMap, request: &Name) -> PeerAnswer {
+        let result = fields.remove(header::PEER_RESULT);
+        let result =
+            result.as_ref().and_then(|result| serde_json::from_slice(result.as_bytes()).ok());
+        match result {
             Some(PeerResult::Answered { endpoint_time_us }) => {
                 PeerAnswer::Answer(endpoint_time_us.map(Duration::from_micros))
             }
-            Some(PeerResult::Refused(word)) if word.request == *request => {
-                PeerAnswer::Refused(word)
+            Some(PeerResult::Refused(result)) if result.request == *request => {
+                PeerAnswer::Refused(result)
             }
-            Some(PeerResult::Refused(_)) => PeerAnswer::Wordless,
-            None if fields.contains_key(header::OUTCOME) => PeerAnswer::Wordless,
+            Some(PeerResult::Refused(_)) => PeerAnswer::Unverified,
+            None if fields.contains_key(header::OUTCOME) => PeerAnswer::Unverified,
             None => PeerAnswer::Answer(None),
         }
     }
--- a/crates/pistachiotrackd/src/probe.rs
+++ b/crates/pistachiotrackd/src/probe.rs
@@ -51,14 +51,15 @@
         clock: Clock,
         dialect: Arc<dyn Dialect>,
     ) {
-        let facts = OutgoingMetadata {
+        let metadata = OutgoingMetadata {
             request_id: None,
             endpoint: &self.endpoint,
             time_left: self.time_limit.since(clock.now()),
         };
-        let (outcome, report, answer) = match self.exchange(&pool, clock, &*dialect, facts).await {
+        let (outcome, report, answer) = match self.exchange(&pool, clock, &*dialect, metadata).await
+        {
             Ok(answer) => {
-                let AnswerMetadata { kind, report } = dialect.read_answer(&answer.parts, facts);
+                let AnswerMetadata { kind, report } = dialect.read_answer(&answer.parts, metadata);
                 let outcome = outcome_of_answer(kind, &answer);
                 (outcome, report, Some(answer).filter(|_| kind == AnswerKind::Answer))
             }
@@ -79,14 +80,14 @@
         pool: &ConnectionPool,
         clock: Clock,
         dialect: &dyn Dialect,
-        facts: OutgoingMetadata<'_>,
+        metadata: OutgoingMetadata<'_>,
     ) -> Result<StartedAnswer, Outcome> {
         let uri: Uri = self.path.parse().unwrap_or_default();
         let mut headers = HeaderMap::new();
         if let Ok(host) = HeaderValue::from_str(&self.address.to_string()) {
             headers.insert(HOST, host);
         }
-        dialect.write_request(&mut headers, facts);
+        dialect.write_request(&mut headers, metadata);
         let head = RequestHead { method: Method::GET, uri, headers };
         let target = Target {
             address: self.address,
@@ -94,7 +95,7 @@
             budget: PROBE_BUDGET,
             not_after: self.time_limit,
             time_limit: self.time_limit,
-            give_up: AbandonSignal::default(),
+            abandon: AbandonSignal::default(),
         };
         let body = RequestBody::Whole(None);
         exchange::run(pool, clock, target, head, &body).await.map_err(|e| outcome_of_error(&e))
--- a/crates/pistachiotrackd/src/proxy.rs
+++ b/crates/pistachiotrackd/src/proxy.rs
@@ -38,7 +38,7 @@
     inbound::{Inbound, MAX_DEADLINE, caller_deadline, origin_form},
     metrics::Event,
     peer_result::{PeerRefusal, PeerResult},
-    refusal_log::{self, Audience},
+    refusal_log::{self, RefusalRecipient},
     rejection::Rejection,
     relay_server,
     request_body::{BodyLimits, RequestBody, RequestBodyError},
@@ -47,7 +47,7 @@
 };
 
 /// Start of the paths that the daemon answers by itself.
-const OWN_PATHS: &str = "/pistachiotrack/";
+const RESERVED_PATH_PREFIX: &str = "/pistachiotrack/";
 
 /// Answers a caller.
 pub(crate) async fn handle_caller(
@@ -57,7 +57,7 @@
     if request.uri().path() == header::ENTRIES_PATH {
         return Ok(entries::answer(&context, &request.into_parts().0));
     }
-    if request.uri().path().starts_with(OWN_PATHS) {
+    if request.uri().path().starts_with(RESERVED_PATH_PREFIX) {
         return Ok(answer::plain(StatusCode::NOT_FOUND));
     }
     context.metrics.count(Event::Request);
@@ -65,19 +65,25 @@
     let number = context.next_request();
     let id = context.dialect.request_id(request.headers()).map(Name::from);
     let id = id.unwrap_or_else(|| context.fleet_id(number));
-    let held = Undispatched::on_arrival();
+    let undispatched = Undispatched::on_arrival();
     let served = match receive(&context, request, number, &id).await {
         Ok(inbound) => {
             let (customer, class) = (inbound.route.customer.clone(), inbound.route.class);
-            let served = serve(&context, inbound, held).await;
-            measure(&context, &customer, class, received, &served);
+            let served = serve(&context, inbound, undispatched).await;
+            record_latency(&context, &customer, class, received, &served);
             served
         }
-        Err(rejection) => rejection.refuse(held),
+        Err(rejection) => rejection.refuse(undispatched),
     };
     count_answer(&context, &served);
     Ok(served.answer.unwrap_or_else(|refused| {
-        refusal_log::on_refusal(&context, &id, received, &refused.refusal, Audience::Caller);
+        refusal_log::on_refusal(
+            &context,
+            &id,
+            received,
+            &refused.refusal,
+            RefusalRecipient::Caller,
+        );
         let response = context.dialect.write_refusal(Some(&id), &refused.refusal, refused.status);
         response.map(AnswerBody::whole)
     }))
@@ -96,26 +102,32 @@
     let number = context.next_request();
     let id = headers::text(request.headers(), header::REQUEST_ID)
         .map_or_else(|| context.fleet_id(number), Name::from);
-    let held = Undispatched::on_arrival();
+    let undispatched = Undispatched::on_arrival();
     let served = match receive_forwarded(&context, request, number, &id).await {
-        Ok(inbound) => serve_here(&context, inbound, held.into()).await,
-        Err(rejection) => rejection.refuse(held),
+        Ok(inbound) => serve_here(&context, inbound, undispatched.into()).await,
+        Err(rejection) => rejection.refuse(undispatched),
     };
     let endpoint_time_us = served.endpoint_time.map(|time| time.as_micros() as u64);
-    let (word, mut response) = match served.answer {
+    let (result, mut response) = match served.answer {
         Ok(response) => (PeerResult::Answered { endpoint_time_us }, response),
         Err(PendingRefusal { refusal, status }) => {
-            refusal_log::on_refusal(&context, &id, received, &refusal, Audience::Peer);
-            let word = PeerRefusal::new(&context.me.name, &id, &refusal);
+            refusal_log::on_refusal(&context, &id, received, &refusal, RefusalRecipient::Peer);
+            let result = PeerRefusal::new(&context.me.name, &id, &refusal);
             let response = NativeDialect.write_refusal(Some(&id), &refusal, status);
-            (PeerResult::Refused(word), response.map(AnswerBody::whole))
+            (PeerResult::Refused(result), response.map(AnswerBody::whole))
         }
     };
-    word.mark(response.headers_mut());
+    result.write_to(response.headers_mut());
     Ok(response)
 }
 
-fn measure(context: &Context, customer: &Name, class: Class, received: Time, served: &Served) {
+fn record_latency(
+    context: &Context,
+    customer: &Name,
+    class: Class,
+    received: Time,
+    served: &Served,
+) {
     let total = context.clock.now().since(received);
     context.total.record(customer, class, total);
     context.metrics.time(class, total);
@@ -145,39 +157,39 @@
     let (mut parts, body) = request.into_parts();
     let received = arrival(context, &parts);
     headers::strip_from_caller(&mut parts.headers);
-    let asked = context.dialect.read_request(&parts).map_err(|error| {
+    let metadata = context.dialect.read_request(&parts).map_err(|error| {
         log::info!("event=request_malformed request={fleet_id} error={:?}", error.to_string());
         Reason::BadRequest
     })?;
-    let time_left = asked.time_left.map(|left| left.min(MAX_DEADLINE));
+    let time_left = metadata.time_left.map(|left| left.min(MAX_DEADLINE));
     let deadline = time_left.map(|left| received + left);
     let view = view_with_config(context, received, time_left).await;
     let Some(active) = &view.active else { return Err(Rejection::no_config()) };
-    let rule = decide(&asked, context, active, &parts);
+    let rule = decide(&metadata, context, active, &parts);
     let route = match rule {
         Some(RuleAction::Route(route)) => route,
         Some(RuleAction::Refuse(refuse)) => return Err(Rejection::by_rule(refuse)),
         None => return Err(Reason::Rule.into()),
     };
-    let draw = hash::mix(hash::fnv(fleet_id.as_bytes()));
-    let Some(service) = active.service(route.service_for(draw)) else {
+    let split_hash = hash::mix(hash::fnv(fleet_id.as_bytes()));
+    let Some(service) = active.service(route.service_for(split_hash)) else {
         return Err(Reason::Rule.into());
     };
     let key = headers::text(&parts.headers, header::IDEMPOTENCY_KEY);
     let forwarded_route = ForwardedRoute {
         shard: choose_shard(context, &view, service, key, id),
         // Where callers name no customer, work is accounted for by service.
-        customer: asked.customer.clone().unwrap_or_else(|| service.name.clone()),
-        class: route.class.unwrap_or(asked.class),
+        customer: metadata.customer.clone().unwrap_or_else(|| service.name.clone()),
+        class: route.class.unwrap_or(metadata.class),
         idempotent: route.idempotent,
         hedge: route.hedge,
         max_attempts: route.attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS),
     };
     let limit = received + Duration::from_millis(timeout_ms(route, service));
     let deadline = deadline.map_or(limit, |deadline| deadline.min(limit));
-    check_not_overslept(context, &parts, deadline)?;
+    check_not_expired_in_pause(context, &parts, deadline)?;
     let body = read_body(context, body, deadline).await?;
-    let named_customer = asked.customer;
+    let named_customer = metadata.customer;
     let inbound = Inbound {
         id,
         fleet_id: fleet_id.clone(),
@@ -191,7 +203,7 @@
         named_customer,
         fingerprint: OnceLock::new(),
     };
-    check_not_held_back(context, inbound)
+    check_not_quarantined(context, inbound)
 }
 
 /// Part of a request's time for which it waits for the first configuration, as a
@@ -227,18 +239,18 @@
 }
 
 /// Refuses a request whose deadline passed while this VM was paused.
-fn check_not_overslept(
+fn check_not_expired_in_pause(
     context: &Context,
     parts: &request::Parts,
     deadline: Time,
 ) -> Result<(), Rejection> {
-    let overslept = parts.extensions.get::<Arrival>().is_some() && context.clock.now() >= deadline;
-    if overslept { Err(Reason::Paused.into()) } else { Ok(()) }
+    let expired = parts.extensions.get::<Arrival>().is_some() && context.clock.now() >= deadline;
+    if expired { Err(Reason::Paused.into()) } else { Ok(()) }
 }
 
 /// Refuses a request that is held back because endpoints end under it.
-fn check_not_held_back(context: &Context, inbound: Inbound) -> Result<Inbound, Rejection> {
-    match context.quarantine.held_for(&inbound) {
+fn check_not_quarantined(context: &Context, inbound: Inbound) -> Result<Inbound, Rejection> {
+    match context.quarantine.remaining_hold(&inbound) {
         Some(retry_after) => Err(Rejection::crashes_endpoints(retry_after)),
         None => Ok(inbound),
     }
@@ -249,24 +261,24 @@
 }
 
 fn decide<'c>(
-    asked: &RequestMetadata,
+    metadata: &RequestMetadata,
     context: &Context,
     active: &'c ActiveConfig,
     parts: &request::Parts,
 ) -> Option<&'c RuleAction> {
     let fields = text_fields(&parts.headers);
     let host = host(parts);
-    let subject = RequestAttributes {
-        customer: asked.customer.as_deref().unwrap_or_default(),
+    let attributes = RequestAttributes {
+        customer: metadata.customer.as_deref().unwrap_or_default(),
         host: &host,
         method: parts.method.as_str(),
         path: parts.uri.path(),
         headers: &fields,
-        class: asked.class,
-        service: asked.service.as_deref(),
+        class: metadata.class,
+        service: metadata.service.as_deref(),
         data_centre: &context.me.data_centre,
     };
-    active.rules.decide(&subject, &context.shards).map(|rule| &rule.then)
+    active.rules.decide(&attributes, &context.shards).map(|rule| &rule.then)
 }
 
 /// Returns the host that a request names, in lower case and without a port.
@@ -305,11 +317,11 @@
         return shard(rendezvous_shard(key, count));
     }
     let first = (id.0 % u64::from(count)) as u32;
-    let mut turned = (0..count).map(|offset| shard((first + offset) % count));
+    let mut rotated = (0..count).map(|offset| shard((first + offset) % count));
     let is_mine = |shard: &ShardId| {
         view.ownership.owner(shard).is_some_and(|owner| owner.name == context.me.name)
     };
-    turned.find(is_mine).unwrap_or_else(|| shard(first))
+    rotated.find(is_mine).unwrap_or_else(|| shard(first))
 }
 
 pub(crate) async fn read_body(
@@ -348,11 +360,12 @@
         .ok_or_else(bad_request)?;
     let deadline =
         caller_deadline(&parts.headers, received).ok().flatten().ok_or_else(bad_request)?;
-    check_not_overslept(context, &parts, deadline)?;
+    check_not_expired_in_pause(context, &parts, deadline)?;
     headers::strip_from_caller(&mut parts.headers);
     let body = read_body(context, body, deadline).await?;
     // The VM that the request entered at has judged its head.
-    let named_customer = context.dialect.read_request(&parts).ok().and_then(|asked| asked.customer);
+    let named_customer =
+        context.dialect.read_request(&parts).ok().and_then(|metadata| metadata.customer);
     let inbound = Inbound {
         id,
         fleet_id: fleet_id.clone(),
@@ -366,23 +379,23 @@
         named_customer,
         fingerprint: OnceLock::new(),
     };
-    check_not_held_back(context, inbound)
+    check_not_quarantined(context, inbound)
 }
 
 /// Has a caller's request served: here if this VM owns the shard, else by the
 /// owner, else here in careful mode.
-async fn serve(context: &Arc<Context>, inbound: Inbound, held: Undispatched) -> Served {
+async fn serve(context: &Arc<Context>, inbound: Inbound, undispatched: Undispatched) -> Served {
     let owner = {
         let view = context.view();
         if is_shared(&view, &inbound) {
-            return serve_here(context, inbound, held.into()).await;
+            return serve_here(context, inbound, undispatched.into()).await;
         }
         let owner = view.ownership.owner(&inbound.route.shard);
         owner.filter(|owner| owner.name != context.me.name).cloned()
     };
-    let Some(owner) = owner else { return serve_here(context, inbound, held.into()).await };
+    let Some(owner) = owner else { return serve_here(context, inbound, undispatched.into()).await };
     context.metrics.count(Event::Forwarded);
-    let (error, copies) = match forward::send(context, &owner, &inbound, held).await {
+    let (error, copies) = match forward::send(context, &owner, &inbound, undispatched).await {
         Forwarded::Answered(served) => return served,
         Forwarded::Refused(refusal) => return Served::refused(refusal),
         Forwarded::Failed { error, copies } => (error, copies),
@@ -407,7 +420,7 @@
 /// booking. The guard holds because a request that must not be repeated is
 /// served here only if no byte of it went to the owner.
 fn may_serve_after(context: &Context, inbound: &Inbound, error: &ForwardError) -> bool {
-    if !inbound.body.is_at_hand() || context.clock.now() >= inbound.deadline {
+    if !inbound.body.is_available() || context.clock.now() >= inbound.deadline {
         return false;
     }
     error.is_unsent()
--- a/crates/pistachiotrackd/src/quarantine.rs
+++ b/crates/pistachiotrackd/src/quarantine.rs
@@ -30,10 +30,10 @@
 #[derive(Debug)]
 pub(crate) struct QuarantineManager {
     clock: Clock,
-    known: Mutex<Quarantine>,
+    quarantine: Mutex<Quarantine>,
     /// Whether nothing is known, so that most requests need no fingerprint.
     is_empty: AtomicBool,
-    link: QuarantineTransport,
+    transport: QuarantineTransport,
 }
 
 impl QuarantineManager {
@@ -41,19 +41,19 @@
     pub(crate) fn new(
         clock: Clock,
         settings: QuarantineSettings,
-        link: QuarantineTransport,
+        transport: QuarantineTransport,
         seed: u64,
     ) -> QuarantineManager {
-        let known = Mutex::new(Quarantine::new(settings, seed));
-        QuarantineManager { clock, known, is_empty: AtomicBool::new(true), link }
+        let quarantine = Mutex::new(Quarantine::new(settings, seed));
+        QuarantineManager { clock, quarantine, is_empty: AtomicBool::new(true), transport }
     }
 
     /// Returns how long a request that has just come in is held back, if it is.
-    pub(crate) fn held_for(&self, inbound: &Inbound) -> Option<Duration> {
+    pub(crate) fn remaining_hold(&self, inbound: &Inbound) -> Option<Duration> {
         if self.is_empty.load(Ordering::Relaxed) {
             return None;
         }
-        self.with(|known| known.remaining_hold(self.clock.now(), inbound.fingerprint()))
+        self.with(|quarantine| quarantine.remaining_hold(self.clock.now(), inbound.fingerprint()))
     }
 
     /// Decides about a request that is about to be sent to an endpoint.
@@ -62,25 +62,26 @@
             return DispatchDecision::Send;
         }
         let (request, service) = (inbound.fingerprint(), &inbound.route.shard.service);
-        if !self.with(|known| known.is_tracked(request)) {
+        if !self.with(|quarantine| quarantine.is_tracked(request)) {
             return DispatchDecision::Send;
         }
-        let may_try = self.link.is_placed_here(request, service);
-        let admission = self.with(|known| known.admit(self.clock.now(), request, may_try));
-        if admission == DispatchDecision::Trial {
+        let may_try = self.transport.is_trial_owner(request, service);
+        let decision = self.with(|quarantine| quarantine.admit(self.clock.now(), request, may_try));
+        if decision == DispatchDecision::Trial {
             log::info!("event=request_tried request={} fingerprint={request}", inbound.fleet_id);
-            self.tell();
+            self.send_updates();
         }
-        admission
+        decision
     }
 
     /// Notes that an endpoint ended while it ran a request.
     pub(crate) fn on_crash(&self, request: Fingerprint, service: &Name, endpoint: &Name) {
         let key = EndpointKey::of(endpoint);
-        let change = self.with(|known| known.on_crash(self.clock.now(), request, service, key));
+        let change =
+            self.with(|quarantine| quarantine.on_crash(self.clock.now(), request, service, key));
         let Some(change) = change else { return };
         log_change(request, change, &format!("endpoint={endpoint}"));
-        self.tell();
+        self.send_updates();
     }
 
     /// Notes that a request brought a whole answer.
@@ -89,51 +90,52 @@
             return;
         }
         let (request, service) = (inbound.fingerprint(), &inbound.route.shard.service);
-        let change = self.with(|known| known.on_answered(self.clock.now(), request, service));
+        let change =
+            self.with(|quarantine| quarantine.on_answered(self.clock.now(), request, service));
         let Some(change) = change else { return };
         log_change(request, change, &format!("request={}", inbound.fleet_id));
-        self.tell();
+        self.send_updates();
     }
 
     /// Takes a datagram of another VM.
     pub(crate) fn receive(&self, from: SocketAddr, bytes: &[u8]) {
-        let notes = match self.link.read(bytes) {
-            Ok(notes) => notes,
+        let updates = match self.transport.read(bytes) {
+            Ok(updates) => updates,
             Err(error) => {
                 log::debug!("event=quarantine_unused from={from} error={:?}", error.to_string());
                 return;
             }
         };
         let mut newer = Vec::new();
-        for note in notes {
-            let taken = self.with(|known| known.on_update(self.clock.now(), &note));
-            if let Some(change) = taken.0 {
-                log_change(note.request, change, &format!("told_by={from}"));
+        for update in updates {
+            let applied = self.with(|quarantine| quarantine.on_update(self.clock.now(), &update));
+            if let Some(change) = applied.0 {
+                log_change(update.request, change, &format!("told_by={from}"));
             }
-            newer.extend(taken.1);
+            newer.extend(applied.1);
         }
         if !newer.is_empty() {
-            self.link.answer(from, newer);
+            self.transport.reply(from, newer);
         }
     }
 
     /// Returns what is known, for the admin port.
     pub(crate) fn statuses(&self) -> Vec<QuarantineStatus> {
-        self.with(|known| known.statuses(self.clock.now()))
+        self.with(|quarantine| quarantine.statuses(self.clock.now()))
     }
 
     /// Tells other VMs what they have to know.
-    fn tell(&self) {
-        let tellings = self.with(|known| known.on_gossip_round(self.clock.now()));
-        for telling in tellings {
-            self.link.tell(telling);
+    fn send_updates(&self) {
+        let batches = self.with(|quarantine| quarantine.on_gossip_round(self.clock.now()));
+        for batch in batches {
+            self.transport.send_batch(batch);
         }
     }
 
     fn with<T>(&self, change: impl FnOnce(&mut Quarantine) -> T) -> T {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let result = change(&mut known);
-        self.is_empty.store(known.is_empty(), Ordering::Relaxed);
+        let mut quarantine = self.quarantine.lock().unwrap_or_else(PoisonError::into_inner);
+        let result = change(&mut quarantine);
+        self.is_empty.store(quarantine.is_empty(), Ordering::Relaxed);
         result
     }
 }
@@ -162,7 +164,7 @@
     async fn handle(&mut self, event: TimerEvent, _: &mut MessageContext<Self, ()>) {
         let is_due = !self.0.is_empty.load(Ordering::Relaxed);
         if let (TimerEvent::Tick(_), true) = (event, is_due) {
-            self.0.tell();
+            self.0.send_updates();
         }
     }
 }
--- a/crates/pistachiotrackd/src/quarantine/transport.rs
+++ b/crates/pistachiotrackd/src/quarantine/transport.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct QuarantineDatagram {
     deployment: u64,
-    notes: Vec<CrashUpdate>,
+    updates: Vec<CrashUpdate>,
 }
 
 /// Why a datagram is not used.
@@ -69,9 +69,9 @@
     }
 
     /// Tells the VMs that `telling` is for.
-    pub(crate) fn tell(&self, telling: UpdateBatch) {
+    pub(crate) fn send_batch(&self, batch: UpdateBatch) {
         let view = Arc::clone(&self.view.borrow());
-        let (told, updates) = match telling {
+        let (recipients, updates) = match batch {
             UpdateBatch::ForDispatchers { service, updates } => {
                 let dispatchers = view.ownership.dispatchers(&service).iter();
                 let others = dispatchers.filter(|vm| vm.name != self.me);
@@ -80,14 +80,14 @@
             UpdateBatch::ForRandomVms { count, updates } => (random_members(&view, count), updates),
         };
         let Some(bytes) = self.encode(updates) else { return };
-        for to in told {
+        for to in recipients {
             self.send(to, &bytes);
         }
     }
 
     /// Tells the VM at an address.
-    pub(crate) fn answer(&self, to: SocketAddr, notes: Vec<CrashUpdate>) {
-        if let Some(bytes) = self.encode(notes) {
+    pub(crate) fn reply(&self, to: SocketAddr, updates: Vec<CrashUpdate>) {
+        if let Some(bytes) = self.encode(updates) {
             self.send(to, &bytes);
         }
     }
@@ -106,12 +106,12 @@
         if datagram.deployment != self.deployment {
             return Err(QuarantineError::Deployment);
         }
-        Ok(datagram.notes)
+        Ok(datagram.updates)
     }
 
     /// Returns whether trials of a request are up to this VM: of those that dispatch for its
     /// service side by side one tries it, and the owner where there are none.
-    pub(crate) fn is_placed_here(&self, request: Fingerprint, service: &str) -> bool {
+    pub(crate) fn is_trial_owner(&self, request: Fingerprint, service: &str) -> bool {
         let view = self.view.borrow();
         let dispatchers = view.ownership.dispatchers(service).iter();
         let score =
@@ -119,8 +119,8 @@
         dispatchers.max_by_key(|vm| score(vm)).is_none_or(|vm| vm.name == self.me)
     }
 
-    fn encode(&self, notes: Vec<CrashUpdate>) -> Option<Vec<u8>> {
-        let datagram = QuarantineDatagram { deployment: self.deployment, notes };
+    fn encode(&self, updates: Vec<CrashUpdate>) -> Option<Vec<u8>> {
+        let datagram = QuarantineDatagram { deployment: self.deployment, updates };
         postcard::to_extend(&datagram, vec![QUARANTINE_TAG])
             .inspect_err(|error| log::error!("event=quarantine_not_encoded error={error:?}"))
             .ok()
--- a/crates/pistachiotrackd/src/refusal_log.rs
+++ b/crates/pistachiotrackd/src/refusal_log.rs
@@ -13,18 +13,18 @@
 
 /// Whom a refusal goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Audience {
+pub(crate) enum RefusalRecipient {
     /// The caller.
     Caller,
     /// The VM that sent the request on, which may still find another way.
     Peer,
 }
 
-impl Audience {
+impl RefusalRecipient {
     fn as_str(self) -> &'static str {
         match self {
-            Audience::Caller => "caller",
-            Audience::Peer => "vm",
+            RefusalRecipient::Caller => "caller",
+            RefusalRecipient::Peer => "vm",
         }
     }
 }
@@ -39,7 +39,7 @@
     request: &Name,
     received: Time,
     refusal: &Refusal,
-    to: Audience,
+    to: RefusalRecipient,
 ) {
     let now = context.clock.now();
     log::warn!(
@@ -51,26 +51,26 @@
         refusal.reason().as_str(),
         refusal.retry_after_ms(),
         now.since(received).as_millis(),
-        Sent { copies: refusal.sent(), now }
+        CopyList { copies: refusal.sent(), now }
     );
 }
 
 /// Writes copies as `NAME/WORD/AGE_MS`, the first one first.
-struct Sent<'a> {
+struct CopyList<'a> {
     copies: &'a [CopyRecord],
     now: Time,
 }
 
-impl fmt::Display for Sent<'_> {
+impl fmt::Display for CopyList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.copies.is_empty() {
             return f.write_str("none");
         }
         for (index, CopyRecord { to, sent_at, is_not_run }) in self.copies.iter().enumerate() {
             let comma = if index == 0 { "" } else { "," };
-            let word = if *is_not_run { Execution::NotRun } else { Execution::Unknown };
+            let execution = if *is_not_run { Execution::NotRun } else { Execution::Unknown };
             let age_ms = self.now.since(*sent_at).as_millis();
-            write!(f, "{comma}{to}/{}/{age_ms}", word.as_str())?;
+            write!(f, "{comma}{to}/{}/{age_ms}", execution.as_str())?;
         }
         Ok(())
     }
--- a/crates/pistachiotrackd/src/rejection.rs
+++ b/crates/pistachiotrackd/src/rejection.rs
@@ -50,8 +50,9 @@
     }
 
     /// Refuses the request.
-    pub(crate) fn refuse(self, held: Undispatched) -> Served {
-        let mut refused = PendingRefusal::from(held.refuse(self.reason, self.retry_after_ms));
+    pub(crate) fn refuse(self, undispatched: Undispatched) -> Served {
+        let mut refused =
+            PendingRefusal::from(undispatched.refuse(self.reason, self.retry_after_ms));
         refused.status = self.status.unwrap_or(refused.status);
         Served::refused(refused)
     }
--- a/crates/pistachiotrackd/src/relay_client.rs
+++ b/crates/pistachiotrackd/src/relay_client.rs
@@ -25,7 +25,7 @@
 
 /// Time after an attempt's time limit for which the witness's own word on it is
 /// waited for.
-const WITNESS_GRACE: Duration = Duration::from_millis(250);
+const RELAY_RESULT_GRACE: Duration = Duration::from_millis(250);
 
 /// What a witness is asked to do, as it travels with the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
     }
 
     /// Returns whether it names an endpoint of the configuration.
-    pub(crate) fn names(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn matches(&self, endpoint: &Endpoint) -> bool {
         endpoint.name == self.endpoint && endpoint.address == self.address
     }
 }
@@ -117,7 +117,7 @@
     }
 
     /// Adds the end to an answer's headers.
-    pub(crate) fn mark(self, fields: &mut HeaderMap) {
+    pub(crate) fn write_to(self, fields: &mut HeaderMap) {
         if let Ok(text) = serde_json::to_string(&self) {
             headers::set(fields, header::VIA_END, &text);
         }
@@ -132,17 +132,17 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RelayError {
     /// The witness is no longer alive; nothing was sent.
-    #[error("witness {0} is not alive")]
-    NoWitness(Name),
+    #[error("relay {0} is not alive")]
+    RelayNotAlive(Name),
     /// The leg to the witness failed.
-    #[error("leg to the witness: {0}")]
-    Leg(#[from] ExchangeError),
+    #[error("leg to the relay: {0}")]
+    Exchange(#[from] ExchangeError),
     /// The witness says that its part failed.
-    #[error("witness says {0:?}")]
-    Ended(RelayResult),
+    #[error("relay says {0:?}")]
+    Failed(RelayResult),
     /// The answer has no word of the witness on it.
-    #[error("witness answered {status} without a word")]
-    Unmarked {
+    #[error("relay answered {status} without a word")]
+    NoResult {
         /// HTTP status.
         status: u16,
     },
@@ -158,15 +158,15 @@
     /// written, or the witness's own word, makes an attempt certainly not run.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
-            RelayError::NoWitness(_) => Outcome::RelayFailed { sent: false },
-            RelayError::Ended(end) => end.outcome(),
-            RelayError::Unmarked { .. } => Outcome::RelayFailed { sent: true },
-            RelayError::Leg(error) => match error {
+            RelayError::RelayNotAlive(_) => Outcome::RelayFailed { sent: false },
+            RelayError::Failed(end) => end.outcome(),
+            RelayError::NoResult { .. } => Outcome::RelayFailed { sent: true },
+            RelayError::Exchange(error) => match error {
                 ExchangeError::NoConnection(_) | ExchangeError::ClosedUnsent => {
                     Outcome::RelayFailed { sent: false }
                 }
                 ExchangeError::TooLate
-                | ExchangeError::BodyGone
+                | ExchangeError::BodyConsumed
                 | ExchangeError::CallerBody { sent: false } => Outcome::NotSent,
                 ExchangeError::CallerBody { sent: true } => Outcome::Cancelled,
                 ExchangeError::Broken { .. } | ExchangeError::TimedOut { .. } => {
@@ -185,16 +185,16 @@
 /// Returns an error that says whether the endpoint may have got the request.
 pub(crate) async fn send(
     context: &Context,
-    witness: &Name,
+    relay: &Name,
     dispatch: &Dispatch,
     choice: ConnectionChoice,
     mut head: RequestHead,
     body: &RequestBody,
 ) -> Result<StartedAnswer, RelayError> {
     let address =
-        peer_address(context, witness).ok_or_else(|| RelayError::NoWitness(witness.clone()))?;
-    let order = RelayRequest::new(dispatch, choice, context.clock.now());
-    if let Ok(text) = serde_json::to_string(&order) {
+        peer_address(context, relay).ok_or_else(|| RelayError::RelayNotAlive(relay.clone()))?;
+    let relay_request = RelayRequest::new(dispatch, choice, context.clock.now());
+    if let Ok(text) = serde_json::to_string(&relay_request) {
         headers::set(&mut head.headers, header::VIA, &text);
     }
     headers::set(&mut head.headers, header::HOP, &context.me.name);
@@ -203,8 +203,8 @@
         choice: ConnectionChoice::RecentlyUsed,
         budget: PEER_BUDGET,
         not_after: dispatch.not_after,
-        time_limit: dispatch.time_limit + WITNESS_GRACE,
-        give_up: AbandonSignal::default(),
+        time_limit: dispatch.time_limit + RELAY_RESULT_GRACE,
+        abandon: AbandonSignal::default(),
     };
     let mut answer = exchange::run(&context.peers, context.clock, target, head, body).await?;
     match RelayResult::read(&answer.parts.headers) {
@@ -212,14 +212,14 @@
             answer.fresh = fresh;
             Ok(answer)
         }
-        Some(end) => Err(RelayError::Ended(end)),
-        None => Err(RelayError::Unmarked { status: answer.parts.status.as_u16() }),
+        Some(end) => Err(RelayError::Failed(end)),
+        None => Err(RelayError::NoResult { status: answer.parts.status.as_u16() }),
     }
 }
 
-fn peer_address(context: &Context, witness: &Name) -> Option<SocketAddr> {
+fn peer_address(context: &Context, relay: &Name) -> Option<SocketAddr> {
     let view = context.view();
-    let member = view.members.iter().find(|member| member.vm.name == *witness)?;
+    let member = view.members.iter().find(|member| member.vm.name == *relay)?;
     let is_usable = matches!(member.state, MemberState::Alive | MemberState::Suspect);
     is_usable.then_some(member.vm.peer_address)
 }
--- a/crates/pistachiotrackd/src/relay_server.rs
+++ b/crates/pistachiotrackd/src/relay_server.rs
@@ -27,35 +27,36 @@
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let received = context.clock.now();
-    let Some((order, budget)) = accept(context, request.headers()) else {
-        return failed(RelayResult::Refused);
+    let Some((relay_request, budget)) = read_relay_request(context, request.headers()) else {
+        return failure_response(RelayResult::Refused);
     };
-    let time_limit = received + Duration::from_micros(order.time_limit_us);
+    let time_limit = received + Duration::from_micros(relay_request.time_limit_us);
     let target = Target {
-        address: order.address,
-        choice: order.choice(),
+        address: relay_request.address,
+        choice: relay_request.choice(),
         budget,
-        not_after: received + Duration::from_micros(order.not_after_us),
+        not_after: received + Duration::from_micros(relay_request.not_after_us),
         time_limit,
-        give_up: AbandonSignal::default(),
+        abandon: AbandonSignal::default(),
     };
     match run(context, request, target, time_limit).await {
         Ok(answer) => pass_on(context, answer),
-        Err(end) => failed(end),
+        Err(result) => failure_response(result),
     }
 }
 
 /// Reads what is asked for and returns it with the connections that this VM
 /// may have open to the endpoint; `None` if the configuration has no such
 /// endpoint, so that a stray message can't have this VM send to anything else.
-fn accept(context: &Context, fields: &HeaderMap) -> Option<(RelayRequest, u32)> {
-    let order: RelayRequest = serde_json::from_str(headers::text(fields, header::VIA)?).ok()?;
+fn read_relay_request(context: &Context, fields: &HeaderMap) -> Option<(RelayRequest, u32)> {
+    let relay_request: RelayRequest =
+        serde_json::from_str(headers::text(fields, header::VIA)?).ok()?;
     let view = context.view();
     let services = &view.active.as_ref()?.config.services;
     let mut endpoints = services.iter().flat_map(|service| &service.endpoints);
-    let endpoint = endpoints.find(|endpoint| order.names(endpoint))?;
+    let endpoint = endpoints.find(|endpoint| relay_request.matches(endpoint))?;
     let budget = request_task::endpoint_budget(&view, endpoint);
-    Some((order, budget))
+    Some((relay_request, budget))
 }
 
 async fn run(
@@ -74,10 +75,12 @@
         proxy::read_body(context, body, time_limit).await.map_err(|_| RelayResult::NotSent)?;
     let uri = origin_form(&parts);
     let head = RequestHead { method: parts.method, uri, headers: parts.headers };
-    exchange::run(&context.endpoints, context.clock, target, head, &body).await.map_err(end)
+    exchange::run(&context.endpoints, context.clock, target, head, &body)
+        .await
+        .map_err(result_of_error)
 }
 
-fn end(error: ExchangeError) -> RelayResult {
+fn result_of_error(error: ExchangeError) -> RelayResult {
     match outcome_of_error(&error) {
         Outcome::ConnectFailed | Outcome::Misdirected => RelayResult::ConnectFailed,
         Outcome::Broken { fresh_connection } => RelayResult::Broken { fresh: fresh_connection },
@@ -91,14 +94,14 @@
     let StartedAnswer { mut parts, body, connection, fresh, .. } = answer;
     let idle_limit = Duration::from_millis(context.settings.limits.body_idle_ms);
     let pool = Arc::clone(&context.endpoints);
-    let body = AnswerBody::relayed(&parts, body, connection, pool, idle_limit, false, None);
+    let body = AnswerBody::streaming(&parts, body, connection, pool, idle_limit, false, None);
     headers::strip_from_endpoint(&mut parts.headers);
-    RelayResult::Answered { fresh }.mark(&mut parts.headers);
+    RelayResult::Answered { fresh }.write_to(&mut parts.headers);
     body::response(parts, body)
 }
 
-fn failed(end: RelayResult) -> Response<AnswerBody> {
+fn failure_response(result: RelayResult) -> Response<AnswerBody> {
     let mut response = answer::plain(StatusCode::SERVICE_UNAVAILABLE);
-    end.mark(response.headers_mut());
+    result.write_to(response.headers_mut());
     response
 }
--- a/crates/pistachiotrackd/src/request_body.rs
+++ b/crates/pistachiotrackd/src/request_body.rs
@@ -190,14 +190,14 @@
     }
 
     /// Gives back a body of which no byte was sent.
-    pub(crate) fn give_back(&self, body: SendBody) {
-        if let RequestBody::Once { body: place, .. } = self {
-            *place.lock().unwrap_or_else(PoisonError::into_inner) = Some(body);
+    pub(crate) fn restore(&self, body: SendBody) {
+        if let RequestBody::Once { body: slot, .. } = self {
+            *slot.lock().unwrap_or_else(PoisonError::into_inner) = Some(body);
         }
     }
 
     /// Returns the length of the body, or of the part of it that is known before it is sent.
-    pub(crate) fn known_bytes(&self) -> usize {
+    pub(crate) fn announced_bytes(&self) -> usize {
         match self {
             RequestBody::Whole(bytes) => bytes.as_ref().map_or(0, Bytes::len),
             RequestBody::Once { body, .. } => {
@@ -216,12 +216,12 @@
     }
 
     /// Returns whether the body can be sent any number of times.
-    pub(crate) fn can_be_repeated(&self) -> bool {
+    pub(crate) fn is_repeatable(&self) -> bool {
         matches!(self, RequestBody::Whole(_))
     }
 
     /// Returns whether the body can be sent again, or has not been sent yet.
-    pub(crate) fn is_at_hand(&self) -> bool {
+    pub(crate) fn is_available(&self) -> bool {
         match self {
             RequestBody::Whole(_) => true,
             RequestBody::Once { body, .. } => {
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -81,7 +81,7 @@
         running: Vec::new(),
         answered: Vec::new(),
         copies,
-        began: context.clock.now(),
+        started_at: context.clock.now(),
         was_dispatched: false,
         finished: false,
     };
@@ -90,13 +90,12 @@
 
 /// Returns how many connections this VM may have open to an endpoint, its part of what the
 /// endpoint accepts, but enough for the endpoint's slots; and where the endpoint is.
-fn link(context: &Context, service: &str, endpoint: &str) -> (u32, Place) {
+fn connection_budget(context: &Context, service: &str, endpoint: &str) -> (u32, Place) {
     let view = context.view();
-    let endpoint = view
-        .active
-        .as_ref()
-        .and_then(|active| active.service(service))
-        .and_then(|service| service.endpoints.iter().find(|one| one.name.as_str() == endpoint));
+    let endpoint =
+        view.active.as_ref().and_then(|active| active.service(service)).and_then(|service| {
+            service.endpoints.iter().find(|candidate| candidate.name.as_str() == endpoint)
+        });
     let Some(endpoint) = endpoint else { return (MIN_CONNECTION_BUDGET, Place::Unknown) };
     let place = Place::of(&endpoint.data_centre, &context.me.data_centre);
     (endpoint_budget(&view, endpoint), place)
@@ -116,7 +115,7 @@
     copy: OutstandingCopy,
     end: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
     place: Place,
-    give_up: AbandonSignal,
+    abandon: AbandonSignal,
 }
 
 /// A request that a shard decides about.
@@ -132,7 +131,7 @@
     answered: Vec<Answered>,
     copies: Copies,
     /// Moment at which the shard was asked.
-    began: Time,
+    started_at: Time,
     was_dispatched: bool,
     finished: bool,
 }
@@ -175,9 +174,9 @@
             };
             let served = match step {
                 Step::Command(Some(command)) => self.on_command(command),
-                Step::Command(None) => Some(self.give_up(Reason::NoEndpoint)),
+                Step::Command(None) => Some(self.refuse_unilaterally(Reason::NoEndpoint)),
                 Step::Ended(ended) => self.on_end(ended),
-                Step::Overdue => Some(self.give_up(Reason::DeadlinePassed)),
+                Step::Overdue => Some(self.refuse_unilaterally(Reason::DeadlinePassed)),
             };
             if let Some(served) = served {
                 return served;
@@ -191,7 +190,7 @@
             Command::Cancel(attempt) => self.cancel(attempt),
             Command::GiveUp(attempt) => {
                 let running = self.running.iter().find(|running| running.attempt == attempt);
-                running.inspect(|running| running.give_up.now());
+                running.inspect(|running| running.abandon.trigger());
             }
             Command::Deliver(attempt) => return self.deliver(attempt),
             Command::Replay(stored) => {
@@ -199,9 +198,9 @@
                 let response = answer::replay(&stored);
                 return Some(Served { answer: Ok(response), endpoint_time: None });
             }
-            Command::Refuse(verdict) => {
+            Command::Refuse(decision) => {
                 self.finished = true;
-                return Some(Served::refused(self.copies.finish().refuse_with(verdict)));
+                return Some(Served::refused(self.copies.finish().refuse_with(decision)));
             }
         }
         None
@@ -215,46 +214,46 @@
                 self.inbound.fleet_id,
                 dispatch.endpoint
             );
-            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
+            self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
-        if !self.inbound.body.is_at_hand() {
-            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
-            return Some(self.give_up(Reason::NoEndpoint));
+        if !self.inbound.body.is_available() {
+            self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
+            return Some(self.refuse_unilaterally(Reason::NoEndpoint));
         }
         if let DispatchDecision::Held { retry_after } = self.context.quarantine.admit(&self.inbound)
         {
-            return self.hold_back(attempt, retry_after);
+            return self.refuse_quarantined(attempt, retry_after);
         }
         self.context.metrics.count(Event::Dispatch);
         let context = Arc::clone(&self.context);
         let inbound = Arc::clone(&self.inbound);
         let service = &inbound.route.shard.service;
-        let (budget, place) = link(&context, service, &dispatch.endpoint);
-        context.traffic.sent(Topic::Endpoint, place, inbound.body.known_bytes());
+        let (budget, place) = connection_budget(&context, service, &dispatch.endpoint);
+        context.traffic.sent(Topic::Endpoint, place, inbound.body.announced_bytes());
         if !self.was_dispatched {
             self.was_dispatched = true;
-            let queued = context.clock.now().since(self.began);
+            let queued = context.clock.now().since(self.started_at);
             context.queued.record(&inbound.route.customer, inbound.route.class, queued);
         }
-        let give_up = AbandonSignal::default();
+        let abandon = AbandonSignal::default();
         let copy = self.copies.send(dispatch.endpoint.clone(), context.clock.now());
-        let end = Box::pin(attempt::run(context, inbound, dispatch, budget, give_up.clone()));
-        self.running.push(RunningAttempt { attempt, copy, end, place, give_up });
+        let end = Box::pin(attempt::run(context, inbound, dispatch, budget, abandon.clone()));
+        self.running.push(RunningAttempt { attempt, copy, end, place, abandon });
         None
     }
 
     /// Drops an attempt of a request that crashes endpoints, and refuses the request unless
     /// another attempt is still on its way.
-    fn hold_back(&mut self, attempt: AttemptId, retry_after: Duration) -> Option<Served> {
+    fn refuse_quarantined(&mut self, attempt: AttemptId, retry_after: Duration) -> Option<Served> {
         if !self.running.is_empty() || !self.answered.is_empty() {
-            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
+            self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
         self.finished = true;
         // Told first, so that the shard doesn't place the request anew.
         let _ = self.shard.tell(CallerGone(self.inbound.id)).try_send();
-        self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
+        self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
         let retry_after_ms = Some(retry_after.as_millis() as u64);
         let copies = self.copies.finish();
         Some(Served::refused(copies.refuse(Reason::CrashesEndpoints, retry_after_ms)))
@@ -270,11 +269,11 @@
     fn cancel(&mut self, attempt: AttemptId) {
         if let Some(index) = self.running.iter().position(|running| running.attempt == attempt) {
             drop(self.running.swap_remove(index));
-            self.tell_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
+            self.report_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
         }
         if let Some(index) = self.answered.iter().position(|answered| answered.attempt == attempt) {
             drop(self.answered.swap_remove(index));
-            self.tell_body_end(attempt);
+            self.report_body_end(attempt);
         }
     }
 
@@ -285,22 +284,22 @@
         }
         self.log_end(&end);
         if matches!(end.outcome, Outcome::Broken { .. }) {
-            self.run_at(&end.endpoint, end.address).check_endpoint();
+            self.execution_at(&end.endpoint, end.address).check_endpoint();
         }
         if end.outcome == Outcome::NotSent {
             self.context.metrics.count(Event::HeldBack);
         }
         if let Some(answer) = end.answer {
-            let bytes = body::known_bytes(&answer.body);
+            let bytes = body::announced_bytes(&answer.body);
             self.context.traffic.received(Topic::Endpoint, place, bytes);
             let AttemptEnd { endpoint, address, pool, .. } = end;
             self.answered.push(Answered { attempt, endpoint, address, answer, pool });
         }
-        self.tell_outcome(attempt, end.outcome, end.report);
+        self.report_outcome(attempt, end.outcome, end.report);
         None
     }
 
-    fn run_at(&self, endpoint: &Name, address: Option<SocketAddr>) -> EndpointExecution {
+    fn execution_at(&self, endpoint: &Name, address: Option<SocketAddr>) -> EndpointExecution {
         let (context, inbound) = (Arc::clone(&self.context), Arc::clone(&self.inbound));
         EndpointExecution { context, inbound, endpoint: endpoint.clone(), address }
     }
@@ -322,9 +321,9 @@
             end.endpoint,
             self.inbound.route.idempotent,
             end.outcome,
-            end.grounds.reason,
-            f64::from(end.grounds.risk_permille) / 10.0,
-            end.grounds.last_seen_ms_ago,
+            end.selection.reason,
+            f64::from(end.selection.risk_permille) / 10.0,
+            end.selection.last_seen_ms_ago,
             end.took.as_millis()
         );
     }
@@ -333,20 +332,20 @@
         let index = self.answered.iter().position(|answered| answered.attempt == attempt)?;
         let Answered { endpoint, address, answer, pool, .. } = self.answered.swap_remove(index);
         self.finished = true;
-        let StartedAnswer { mut parts, body, connection, sent, began, .. } = *answer;
-        let endpoint_time = began.since(sent);
+        let StartedAnswer { mut parts, body, connection, sent, started_at, .. } = *answer;
+        let endpoint_time = started_at.since(sent);
         let copy = self.inbound.key().map(|_| AnswerCopy::begin(self.inbound.id, &parts));
         let is_failure = parts.status.as_u16() >= FIRST_FAILURE_STATUS;
-        let run = ExecutionMonitor { run: self.run_at(&endpoint, address), is_failure };
-        let watch = AnswerMonitor { shard: self.shard.clone(), attempt, copy, run };
-        let body = AnswerBody::relayed(
+        let run = ExecutionMonitor { run: self.execution_at(&endpoint, address), is_failure };
+        let monitor = AnswerMonitor { shard: self.shard.clone(), attempt, copy, run };
+        let body = AnswerBody::streaming(
             &parts,
             body,
             connection,
             pool,
             Duration::from_millis(self.context.settings.limits.body_idle_ms),
             self.context.dialect.ends_answers_by_closing(),
-            Some(watch),
+            Some(monitor),
         );
         headers::strip_from_endpoint(&mut parts.headers);
         self.context.dialect.write_answer(&mut parts.headers, &endpoint, &self.context.me.name);
@@ -355,9 +354,9 @@
     }
 
     /// Refuses the request without the shard's decision and tells the shard.
-    fn give_up(&mut self, reason: Reason) -> Served {
+    fn refuse_unilaterally(&mut self, reason: Reason) -> Served {
         let refusal = match self.copies.finish().into_undispatched() {
-            Ok(held) => held.refuse(reason, None),
+            Ok(undispatched) => undispatched.refuse(reason, None),
             Err(copies) if reason == Reason::NoEndpoint => {
                 copies.refuse_as_unknown(Reason::AnswerLost)
             }
@@ -372,7 +371,7 @@
     /// caller goes away, nobody reports its end, and its slot stays taken. The
     /// guard holds because a command that is just being sent makes the receiver
     /// pending, and is waited for.
-    fn next_unread(&mut self) -> Option<Command> {
+    fn next_buffered_command(&mut self) -> Option<Command> {
         loop {
             match tokio::task::unconstrained(self.commands.recv()).now_or_never() {
                 Some(command) => return command,
@@ -381,12 +380,12 @@
         }
     }
 
-    fn tell_outcome(&self, attempt: AttemptId, outcome: Outcome, report: EndpointReport) {
+    fn report_outcome(&self, attempt: AttemptId, outcome: Outcome, report: EndpointReport) {
         // A stopped shard closes the commands, which ends this task.
         let _ = self.shard.tell(AttemptOutcome { attempt, outcome, report }).try_send();
     }
 
-    fn tell_body_end(&self, attempt: AttemptId) {
+    fn report_body_end(&self, attempt: AttemptId) {
         let ended = BodyEnded { attempt, end: BodyEnd::CallerGone, stored: None };
         let _ = self.shard.tell(ended).try_send();
     }
@@ -395,10 +394,10 @@
 impl Drop for RequestTask {
     fn drop(&mut self) {
         self.commands.close();
-        while let Some(command) = self.next_unread() {
+        while let Some(command) = self.next_buffered_command() {
             match command {
                 Command::Dispatch(dispatch) => {
-                    self.tell_outcome(
+                    self.report_outcome(
                         dispatch.attempt,
                         Outcome::NotSent,
                         EndpointReport::default(),
@@ -412,11 +411,11 @@
         }
         for RunningAttempt { attempt, end, .. } in std::mem::take(&mut self.running) {
             drop(end);
-            self.tell_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
+            self.report_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
         }
         for answered in std::mem::take(&mut self.answered) {
             drop(answered.answer);
-            self.tell_body_end(answered.attempt);
+            self.report_body_end(answered.attempt);
         }
         if !self.finished {
             self.context.metrics.count(Event::CallerGone);
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -44,7 +44,7 @@
 
 /// Time without a word of a dispatcher after which a VM that isn't one asks for a
 /// picture when a request comes. Beliefs fade within about ten seconds.
-const PICTURE_AGE: Duration = Duration::from_secs(1);
+const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(1);
 
 /// What a shard tells the task of a request.
 #[derive(Debug)]
@@ -82,7 +82,7 @@
     /// Connections to endpoints.
     pub(crate) endpoints: Arc<ConnectionPool>,
     /// Where the shard's live facts are published.
-    pub(crate) facts: ShardStatusTable,
+    pub(crate) statuses: ShardStatusTable,
     /// Asks VMs elsewhere about endpoints.
     pub(crate) path_check: PathCheck,
     /// Tells the other VMs that dispatch for the shard.
@@ -90,7 +90,7 @@
     /// How endpoints speak.
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Time without requests after which a shard without an owner's duties stops.
-    pub(crate) careful_idle: Duration,
+    pub(crate) non_owner_idle: Duration,
 }
 
 /// The actor around the decisions of one shard.
@@ -103,17 +103,17 @@
     shard: Shard,
     clock: Clock,
     endpoints: Arc<ConnectionPool>,
-    facts: ShardStatusTable,
+    statuses: ShardStatusTable,
     path_check: PathCheck,
     news: Arc<NewsLink>,
     dialect: Arc<dyn Dialect>,
     actor_ref: WeakActorRef<ShardActor>,
     requests: FxHashMap<RequestId, UnboundedSender<Command>>,
     mode: ShardMode,
-    careful_idle: Duration,
+    non_owner_idle: Duration,
     last_use: Time,
     /// Moment of the last word of another VM, or of the last question for one.
-    heard: Time,
+    last_update_at: Time,
     retired: bool,
 }
 
@@ -139,16 +139,16 @@
             shard,
             clock: args.clock,
             endpoints: args.endpoints,
-            facts: args.facts,
+            statuses: args.statuses,
             path_check: args.path_check,
             news: args.news,
             dialect: args.dialect,
             actor_ref: actor_ref.downgrade(),
             requests: FxHashMap::default(),
             mode: args.mode,
-            careful_idle: args.careful_idle,
+            non_owner_idle: args.non_owner_idle,
             last_use: now,
-            heard: now,
+            last_update_at: now,
             retired: false,
         })
     }
@@ -168,7 +168,7 @@
     async fn handle(&mut self, message: Submit, _: &mut Context<Self, ()>) {
         let now = self.clock.now();
         self.last_use = now;
-        self.refresh_picture(now);
+        self.refresh_snapshot(now);
         self.requests.insert(message.request.id, message.commands);
         let actions = self.shard.on_request(now, message.request);
         self.apply(actions);
@@ -289,15 +289,15 @@
     async fn handle(&mut self, event: TimerEvent, context: &mut Context<Self, ()>) {
         let actions = match event {
             TimerEvent::Tick(now) => {
-                self.publish_facts(now);
-                self.note_dispatchers(now);
+                self.publish_status(now);
+                self.update_dispatchers(now);
                 self.shard.on_tick(now)
             }
             TimerEvent::Paused { now, gap } => self.shard.on_pause(now, gap),
         };
         self.apply(actions);
-        if self.retired && self.requests.is_empty() || self.is_forgettable() {
-            let mut table = self.facts.write().unwrap_or_else(PoisonError::into_inner);
+        if self.retired && self.requests.is_empty() || self.can_stop() {
+            let mut table = self.statuses.write().unwrap_or_else(PoisonError::into_inner);
             table.remove(&self.id);
             context.stop();
         }
@@ -401,23 +401,23 @@
     /// owner's place is forgotten, and a duplicate of the booking runs. It
     /// shows as a doubled booking. The guard holds because a shard with a key on
     /// record is kept.
-    fn is_forgettable(&self) -> bool {
+    fn can_stop(&self) -> bool {
         let unused = self.clock.now().since(self.last_use);
-        self.mode != ShardMode::Owner && unused >= self.careful_idle && self.shard.is_idle()
+        self.mode != ShardMode::Owner && unused >= self.non_owner_idle && self.shard.is_idle()
     }
 
     /// Failure guarded against: a VM becomes a dispatcher after a time in which it was
     /// told little, and sends retries that the others have sent already. It shows as
     /// more retries than the service's limit allows. The guard holds because it asks
     /// for a picture then, and is careful until it gets one.
-    fn note_dispatchers(&mut self, now: Time) {
+    fn update_dispatchers(&mut self, now: Time) {
         let dispatchers = self.news.dispatchers(&self.id.service);
         if self.shard.set_dispatchers(now, dispatchers) {
             self.news.ask(&self.id);
         }
     }
 
-    fn ask_for_picture(&mut self, now: Time) {
+    fn request_snapshot(&mut self, now: Time) {
         if self.news.ask(&self.id) {
             self.shard.on_snapshot_requested(now);
         }
@@ -427,19 +427,19 @@
     /// endpoint that all others know to fail. It shows as failures with a risk that was
     /// seen ten seconds ago. The guard holds because it asks when a request comes, which
     /// waits for the picture.
-    fn refresh_picture(&mut self, now: Time) {
-        if self.shard.is_shared() && now.since(self.heard) >= PICTURE_AGE {
-            self.heard = now;
-            self.ask_for_picture(now);
+    fn refresh_snapshot(&mut self, now: Time) {
+        if self.shard.is_shared() && now.since(self.last_update_at) >= MAX_SNAPSHOT_AGE {
+            self.last_update_at = now;
+            self.request_snapshot(now);
         }
     }
 
-    fn publish_facts(&self, now: Time) {
-        let facts = ShardStatus {
+    fn publish_status(&self, now: Time) {
+        let status = ShardStatus {
             at_floor: self.shard.at_floor(),
             queue_wait_ms: self.shard.queue_wait(now).as_millis() as u64,
         };
-        let mut table = self.facts.write().unwrap_or_else(PoisonError::into_inner);
-        table.insert(self.id.clone(), facts);
+        let mut table = self.statuses.write().unwrap_or_else(PoisonError::into_inner);
+        table.insert(self.id.clone(), status);
     }
 }
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -26,7 +26,7 @@
     async fn handle(&mut self, message: PeerUpdate, _: &mut Context<Self, ()>) {
         let now = self.clock.now();
         self.last_use = now;
-        self.heard = now;
+        self.last_update_at = now;
         let NewsDatagram { from, content, .. } = message.datagram;
         let actions = match content {
             NewsContent::Told(news) => self.shard.on_update(now, &from, &news),
@@ -76,18 +76,18 @@
     /// The new owner.
     pub(crate) to: Vm,
     /// Dropped when the new owner has been told, or can't be.
-    pub(crate) told: Option<mpsc::Sender<()>>,
+    pub(crate) done: Option<mpsc::Sender<()>>,
 }
 
 impl Message<SendHandOver> for ShardActor {
     type Reply = ();
 
     async fn handle(&mut self, message: SendHandOver, _: &mut Context<Self, ()>) {
-        let SendHandOver { to, told } = message;
+        let SendHandOver { to, done } = message;
         let hand_over = self.shard.hand_over(self.clock.now());
         tokio::spawn(async move {
             hand_over::send(to, hand_over).await;
-            drop(told);
+            drop(done);
         });
     }
 }
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -62,7 +62,7 @@
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Time without requests after which a shard is forgotten that this VM does
     /// not own.
-    pub(crate) careful_idle: Duration,
+    pub(crate) non_owner_idle: Duration,
     /// Seed of every random choice.
     pub(crate) seed: u64,
     /// Data centre of this VM.
@@ -75,14 +75,14 @@
 #[derive(Debug)]
 pub(crate) struct ShardTable {
     actors: RwLock<FxHashMap<ShardId, ActorRef<ShardActor>>>,
-    facts: ShardStatusTable,
+    statuses: ShardStatusTable,
     shared: ShardTableArgs,
 }
 
 impl ShardTable {
     /// Creates an empty table.
     pub(crate) fn new(shared: ShardTableArgs) -> ShardTable {
-        ShardTable { actors: RwLock::default(), facts: ShardStatusTable::default(), shared }
+        ShardTable { actors: RwLock::default(), statuses: ShardStatusTable::default(), shared }
     }
 
     /// Returns the actor of a shard, if it runs.
@@ -115,11 +115,11 @@
             mechanisms: shared.mechanisms,
             clock: shared.clock,
             endpoints: Arc::clone(&shared.endpoints),
-            facts: Arc::clone(&self.facts),
+            statuses: Arc::clone(&self.statuses),
             path_check: shared.path_check.clone(),
             news: Arc::clone(&shared.news),
             dialect: Arc::clone(&shared.dialect),
-            careful_idle: shared.careful_idle,
+            non_owner_idle: shared.non_owner_idle,
         };
         let actor = ShardActor::spawn_with_mailbox(args, mailbox::unbounded());
         // The timer service outlives every shard but at the process's end.
@@ -146,10 +146,10 @@
     }
 
     /// Tells a VM what this one knows of a shard; `told` is dropped afterwards.
-    pub(crate) fn hand_over(&self, shard: &ShardId, to: Vm, told: Option<mpsc::Sender<()>>) {
+    pub(crate) fn hand_over(&self, shard: &ShardId, to: Vm, done: Option<mpsc::Sender<()>>) {
         if let Some(actor) = self.find(shard) {
             // A shard that has just stopped has nothing to tell.
-            let _ = actor.tell(SendHandOver { to, told }).try_send();
+            let _ = actor.tell(SendHandOver { to, done }).try_send();
         }
     }
 
@@ -189,27 +189,33 @@
     pub(crate) fn retain(&self, keep: impl Fn(&ShardId) -> bool) {
         let mut actors = self.actors.write().unwrap_or_else(PoisonError::into_inner);
         actors.retain(|id, _| keep(id));
-        let mut facts = self.facts.write().unwrap_or_else(PoisonError::into_inner);
-        facts.retain(|id, _| keep(id));
+        let mut statuses = self.statuses.write().unwrap_or_else(PoisonError::into_inner);
+        statuses.retain(|id, _| keep(id));
     }
 
-    fn facts_of<'a>(
-        facts: &'a FxHashMap<ShardId, ShardStatus>,
+    fn statuses_of<'a>(
+        statuses: &'a FxHashMap<ShardId, ShardStatus>,
         service: &'a str,
     ) -> impl Iterator<Item = &'a ShardStatus> {
-        facts.iter().filter(move |(id, _)| id.service.as_str() == service).map(|(_, facts)| facts)
+        statuses
+            .iter()
+            .filter(move |(id, _)| id.service.as_str() == service)
+            .map(|(_, status)| status)
     }
 }
 
 impl ServiceState for ShardTable {
     fn service_at_floor(&self, service: &str) -> bool {
-        let facts = self.facts.read().unwrap_or_else(PoisonError::into_inner);
-        ShardTable::facts_of(&facts, service).any(|facts| facts.at_floor)
+        let statuses = self.statuses.read().unwrap_or_else(PoisonError::into_inner);
+        ShardTable::statuses_of(&statuses, service).any(|status| status.at_floor)
     }
 
     fn queue_wait_ms(&self, service: &str) -> u64 {
-        let facts = self.facts.read().unwrap_or_else(PoisonError::into_inner);
-        ShardTable::facts_of(&facts, service).map(|facts| facts.queue_wait_ms).max().unwrap_or(0)
+        let statuses = self.statuses.read().unwrap_or_else(PoisonError::into_inner);
+        ShardTable::statuses_of(&statuses, service)
+            .map(|status| status.queue_wait_ms)
+            .max()
+            .unwrap_or(0)
     }
 }
 
--- a/crates/pistachiotrackd/src/stall_guard.rs
+++ b/crates/pistachiotrackd/src/stall_guard.rs
@@ -66,7 +66,7 @@
     ) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.inner).poll_read(cx, buf);
         match &result {
-            Poll::Pending => self.arrivals.on_empty(),
+            Poll::Pending => self.arrivals.on_drained(),
             Poll::Ready(_) => self.arrivals.on_bytes(),
         }
         result
--- a/crates/pistachiotrackd/tests/peer_word.rs
+++ b/crates/pistachiotrackd/tests/peer_word.rs
@@ -21,7 +21,7 @@
 }
 
 fn take(fields: &mut HeaderMap, request: &str) -> PeerAnswer {
-    PeerResult::take(fields, &Name::from(request))
+    PeerResult::take_from(fields, &Name::from(request))
 }
 
 #[test]
@@ -29,12 +29,12 @@
     for execution in [Execution::NotRun, Execution::Unknown] {
         let word = word(execution);
         let mut fields = HeaderMap::new();
-        PeerResult::Refused(word.clone()).mark(&mut fields);
+        PeerResult::Refused(word.clone()).write_to(&mut fields);
         assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Refused(word));
         assert!(fields.is_empty());
     }
     let mut fields = HeaderMap::new();
-    PeerResult::Answered { endpoint_time_us: Some(1_500) }.mark(&mut fields);
+    PeerResult::Answered { endpoint_time_us: Some(1_500) }.write_to(&mut fields);
     let time = Duration::from_micros(1_500);
     assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Answer(Some(time)));
 }
@@ -44,8 +44,8 @@
 #[test]
 fn nothing_but_the_word_on_this_request_says_that_it_did_not_run() {
     let mut other = HeaderMap::new();
-    PeerResult::Refused(word(Execution::NotRun)).mark(&mut other);
-    assert_eq!(take(&mut other, "vm-01-1a23-8"), PeerAnswer::Wordless);
+    PeerResult::Refused(word(Execution::NotRun)).write_to(&mut other);
+    assert_eq!(take(&mut other, "vm-01-1a23-8"), PeerAnswer::Unverified);
 
     let large = "x".repeat(64 << 10);
     let half = format!(r#"{{"refused":{{"request":"{REQUEST}","vm":"vm-02"}}}}"#);
@@ -55,11 +55,11 @@
         let value = HeaderValue::from_bytes(text.as_bytes()).unwrap();
         fields.insert(header::PEER_RESULT, value);
         fields.insert(header::OUTCOME, HeaderValue::from_static("not-run"));
-        assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Wordless, "{text:.40}");
+        assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Unverified, "{text:.40}");
     }
     let mut of_another_version = HeaderMap::new();
     of_another_version.insert(header::OUTCOME, HeaderValue::from_static("not-run"));
-    assert_eq!(take(&mut of_another_version, REQUEST), PeerAnswer::Wordless);
+    assert_eq!(take(&mut of_another_version, REQUEST), PeerAnswer::Unverified);
 }
 
 /// VMs of two versions run side by side while a release goes on.
