--- a/crates/pistachiotrackd/src/answer.rs
+++ b/crates/pistachiotrackd/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the daemon makes by itself.
+//! Responses that the daemon generates itself.
 
 use bytes::Bytes;
 use hyper::{
@@ -14,16 +14,16 @@
 
 use crate::{body::AnswerBody, dialect::Dialect};
 
-/// Time after which a caller may ask a VM again that has no configuration yet: a VM
-/// that starts has one after about 300 ms, from a peer or from the platform.
+/// Retry delay sent to callers of a VM that has no configuration yet. A starting VM gets its
+/// configuration from a peer or from the platform after about 300 ms.
 pub(crate) const NO_CONFIG_RETRY_MS: u64 = 300;
 
-/// A refusal on its way to whoever asked, which has not been written yet.
+/// A refusal that has not been written to the response yet.
 #[derive(Debug)]
 pub(crate) struct PendingRefusal {
     /// The refusal.
     pub(crate) refusal: Refusal,
-    /// Status for the fleet's own callers.
+    /// HTTP status for callers that use the native dialect.
     pub(crate) status: StatusCode,
 }
 
@@ -34,14 +34,14 @@
     }
 }
 
-/// Returns the answer of a VM that is asked for addresses and has no configuration yet.
+/// Returns the response to a query for entry addresses while this VM has no configuration.
 pub(crate) fn no_config(dialect: &dyn Dialect) -> Response<AnswerBody> {
     let refusal = Undispatched::on_arrival().refuse(Reason::NoConfig, Some(NO_CONFIG_RETRY_MS));
     let PendingRefusal { refusal, status } = refusal.into();
     dialect.write_refusal(None, &refusal, status).map(AnswerBody::whole)
 }
 
-/// Returns an answer that was kept for duplicates.
+/// Returns an answer that was stored for duplicates of a request.
 pub(crate) fn replay(stored: &StoredAnswer) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Bytes::from(stored.body.clone())));
     *response.status_mut() =
@@ -54,7 +54,7 @@
     response
 }
 
-/// Returns a value as JSON.
+/// Returns a response with `value` as JSON.
 pub(crate) fn json<T: Serialize>(value: &T) -> Response<AnswerBody> {
     match serde_json::to_vec(value) {
         Ok(body) => {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns a text.
+/// Returns a plain text response.
 pub(crate) fn text(text: String) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(text.into()));
     let plain = HeaderValue::from_static("text/plain; charset=utf-8");
@@ -75,7 +75,7 @@
     response
 }
 
-/// Returns an encoded answer to another VM.
+/// Returns a response to another VM with an encoded body.
 pub(crate) fn octets(body: Vec<u8>) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(body.into()));
     let octets = HeaderValue::from_static("application/octet-stream");
@@ -83,7 +83,7 @@
     response
 }
 
-/// Returns an answer without a body.
+/// Returns a response without a body.
 pub(crate) fn plain(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Bytes::new()));
     *response.status_mut() = status;
--- a/crates/pistachiotrackd/src/arrival.rs
+++ b/crates/pistachiotrackd/src/arrival.rs
@@ -1,4 +1,4 @@
-//! When a request can have arrived, although it was read late.
+//! Estimates when a request arrived if the process was paused before reading it.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -9,21 +9,19 @@
 
 use crate::{clock::Clock, timer::PauseGate};
 
-/// Time after a pause within which what arrived during it is read.
+/// Time after a pause within which everything that arrived during the pause has been read.
 const BACKLOG_READ_TIME: Duration = Duration::from_secs(1);
 
-/// Moment of a request's arrival, where it was well before it was read.
+/// Earliest possible arrival time of a request that was read after a pause.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival(pub(crate) Time);
 
-/// Watches the reads of one connection that requests come in on.
+/// Tracks the reads of one incoming connection.
 ///
-/// Failure guarded against: a VM is paused while a request lies in its socket's
-/// buffer, wakes up and takes the request's deadline for one that begins now. It
-/// shows as a booking that runs after its caller has given up. The guard holds
-/// because the first request that a connection brings after a pause counts as
-/// having arrived when the pause began, unless the connection was seen empty
-/// since.
+/// A request can wait in the socket's buffer while the VM is paused. If its deadline were counted
+/// from the time it was read, a booking could run after its caller had given up. The first
+/// request read from a connection after a pause therefore counts as having arrived when the pause
+/// began, unless the connection was seen empty after that.
 #[derive(Debug)]
 pub(crate) struct ArrivalTracker {
     clock: Clock,
@@ -33,24 +31,24 @@
 }
 
 impl ArrivalTracker {
-    /// Creates the watch of a connection that nothing was read from.
+    /// Creates a tracker for a connection from which nothing was read yet.
     pub(crate) fn new(clock: Clock, gate: PauseGate) -> ArrivalTracker {
         let [drained_at_us, read_after_us] = [AtomicU64::new(0), AtomicU64::new(0)];
         ArrivalTracker { clock, gate, drained_at_us, read_after_us }
     }
 
-    /// Notes that there was nothing to read.
+    /// Records that there was nothing to read.
     pub(crate) fn on_drained(&self) {
         self.drained_at_us.store(self.clock.now().as_micros(), Ordering::Relaxed);
     }
 
-    /// Notes that bytes were read.
+    /// Records that bytes were read.
     pub(crate) fn on_bytes(&self) {
         self.read_after_us.store(self.drained_at_us.load(Ordering::Relaxed), Ordering::Relaxed);
     }
 
-    /// Returns the earliest moment at which the bytes read last can have
-    /// arrived, if that was before the end of a pause.
+    /// Returns the earliest time at which the bytes read last can have arrived, if that is before
+    /// the end of a pause.
     pub(crate) fn arrival_before_resume(&self) -> Option<Arrival> {
         let now = self.clock.now();
         let pause = self.gate.pause_at(now)?;
--- a/crates/pistachiotrackd/src/attempt.rs
+++ b/crates/pistachiotrackd/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One dispatch of a request to an endpoint.
+//! Sends a request to one endpoint.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,31 +19,31 @@
     relay_client,
 };
 
-/// Time for which the rest of a refusal's body is waited for.
+/// Time limit for reading the rest of a refusal's body, so that its connection can be reused.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// How an attempt ended, or how its answer began.
+/// Result of an attempt, or the start of its answer.
 #[derive(Debug)]
 pub(crate) struct AttemptEnd {
-    /// Endpoint that was asked.
+    /// Endpoint that the request was sent to.
     pub(crate) endpoint: Name,
-    /// Its address, unless it was asked through another VM.
+    /// Its address, unless the request was sent through a relay.
     pub(crate) address: Option<SocketAddr>,
-    /// Why the endpoint was chosen.
+    /// Why the endpoint was selected.
     pub(crate) selection: SelectionDetails,
     /// Time from the dispatch to the outcome.
     pub(crate) took: Duration,
-    /// What the shard is told.
+    /// Outcome that is reported to the shard.
     pub(crate) outcome: Outcome,
-    /// What the endpoint reports.
+    /// State that the endpoint reports about itself.
     pub(crate) report: EndpointReport,
-    /// The answer, if the outcome is that it began.
+    /// The answer, if it has started.
     pub(crate) answer: Option<Box<StartedAnswer>>,
     /// Pool that the answer's connection belongs to.
     pub(crate) pool: Arc<ConnectionPool>,
 }
 
-/// Sends the request of `inbound` as `dispatch` says.
+/// Sends the request of `inbound` to the endpoint selected in `dispatch`.
 pub(crate) async fn run(
     context: Arc<Context>,
     inbound: Arc<Inbound>,
@@ -107,10 +107,11 @@
     end
 }
 
-/// Failure guarded against: a booking is written to a connection that something
-/// between the two ends has forgotten, and nobody can tell whether it ran. It
-/// shows as a request without an answer. The guard holds because a request that
-/// must not be repeated never uses a connection that has been silent for long.
+/// Selects the connection for the attempt.
+///
+/// A firewall or NAT device on the path can drop its state for an idle connection. A booking
+/// written to such a connection gets no answer, and it is unknown whether it ran. A request that
+/// must not be repeated is therefore never sent on a connection that has been idle for long.
 fn connection_choice(inbound: &Inbound, choice: ConnectionChoice) -> ConnectionChoice {
     match choice {
         ConnectionChoice::Any if !inbound.route.idempotent => ConnectionChoice::RecentlyUsed,
@@ -129,12 +130,11 @@
 }
 
 impl AttemptEnd {
-    /// Takes an answer.
+    /// Sets the outcome and the report from an answer.
     ///
-    /// Failure guarded against: an endpoint's late answer to an earlier request, or
-    /// bytes that follow a whole answer, arrive where the next answer is due, and a
-    /// caller gets another one's roster. It shows as an answer that bears another
-    /// request's identity. The guard holds because such an answer is dropped with its
+    /// A late answer to an earlier request, or bytes after a complete answer, can arrive where
+    /// the next answer is expected; a caller would then get the answer to another caller's
+    /// request. An answer with another request's ID is therefore dropped together with its
     /// connection, and its request counts as possibly run.
     async fn set_answer(&mut self, metadata: AnswerMetadata, answer: StartedAnswer) {
         self.outcome = outcome_of_answer(metadata.kind, &answer);
@@ -147,7 +147,7 @@
     }
 }
 
-/// Keeps the connection of a refusal if its short body is there already.
+/// Returns the connection of a refusal to the pool if its short body has already arrived.
 pub(crate) async fn return_connection(pool: &ConnectionPool, mut answer: StartedAnswer) {
     while !answer.body.is_end_stream() {
         let frame = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, answer.body.frame()).await;
@@ -158,7 +158,7 @@
     pool.check_in(answer.connection);
 }
 
-/// Returns what a shard is told of an answer that has begun.
+/// Returns the outcome of an attempt whose answer has started.
 pub(crate) fn outcome_of_answer(kind: AnswerKind, answer: &StartedAnswer) -> Outcome {
     let fresh_connection = answer.fresh;
     match kind {
@@ -171,7 +171,7 @@
     }
 }
 
-/// Returns what a shard is told of a failed exchange.
+/// Returns the outcome of a failed exchange.
 pub(crate) fn outcome_of_error(error: &ExchangeError) -> Outcome {
     match error {
         ExchangeError::NoConnection(CheckoutError::Connect(_)) | ExchangeError::ClosedUnsent => {
--- a/crates/pistachiotrackd/src/body.rs
+++ b/crates/pistachiotrackd/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers on their way to the caller.
+//! Bodies of answers sent to callers.
 
 use std::{
     future::Future,
@@ -29,17 +29,17 @@
     shard_actor::{BodyEnded, ShardActor},
 };
 
-/// Why an answer's body was cut short.
+/// Why the body of an answer is incomplete.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AnswerBodyError {
-    /// The other end broke off.
-    #[error("answer broke off: {0}")]
+    /// The connection failed.
+    #[error("connection failed while reading the answer: {0}")]
     Broken(#[from] hyper::Error),
-    /// No further part came in time.
-    #[error("answer stalled")]
+    /// No data arrived within the idle limit.
+    #[error("answer timed out: no data within the idle limit")]
     Stalled,
-    /// The answer had no length, so that its end can't be told from a cut.
-    #[error("answer without length ended")]
+    /// The answer had no length, so its end can't be distinguished from a broken connection.
+    #[error("answer without a length ended; it may be incomplete")]
     NoLength,
 }
 
@@ -48,17 +48,17 @@
 pub(crate) enum AnswerBody {
     /// A whole body in memory.
     Whole(Option<Bytes>),
-    /// A body that is passed on as it arrives.
+    /// A body that is forwarded as it arrives.
     Streaming(Box<StreamingBody>),
 }
 
 impl AnswerBody {
-    /// Returns a body that is in memory.
+    /// Returns a body from memory.
     pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
         AnswerBody::Whole((!bytes.is_empty()).then_some(bytes))
     }
 
-    /// Returns a body that is passed on from a connection.
+    /// Returns a body that is forwarded from a connection as it arrives.
     pub(crate) fn streaming(
         parts: &Parts,
         incoming: Incoming,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Returns the length of a body as far as it was announced.
+/// Returns the announced length of a body, or 0 if none was announced.
 pub(crate) fn announced_bytes(body: &Incoming) -> usize {
     body.size_hint().lower() as usize
 }
@@ -125,13 +125,11 @@
     }
 }
 
-/// A body that is passed on as it arrives.
+/// A body that is forwarded as it arrives.
 ///
-/// Failure guarded against: an endpoint dies in the middle of its answer, and
-/// the caller takes half a roster for the whole. It shows as a body that ends
-/// early. The guard holds because every end other than the announced one is an
-/// error here, upon which the server closes the caller's connection without
-/// ending the body.
+/// If an endpoint fails in the middle of its answer, the caller must not take the partial body
+/// for the complete one. Every end other than the announced one is therefore an error, on which
+/// the server closes the caller's connection without ending the body.
 #[derive(Debug)]
 pub(crate) struct StreamingBody {
     incoming: Incoming,
@@ -205,16 +203,16 @@
     }
 }
 
-/// Tells a shard how the body of an answer ended.
+/// Reports to a shard how the body of an answer ended.
 #[derive(Debug)]
 pub(crate) struct AnswerMonitor {
     /// The shard.
     pub(crate) shard: ActorRef<ShardActor>,
-    /// Attempt whose answer it is.
+    /// Attempt that the answer belongs to.
     pub(crate) attempt: AttemptId,
-    /// Copy of the answer that is kept for duplicates of the request.
+    /// Copy of the answer that is stored for duplicates of the request.
     pub(crate) copy: Option<AnswerCopy>,
-    /// The run that brought it.
+    /// Execution of the request that produced the answer.
     pub(crate) run: ExecutionMonitor,
 }
 
@@ -233,12 +231,12 @@
         let stored =
             self.copy.filter(|_| end == BodyEnd::Complete).map(|copy| (copy.request, copy.answer));
         let ended = BodyEnded { attempt: self.attempt, end, stored };
-        // A stopped shard keeps no account of attempts.
+        // A stopped shard doesn't track attempts.
         let _ = self.shard.tell(ended).try_send();
     }
 }
 
-/// A copy of an answer while it passes.
+/// A copy of an answer that is collected while the answer is forwarded.
 #[derive(Debug)]
 pub(crate) struct AnswerCopy {
     request: RequestId,
@@ -246,7 +244,7 @@
 }
 
 impl AnswerCopy {
-    /// Begins a copy of the answer to `request`.
+    /// Starts a copy of the answer to `request`.
     pub(crate) fn begin(request: RequestId, parts: &Parts) -> AnswerCopy {
         let content_type =
             parts.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).map(String::from);
@@ -255,7 +253,7 @@
     }
 }
 
-/// Returns the response made of `parts` and `body`.
+/// Returns the response with `parts` and `body`.
 pub(crate) fn response(parts: Parts, body: AnswerBody) -> Response<AnswerBody> {
     Response::from_parts(parts, body)
 }
--- a/crates/pistachiotrackd/src/connection.rs
+++ b/crates/pistachiotrackd/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection of this VM to an endpoint or to another VM.
+//! An HTTP/1.1 connection from this VM to an endpoint or to another VM.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -26,19 +26,19 @@
     timer::PauseGate,
 };
 
-/// An open connection. Dropping it closes the socket at once, which is how an
-/// endpoint learns that a request was cancelled.
+/// An open connection. Dropping it closes the socket immediately, which signals to an endpoint
+/// that its request was cancelled.
 #[derive(Debug)]
 pub(crate) struct Connection {
-    /// Address of the other end.
+    /// Address of the peer.
     pub(crate) address: SocketAddr,
-    /// Sends requests.
+    /// Sender of requests.
     pub(crate) sender: SendRequest<SendBody>,
-    /// Knows what was written.
+    /// Tracks whether the current request was written.
     pub(crate) guard: Arc<ExchangeGuard>,
-    /// Moment at which the connection was opened.
+    /// Time at which the connection was opened.
     pub(crate) opened: Time,
-    /// Moment of the last whole answer, if there was one.
+    /// Time of the last complete answer, if there was one.
     pub(crate) last_answer: Option<Time>,
     driver: AbortHandle,
     _open: OpenCount,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Counts an open connection while it lives.
+/// Entry in the count of open connections, removed on drop.
 #[derive(Debug)]
 pub(crate) struct OpenCount(Arc<AtomicU32>);
 
@@ -72,43 +72,42 @@
     }
 }
 
-/// What is needed to open connections.
+/// Opens connections.
 #[derive(Clone, Debug)]
 pub(crate) struct Connector {
     /// Clock of the process.
     pub(crate) clock: Clock,
-    /// Gate that shuts after a pause.
+    /// Blocks writes for a short time after a pause of the process.
     pub(crate) gate: PauseGate,
     /// Limits of the daemon.
     pub(crate) limits: Arc<Limits>,
-    /// Address that connections come from; the system chooses where it is
-    /// missing.
+    /// Source address of connections; the operating system chooses one if it is `None`.
     pub(crate) source: Option<IpAddr>,
 }
 
 /// Why no connection could be opened.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectError {
-    /// The other end refused or can't be reached.
+    /// The peer refused the connection or can't be reached.
     #[error("connect to {address}: {source}")]
     Io {
-        /// The other end.
+        /// Address of the peer.
         address: SocketAddr,
         /// Cause.
         source: std::io::Error,
     },
-    /// The other end did not answer in time.
+    /// The peer did not accept in time.
     #[error("connect to {address}: no answer within {}ms", limit.as_millis())]
     TimedOut {
-        /// The other end.
+        /// Address of the peer.
         address: SocketAddr,
         /// Time allowed.
         limit: Duration,
     },
-    /// The connection closed at once.
+    /// The connection closed immediately.
     #[error("connect to {address}: {source}")]
     Handshake {
-        /// The other end.
+        /// Address of the peer.
         address: SocketAddr,
         /// Cause.
         source: hyper::Error,
@@ -116,7 +115,7 @@
 }
 
 impl Connector {
-    /// Opens a TCP connection, from the source address where there is one.
+    /// Opens a TCP connection, from the source address if one is set.
     async fn connect(&self, address: SocketAddr) -> std::io::Result<TcpStream> {
         let Some(source) = self.source else { return TcpStream::connect(address).await };
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
@@ -124,7 +123,8 @@
         socket.connect(address).await
     }
 
-    /// As [`Connector::connect`], within `limit` and the time that the settings allow.
+    /// Like [`Connector::connect`], limited by `limit` and by the connect timeout of the
+    /// settings.
     async fn connect_within(
         &self,
         address: SocketAddr,
@@ -146,7 +146,7 @@
         self.connect_within(address, Duration::MAX).await.map(drop)
     }
 
-    /// Opens a connection to `address` before `give_up`.
+    /// Opens a connection to `address` before `deadline`.
     ///
     /// # Errors
     ///
--- a/crates/pistachiotrackd/src/connection_pool.rs
+++ b/crates/pistachiotrackd/src/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Connections that wait for their next request.
+//! Pool of idle connections.
 //!
-//! A pool never sends anything and never repeats a request by itself: libraries'
-//! pools do, which would run a booking twice.
+//! The pool never sends a request and never retries one. The pools of HTTP libraries retry, which
+//! would run a booking twice.
 
 use std::{
     io,
@@ -15,11 +15,10 @@
 
 use crate::connection::{ConnectError, Connection, Connector, OpenCount};
 
-/// Time for which a connection that is just finishing its last exchange is
-/// waited for.
+/// Time to wait for a connection that is just completing its last exchange.
 const READY_WAIT: Duration = Duration::from_millis(5);
 
-/// The idle connections to all addresses of one kind.
+/// Idle connections to endpoints or to VMs, by address.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     connector: Connector,
@@ -30,18 +29,18 @@
 struct AddressPool {
     idle: Vec<Connection>,
     open: Arc<AtomicU32>,
-    /// Whether a test has cut the path to the address.
+    /// Whether a test has blocked connections to the address.
     is_blocked: bool,
 }
 
-/// Whether an address takes connections.
+/// Whether an address accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Listening {
-    /// It does.
+    /// It accepts connections.
     Open,
-    /// Its machine says that nobody listens there.
+    /// Its host refuses connections: no process listens there.
     Refused,
-    /// There was no answer that tells.
+    /// The connection attempt failed in another way or timed out.
     Unknown,
 }
 
@@ -54,7 +53,7 @@
     pub(crate) fresh: bool,
 }
 
-/// Why no connection could be had; nothing was sent.
+/// Why no connection is available; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CheckoutError {
     /// No connection could be opened.
@@ -63,7 +62,7 @@
     /// This VM's budget of connections to the address is used up.
     #[error("connect to {address}: all {budget} connections are in use")]
     OverBudget {
-        /// The other end.
+        /// Address of the peer.
         address: SocketAddr,
         /// Connections that this VM may have open.
         budget: u32,
@@ -76,12 +75,12 @@
         ConnectionPool { connector, addresses: Mutex::default() }
     }
 
-    /// Returns a connection to `address` that fits `choice`, a new one if needed.
+    /// Returns a connection to `address` that satisfies `choice`, a new one if needed.
     ///
     /// # Errors
     ///
-    /// Returns an error if none could be opened before `give_up` or within
-    /// `budget` open connections.
+    /// Returns an error if no connection could be opened before `deadline` or within `budget`
+    /// open connections.
     pub(crate) async fn check_out(
         &self,
         address: SocketAddr,
@@ -107,7 +106,7 @@
         Ok(CheckedOut { connection, fresh: true })
     }
 
-    /// Looks whether `address` takes connections.
+    /// Checks whether `address` accepts connections.
     pub(crate) async fn listening(&self, address: SocketAddr) -> Listening {
         if self.is_blocked(address) {
             return Listening::Unknown;
@@ -123,7 +122,7 @@
         }
     }
 
-    /// Takes back a connection whose exchange ended whole.
+    /// Returns a connection to the pool after a complete exchange.
     pub(crate) fn check_in(&self, mut connection: Connection) {
         let now = self.connector.clock.now();
         connection.last_answer = Some(now);
@@ -134,7 +133,7 @@
         addresses.entry(connection.address).or_default().idle.push(connection);
     }
 
-    /// Closes all unused connections to `address`.
+    /// Closes all idle connections to `address`.
     pub(crate) fn close_idle(&self, address: SocketAddr) {
         let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(pool) = addresses.get_mut(&address) {
@@ -142,7 +141,7 @@
         }
     }
 
-    /// Cuts or restores the path to an address: a cut one refuses connections.
+    /// Blocks or unblocks an address; connections to a blocked one are refused.
     pub(crate) fn set_blocked(&self, address: SocketAddr, is_blocked: bool) {
         let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
         let pool = addresses.entry(address).or_default();
@@ -155,8 +154,8 @@
         addresses.get(&address).is_some_and(|pool| pool.is_blocked)
     }
 
-    /// Closes connections that have been unused for too long and forgets
-    /// addresses without any.
+    /// Closes connections that have been idle for too long and removes addresses without
+    /// connections.
     pub(crate) fn close_expired(&self) {
         let now = self.connector.clock.now();
         let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
@@ -180,8 +179,8 @@
             }
             if choice == ConnectionChoice::RecentlyUsed && !self.is_recently_used(&connection, now)
             {
-                // The list is in the order of last answers: no other one is
-                // livelier. This one stays for requests that may be repeated.
+                // Idle connections are ordered by their last answer, so no other one was used
+                // more recently. This one stays in the pool for requests that may be repeated.
                 idle.push(connection);
                 return None;
             }
@@ -211,10 +210,11 @@
         now.since(connection.opened) < Duration::from_millis(self.connector.limits.age_ms)
     }
 
-    /// Failure guarded against: something between the two ends has lost track
-    /// of the connection, and what is written to it vanishes. It shows as a
-    /// connection on which no answer comes. A connection that has just
-    /// answered was known to both ends then.
+    /// Returns whether the connection received an answer recently.
+    ///
+    /// A firewall or NAT device on the path can drop its state for an idle connection, after
+    /// which requests on it are lost and no answer arrives. A connection with a recent answer was
+    /// known to both ends at that time.
     fn is_recently_used(&self, connection: &Connection, now: Time) -> bool {
         let limit = Duration::from_millis(self.connector.limits.lively_ms);
         connection.last_answer.is_some_and(|last| now.since(last) < limit)
--- a/crates/pistachiotrackd/src/crash_check.rs
+++ b/crates/pistachiotrackd/src/crash_check.rs
@@ -1,4 +1,4 @@
-//! Tells an endpoint that has ended from a connection that alone broke.
+//! Distinguishes the crash of an endpoint from the failure of a single connection.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -6,22 +6,22 @@
 
 use crate::{connection_pool::Listening, context::Context, inbound::Inbound, metrics::Event};
 
-/// A request at an endpoint that may end under it.
+/// A request being run by an endpoint that may crash.
 #[derive(Debug)]
 pub(crate) struct EndpointExecution {
-    /// What all parts share.
+    /// Shared state of the daemon.
     pub(crate) context: Arc<Context>,
     /// The request.
     pub(crate) inbound: Arc<Inbound>,
     /// The endpoint.
     pub(crate) endpoint: Name,
-    /// Its address, unless it was asked through another VM.
+    /// Its address, unless the request was sent through a relay.
     pub(crate) address: Option<SocketAddr>,
 }
 
 impl EndpointExecution {
-    /// Looks, after the connection broke, whether the endpoint still takes others; one that
-    /// doesn't has ended under the request.
+    /// Checks after a broken connection whether the endpoint still accepts connections. If it
+    /// doesn't, it has crashed while running the request.
     pub(crate) fn check_endpoint(self) {
         if let Some(address) = self.address {
             tokio::spawn(self.check_listening(address));
@@ -44,17 +44,17 @@
     }
 }
 
-/// Watches a run whose answer has begun.
+/// Records how an execution ends whose answer has started.
 #[derive(Debug)]
 pub(crate) struct ExecutionMonitor {
-    /// The run.
+    /// The execution.
     pub(crate) run: EndpointExecution,
-    /// Whether the answer is a failure, which says nothing about the request.
+    /// Whether the answer is a failure, which doesn't show whether the request crashes endpoints.
     pub(crate) is_failure: bool,
 }
 
 impl ExecutionMonitor {
-    /// Notes how the answer ended.
+    /// Records how the answer ended.
     pub(crate) fn finish(self, end: BodyEnd) {
         match end {
             BodyEnd::Complete if !self.is_failure => {
--- a/crates/pistachiotrackd/src/dialect.rs
+++ b/crates/pistachiotrackd/src/dialect.rs
@@ -1,5 +1,5 @@
-//! How callers and endpoints of a deployment speak: names of headers, formats
-//! and statuses. Nothing here decides.
+//! HTTP dialect of a deployment's callers and endpoints: names of headers, formats and statuses.
+//! This module makes no decisions.
 
 mod native;
 
@@ -20,72 +20,72 @@
 
 pub use self::native::NativeDialect;
 
-/// What a caller says about its request.
+/// Metadata that a caller sends with its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// Customer that it acts for.
+    /// Customer on whose behalf it is sent.
     pub customer: Option<Name>,
-    /// Class that it asks for.
+    /// Requested class.
     pub class: Class,
-    /// Service that it names.
+    /// Requested service.
     pub service: Option<Name>,
-    /// Time for which it will wait.
+    /// Time for which the caller waits for the answer.
     pub time_left: Option<Duration>,
 }
 
-/// A request's head that can't be taken.
+/// An invalid header of a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{header}: {problem}")]
 pub struct HeaderError {
     /// Name of the header.
     pub header: &'static str,
-    /// What is wrong with it, with its value.
+    /// What is wrong with the header, including its value.
     pub problem: String,
 }
 
-/// What an endpoint is told about a request.
+/// Metadata that is sent to an endpoint with a request.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingMetadata<'a> {
-    /// Identity of the request; none for a health check.
+    /// ID of the request; `None` for a health check.
     pub request_id: Option<&'a Name>,
-    /// Endpoint that is meant.
+    /// Endpoint that the request is addressed to.
     pub endpoint: &'a Name,
-    /// Time left to the request.
+    /// Time left until the deadline of the request.
     pub time_left: Duration,
 }
 
-/// What an answer is.
+/// Kind of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
     /// The endpoint's answer to this request.
     Answer,
-    /// The endpoint refused and says that it did not run the request.
+    /// The endpoint refused and reports that it did not run the request.
     NotRun,
-    /// Another endpoint has the address, and did not run the request.
+    /// Another endpoint has the address; it did not run the request.
     WrongEndpoint,
-    /// It answers another request, or bears no sign of being the endpoint's own.
+    /// The answer belongs to another request, or lacks the signature of the endpoint.
     Unrelated,
 }
 
-/// What the head of an answer says.
+/// Metadata in the head of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerMetadata {
-    /// What the answer is.
+    /// Kind of the answer.
     pub kind: AnswerKind,
-    /// What the endpoint reports about itself.
+    /// State that the endpoint reports about itself.
     pub report: EndpointReport,
 }
 
-/// A caller's question for addresses.
+/// A caller's query for entry addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryRequest {
-    /// Host that it will name in its requests.
+    /// Host that the caller will send in its requests.
     pub host: Name,
-    /// Data centre that it is in or next to.
+    /// Data centre of the caller, or the nearest one.
     pub data_centre: Option<Name>,
 }
 
-/// Reads the limit that an endpoint names; one that can't be read counts as none.
+/// Parses the rate limit that an endpoint sends; an invalid one is logged and ignored.
 pub fn read_rate_limit(text: &str) -> Option<RateLimit> {
     let unreadable = |error: &RateLimitError| {
         log::warn!("event=rate_limit_unreadable error={:?}", error.to_string());
@@ -93,33 +93,33 @@
     text.parse().inspect_err(unreadable).ok()
 }
 
-/// How callers and endpoints of a deployment speak.
+/// HTTP dialect of a deployment's callers and endpoints.
 pub trait Dialect: fmt::Debug + Send + Sync + 'static {
-    /// Reads what a caller says about its request.
+    /// Parses the metadata of a caller's request.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the header at fault.
+    /// Returns an error with the name of the invalid header.
     fn read_request(&self, parts: &request::Parts) -> Result<RequestMetadata, HeaderError>;
 
-    /// Returns the identity that a caller gave its request.
+    /// Returns the ID that the caller gave its request.
     fn request_id<'a>(&self, fields: &'a HeaderMap) -> Option<&'a str>;
 
-    /// Tells an endpoint about a request.
+    /// Writes the headers of a request to an endpoint.
     fn write_request(&self, fields: &mut HeaderMap, metadata: OutgoingMetadata<'_>);
 
-    /// Reads what the head of an endpoint's answer says.
+    /// Parses the metadata in the head of an endpoint's answer.
     fn read_answer(
         &self,
         parts: &response::Parts,
         metadata: OutgoingMetadata<'_>,
     ) -> AnswerMetadata;
 
-    /// Tells a caller who answered it.
+    /// Writes the endpoint and the VM that answered to the headers of an answer to a caller.
     fn write_answer(&self, fields: &mut HeaderMap, endpoint: &Name, vm: &Name);
 
-    /// Builds the answer that tells a caller of the refusal of `request`, which is
-    /// none where it asked for addresses; `status` is the one that the fleet's own callers get.
+    /// Builds the response for a refusal of `request`, which is `None` for a query for entry
+    /// addresses; `status` is the one sent in the native dialect.
     fn write_refusal(
         &self,
         request: Option<&Name>,
@@ -127,13 +127,13 @@
         status: StatusCode,
     ) -> Response<Bytes>;
 
-    /// Returns whether an answer without a length is whole when its connection
-    /// ends cleanly; if not, its end can't be told from a cut.
+    /// Returns whether an answer without a length is complete when its connection ends cleanly.
+    /// If not, its end can't be distinguished from a broken connection.
     fn ends_answers_by_closing(&self) -> bool;
 
-    /// Reads a caller's question for addresses; `None` if it is none.
+    /// Parses a caller's query for entry addresses; `None` if the request is not such a query.
     fn read_entry_request(&self, parts: &request::Parts) -> Option<EntryRequest>;
 
-    /// Builds the answer to a caller's question for addresses.
+    /// Builds the response to a query for entry addresses.
     fn write_entries(&self, answer: &EntryResponse) -> Response<Bytes>;
 }
--- a/crates/pistachiotrackd/src/dialect/native.rs
+++ b/crates/pistachiotrackd/src/dialect/native.rs
@@ -1,4 +1,4 @@
-//! The fleet's own headers, as its callers and endpoints know them.
+//! The native dialect: headers defined by this project.
 
 use std::time::Duration;
 
@@ -22,10 +22,10 @@
 };
 use crate::headers;
 
-/// Most characters of a customer's name.
-const MAX_CUSTOMER_CHARS: usize = 256;
+/// Maximum length of a customer's name, in bytes.
+const MAX_CUSTOMER_BYTES: usize = 256;
 
-/// The fleet's own headers.
+/// The native dialect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeDialect;
 
@@ -34,17 +34,17 @@
         let text = |name| headers::text(&parts.headers, name);
         let header_error = |header, problem| HeaderError { header, problem };
         let customer = text(header::CUSTOMER).unwrap_or_default();
-        if customer.is_empty() || customer.len() > MAX_CUSTOMER_CHARS {
+        if customer.is_empty() || customer.len() > MAX_CUSTOMER_BYTES {
             let problem = format!("{customer:?} is missing or too long");
             return Err(header_error(header::CUSTOMER, problem));
         }
         let class = text(header::CLASS).map(|class| {
-            let unknown = || header_error(header::CLASS, format!("{class:?} is no class"));
+            let unknown = || header_error(header::CLASS, format!("{class:?} is not a class"));
             Class::parse(class).ok_or_else(unknown)
         });
         let time_left = text(header::DEADLINE_MS).map(|value| {
             let not_a_number =
-                |_| header_error(header::DEADLINE_MS, format!("{value:?} is no number"));
+                |_| header_error(header::DEADLINE_MS, format!("{value:?} is not a whole number"));
             value.trim().parse().map(Duration::from_millis).map_err(not_a_number)
         });
         Ok(RequestMetadata {
@@ -112,7 +112,8 @@
         false
     }
 
-    /// The fleet's own callers ask at a path of the caller address instead.
+    /// Callers with the native dialect send their queries to a path of the caller address
+    /// instead.
     fn read_entry_request(&self, _: &request::Parts) -> Option<EntryRequest> {
         None
     }
--- a/crates/pistachiotrackd/src/entries.rs
+++ b/crates/pistachiotrackd/src/entries.rs
@@ -1,4 +1,4 @@
-//! Answers callers that ask which addresses to use.
+//! Answers queries for the entry addresses that a caller should use.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -18,16 +18,16 @@
     headers,
 };
 
-/// Name of the query's field that holds the service.
+/// Query parameter that contains the service.
 const SERVICE: &str = "service";
 
-/// What a caller is told that asks for a service which does not exist.
+/// Response to a query for a service that does not exist.
 #[derive(Debug, Serialize)]
 struct UnknownService {
     error: String,
 }
 
-/// Returns the addresses for the service and customer that the caller names.
+/// Returns the entry addresses for the service and the customer in a query.
 pub(crate) fn answer(context: &Context, parts: &Parts) -> Response<AnswerBody> {
     let view = context.view();
     let Some(active) = &view.active else { return answer::no_config(&NativeDialect) };
@@ -51,15 +51,14 @@
     answer::json(&steering::entries_for_query(query, view.members.iter()))
 }
 
-/// Returns the service that a query names; empty if it names none.
+/// Returns the service in a query string; empty if there is none.
 fn service(query: &str) -> String {
     let fields = query.split('&').filter_map(|field| field.split_once('='));
     let value = fields.into_iter().find_map(|(name, value)| (name == SERVICE).then_some(value));
     percent_decode_str(value.unwrap_or_default()).decode_utf8_lossy().into_owned()
 }
 
-/// Answers a caller that asks in the deployment's dialect for the addresses of a
-/// host.
+/// Answers a query in the deployment's dialect for the entry addresses of a host.
 pub(crate) async fn handle(
     context: Arc<Context>,
     request: Request<Incoming>,
@@ -83,7 +82,7 @@
     Ok(context.dialect.write_entries(&entries).map(AnswerBody::whole))
 }
 
-/// Tells the platform whether this VM is ready to serve.
+/// Reports to the platform whether this VM is ready to serve requests.
 pub(crate) async fn readiness(
     context: Arc<Context>,
     _: Request<Incoming>,
--- a/crates/pistachiotrackd/src/exchange.rs
+++ b/crates/pistachiotrackd/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and the head of its answer on one connection.
+//! One request and the head of its answer on a connection.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -16,29 +16,29 @@
     request_body::{RequestBody, SendBody},
 };
 
-/// Where and when a request is sent.
+/// Destination and time limits of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// Address of the other end.
+    /// Address of the peer.
     pub(crate) address: SocketAddr,
-    /// What the connection must be like.
+    /// Which connections may be used.
     pub(crate) choice: ConnectionChoice,
-    /// Connections that may be open to the address.
+    /// Maximum number of open connections to the address.
     pub(crate) budget: u32,
-    /// Moment after which not even the first byte may be written.
+    /// Time after which the first byte may no longer be written.
     pub(crate) not_after: Time,
-    /// Moment at which the exchange is given up.
+    /// Time at which the exchange is abandoned.
     pub(crate) time_limit: Time,
-    /// Gives it up sooner.
+    /// Abandons the exchange earlier.
     pub(crate) abandon: AbandonSignal,
 }
 
-/// Ends an exchange without an answer as if its time had passed.
+/// Abandons an exchange without an answer as if its time limit had passed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AbandonSignal(Arc<Notify>);
 
 impl AbandonSignal {
-    /// Ends the exchange, now or as soon as it has a connection.
+    /// Abandons the exchange, now or as soon as it has a connection.
     pub(crate) fn trigger(&self) {
         self.0.notify_one();
     }
@@ -55,52 +55,52 @@
     pub(crate) headers: HeaderMap,
 }
 
-/// An answer that has begun.
+/// An answer whose head has arrived.
 #[derive(Debug)]
 pub(crate) struct StartedAnswer {
     /// Status and headers.
     pub(crate) parts: Parts,
     /// The body, still arriving.
     pub(crate) body: Incoming,
-    /// Connection that it arrives on.
+    /// Connection of the exchange.
     pub(crate) connection: Connection,
     /// Whether the connection was opened for this exchange.
     pub(crate) fresh: bool,
-    /// Moment at which the request was handed to the connection.
+    /// Time at which the request was passed to the connection.
     pub(crate) sent: Time,
-    /// Moment at which the answer began.
+    /// Time at which the head of the answer arrived.
     pub(crate) started_at: Time,
 }
 
-/// Why no answer began.
+/// Why no answer was received.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExchangeError {
-    /// No connection could be had; nothing was sent.
+    /// No connection was available; nothing was sent.
     #[error(transparent)]
     NoConnection(#[from] CheckoutError),
     /// The connection closed before the first byte was written.
-    #[error("connection closed before the first byte")]
+    #[error("connection closed before the first byte was written")]
     ClosedUnsent,
-    /// The moment for the first byte had passed; nothing was sent.
-    #[error("too late to send")]
+    /// The time limit for the first byte had passed; nothing was sent.
+    #[error("time limit for sending has passed")]
     TooLate,
-    /// The request's body has been sent before; nothing was sent.
-    #[error("body can't be sent again")]
+    /// The request's body has already been sent and can't be sent again; nothing was sent.
+    #[error("request body can't be sent again")]
     BodyConsumed,
-    /// The caller's body broke off.
-    #[error("caller's body broke off")]
+    /// Reading the caller's body failed.
+    #[error("reading the caller's body failed")]
     CallerBody {
         /// Whether bytes may have been sent.
         sent: bool,
     },
     /// The connection broke after bytes may have been sent.
-    #[error("connection broke")]
+    #[error("connection failed after bytes may have been sent")]
     Broken {
         /// Whether the connection was opened for this exchange.
         fresh: bool,
     },
-    /// No answer began before the time limit; bytes may have been sent.
-    #[error("no answer in time")]
+    /// No answer started before the time limit; bytes may have been sent.
+    #[error("no answer within the time limit")]
     TimedOut {
         /// Whether the connection was opened for this exchange.
         fresh: bool,
@@ -122,10 +122,11 @@
 }
 
 impl ExchangeError {
-    /// Failure guarded against: something between the two ends has lost track
-    /// of all connections that were open at some moment. It shows as silence on
-    /// one pooled connection after the other, each of which costs a request.
-    /// The guard holds because the first one that fails closes the others.
+    /// Returns whether the idle connections to the address should be closed.
+    ///
+    /// A firewall or NAT device on the path can drop the state of all connections at once. Each
+    /// pooled connection would then fail in turn and cost a request. The first failure on a
+    /// pooled connection therefore closes the other idle ones.
     fn invalidates_idle_connections(&self) -> bool {
         matches!(
             self,
@@ -134,14 +135,14 @@
     }
 }
 
-/// Sends a request and returns the answer when it has begun.
+/// Sends a request and returns the answer when its head has arrived.
 ///
-/// A pooled connection that turns out to be closed before any byte was written
-/// is replaced by a new one; nothing else is tried twice.
+/// If a pooled connection turns out to be closed before any byte was written, a new one is used.
+/// Nothing else is retried.
 ///
 /// # Errors
 ///
-/// Returns an error that says whether bytes may have been sent.
+/// Returns an error that indicates whether bytes may have been sent.
 pub(crate) async fn run(
     pool: &ConnectionPool,
     clock: Clock,
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -1,4 +1,4 @@
-//! Sends a request on to the VM that owns its shard: one hop, never two.
+//! Forwards a request to the VM that owns its shard, over one hop at most.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -25,58 +25,58 @@
     traffic::{Place, Topic},
 };
 
-/// Time after the deadline for which the owner's own refusal is waited for.
+/// Time after the deadline during which the owner's own refusal is awaited.
 const OWNER_GRACE: Duration = Duration::from_millis(750);
-/// Connections that a VM may have open to another one.
+/// Maximum number of open connections to another VM.
 pub(crate) const PEER_BUDGET: u32 = 256;
 
-/// Why the owner's answer could not be had.
+/// Why no answer was received from the owner.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ForwardError {
     /// The exchange with the owner failed.
     #[error("forward: {0}")]
     Exchange(#[from] ExchangeError),
-    /// The owner refused without a word that can be relied on.
-    #[error("forward: refused without a result")]
+    /// The owner refused without a valid result header.
+    #[error("forward: refused without a valid result header")]
     Unverified,
 }
 
 impl ForwardError {
-    /// Returns whether it is certain that no byte went to the owner.
+    /// Returns whether it is certain that no byte was sent to the owner.
     pub(crate) fn is_unsent(&self) -> bool {
         matches!(self, ForwardError::Exchange(error) if error.is_unsent())
     }
 }
 
-/// What came of a request that was sent on.
+/// Result of a forwarded request.
 pub(crate) enum Forwarded {
-    /// The answer, to be passed on.
+    /// The answer, to be sent to the caller.
     Answered(Served),
-    /// The owner refused, and nothing is left to wait for.
+    /// The owner refused, and no copy remains that could bring an answer.
     Refused(Refusal),
-    /// No answer came.
+    /// No answer was received.
     Failed {
-        /// Why.
+        /// The error.
         error: ForwardError,
-        /// The copies, of which some may be out.
+        /// The copies, some of which may still be running.
         copies: Copies,
     },
 }
 
-/// How one copy ended that was sent to the owner.
+/// Result of one copy sent to the owner.
 enum CopyEnd {
     Answered(Box<StartedAnswer>, Option<Duration>),
     Refused(PeerRefusal, OutstandingCopy),
     Failed(ForwardError, OutstandingCopy),
 }
 
-/// Why a copy brought no answer.
+/// Why a copy produced no answer.
 enum CopyFailure {
     Refused(PeerRefusal),
     Failed(ForwardError),
 }
 
-/// A request on its way to its owner.
+/// A request being forwarded to its owner.
 struct Forward<'a> {
     context: &'a Context,
     owner: &'a Vm,
@@ -84,7 +84,7 @@
     sent: Time,
 }
 
-/// Sends a request on to `owner` and returns what came of it.
+/// Forwards a request to the VM that owns its shard, over one hop at most.
 pub(crate) async fn send(
     context: &Context,
     owner: &Vm,
@@ -104,14 +104,12 @@
 }
 
 impl Forward<'_> {
-    /// Sends a request that may be repeated, and once more over a new connection if
-    /// the answer is long in coming.
+    /// Sends a request that may be repeated, and sends it again over a new connection if the
+    /// answer takes too long.
     ///
-    /// Failure guarded against: something between two VMs has lost track of their
-    /// connections, and what is written to them vanishes. It shows as requests that
-    /// wait until their deadline although both VMs are well. The guard holds because
-    /// the answer on the new connection is taken, and the first connection and all
-    /// unused ones are closed then.
+    /// A firewall or NAT device between two VMs can drop the state of their connections. Requests
+    /// on them would then wait until their deadline although both VMs are healthy. The answer on
+    /// the new connection is used, and the first connection and all idle ones are closed.
     async fn send_with_retry(&self, mut copies: Copies, copy: OutstandingCopy) -> Forwarded {
         let Forward { context, owner, inbound, .. } = self;
         let mut first = pin!(self.exchange(ConnectionChoice::RecentlyUsed, copy));
@@ -137,7 +135,7 @@
                     context.peers.close_idle(owner.peer_address);
                     Forwarded::Answered(served)
                 }
-                // No new connection opens: the owner is out of reach, and this VM
+                // No new connection could be opened: the owner can't be reached, and this VM
                 // serves the request itself.
                 Err(CopyFailure::Failed(error)) if error.is_unsent() => {
                     Forwarded::Failed { error, copies }
@@ -147,7 +145,7 @@
         }
     }
 
-    /// Returns what came of a request of which one copy was sent.
+    /// Returns the result of a request of which one copy was sent.
     fn conclude(&self, mut copies: Copies, end: CopyEnd) -> Forwarded {
         match self.record(&mut copies, end) {
             Ok(served) => Forwarded::Answered(served),
@@ -156,12 +154,12 @@
         }
     }
 
-    /// Returns what came of a request whose other copy ended `earlier`.
+    /// Returns the result of a request whose other copy ended with `earlier`.
     ///
-    /// Failure guarded against: the owner, whose queue has filled up since, refuses the
-    /// second copy while the first is at an endpoint. It shows as a lookup that is said not
-    /// to have run and runs. The guard holds because a refusal is passed on only when no
-    /// copy is left that could bring an answer, and as not run only if both came back.
+    /// The owner can refuse the second copy because its queue has filled up, while the first is
+    /// running at an endpoint. The request must not be reported as not run then. A refusal is
+    /// therefore returned only if no copy is left that could bring an answer, and as not run only
+    /// if both copies are certainly not run.
     fn conclude_two(&self, mut copies: Copies, earlier: CopyFailure, end: CopyEnd) -> Forwarded {
         let later = match self.record(&mut copies, end) {
             Ok(served) => return Forwarded::Answered(served),
@@ -176,7 +174,7 @@
         }
     }
 
-    /// Notes how a copy ended, and returns the answer if it brought one.
+    /// Records how a copy ended, and returns the answer if it produced one.
     fn record(&self, copies: &mut Copies, end: CopyEnd) -> Result<Served, CopyFailure> {
         match end {
             CopyEnd::Answered(answer, endpoint_time) => {
@@ -229,7 +227,7 @@
     }
 }
 
-/// Returns the refusal of a request whose owner refused it.
+/// Returns the refusal of a request that its owner refused.
 fn refusal(copies: Copies, result: PeerRefusal) -> Refusal {
     let PeerRefusal { vm, execution, reason, retry_after_ms, .. } = result;
     copies.refuse_with(RefusalDecision { execution, reason, retry_after_ms }).decided_by(vm)
--- a/crates/pistachiotrackd/src/forward_stats.rs
+++ b/crates/pistachiotrackd/src/forward_stats.rs
@@ -1,4 +1,4 @@
-//! What this VM knows of the requests that it sends on.
+//! Statistics of the requests that this VM forwards.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -12,18 +12,17 @@
 };
 use rustc_hash::FxHashMap;
 
-/// Multiple of the usual time to an answer after which its connection is
-/// suspected.
+/// Multiple of the average time to an answer after which a request is sent again over a new
+/// connection.
 const RETRY_DELAY_FACTOR: u32 = 8;
-/// Shortest silence that is suspect.
+/// Minimum time without an answer after which a request is sent again.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Usual times of forwarded requests, and the budget of further tries.
+/// Average latencies of forwarded requests, and their retry budget.
 ///
-/// Failure guarded against: an owner is overloaded, answers late, and every VM
-/// sends it all requests again or runs them itself. It shows as load that grows
-/// while answers become fewer. The guard holds because only answers of owners
-/// fill the budget, so that the extra load stays a fixed part of the work done.
+/// If every VM resent its requests to an overloaded owner or served them itself, the load would
+/// grow while the number of answers falls. Only answers from owners refill the budget, so the
+/// extra load stays a fixed fraction of the work done.
 #[derive(Debug)]
 pub(crate) struct ForwardStats {
     state: Mutex<State>,
@@ -36,7 +35,7 @@
 }
 
 impl ForwardStats {
-    /// Creates a record without any request and with a full budget.
+    /// Creates empty statistics with a full budget.
     pub(crate) fn new(now: Time) -> ForwardStats {
         let budget = RetryBudget::new(now, BudgetSettings::default());
         ForwardStats {
@@ -44,7 +43,7 @@
         }
     }
 
-    /// Notes the time to an owner's answer.
+    /// Records the time to an owner's answer.
     pub(crate) fn on_answer(&self, shard: &ShardId, latency: Duration) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.budget.on_success();
@@ -54,16 +53,15 @@
         }
     }
 
-    /// Returns the silence after which the connection is suspected, if it is
-    /// known how long answers usually take.
+    /// Returns the time without an answer after which a request is sent again, if the average
+    /// latency is known.
     pub(crate) fn retry_delay(&self, shard: &ShardId) -> Option<Duration> {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let average = state.average_latencies.get(shard)?.value()?;
         Some((average * RETRY_DELAY_FACTOR).max(MIN_RETRY_DELAY))
     }
 
-    /// Takes a further try of a request from the budget and returns whether
-    /// there was one.
+    /// Takes a retry from the budget and returns whether one was available.
     pub(crate) fn take_retry(&self, now: Time) -> bool {
         self.state.lock().unwrap_or_else(PoisonError::into_inner).budget.take(now)
     }
--- a/crates/pistachiotrackd/src/forwarded_route.rs
+++ b/crates/pistachiotrackd/src/forwarded_route.rs
@@ -1,4 +1,4 @@
-//! The decision of the entry VM, as it travels with a forwarded request.
+//! Routing decision of the entry VM, which is sent with a forwarded request.
 
 use pistachiotrack_core::{
     name::Name,
@@ -7,21 +7,21 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Where a request goes and how, taken once at the VM that it entered at.
+/// Destination and options of a request, decided once by the VM at which it entered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ForwardedRoute {
-    /// Shard that the request goes to.
+    /// Shard that serves the request.
     pub(crate) shard: ShardId,
-    /// Customer that pays for it.
+    /// Customer that the request is attributed to.
     pub(crate) customer: Name,
     /// Priority.
     pub(crate) class: Class,
     /// Whether the request may be run more than once.
     pub(crate) idempotent: bool,
-    /// Whether a second endpoint may be asked when the first is slow.
+    /// Whether a second endpoint may be tried while the first is slow.
     pub(crate) hedge: bool,
-    /// Endpoints that the request may be sent to.
+    /// Maximum number of endpoints that the request is sent to.
     #[serde(default = "default_max_attempts")]
     pub(crate) max_attempts: u32,
 }
@@ -31,12 +31,12 @@
 }
 
 impl ForwardedRoute {
-    /// Returns the value of the header that carries the route.
+    /// Returns the value of the route header.
     pub(crate) fn encode(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads the header that carries the route; `None` if it can't be read.
+    /// Parses the route header; `None` if it is invalid.
     pub(crate) fn decode(text: &str) -> Option<ForwardedRoute> {
         serde_json::from_str(text).ok()
     }
--- a/crates/pistachiotrackd/src/guarded_stream.rs
+++ b/crates/pistachiotrackd/src/guarded_stream.rs
@@ -1,5 +1,5 @@
-//! A TCP stream that knows whether any byte of an exchange was written, and
-//! refuses to write the first one too late.
+//! A TCP stream that tracks whether any byte of an exchange was written, and fails the first
+//! write if it comes too late.
 
 use std::{
     io,
@@ -26,13 +26,12 @@
 /// No byte of the exchange was written and none will be.
 const CLOSED: u8 = 2;
 
-/// What is known about the present exchange of a connection.
+/// State of the current exchange of a connection.
 ///
-/// Failure guarded against: a request is called not run although a part of it
-/// left this VM, or is sent after its moment has passed. It shows as a booking
-/// that runs twice. The guard holds because the check is made in the write
-/// itself, after every queue and buffer in between, and because whoever calls a
-/// request unsent seals the guard first.
+/// A request must not be reported as not run after a part of it was sent, and must not be sent
+/// after its time limit; otherwise a booking could run twice. The check is therefore made in the
+/// write call itself, after all queues and buffers, and code that reports a request as unsent
+/// closes the guard first.
 #[derive(Debug)]
 pub(crate) struct ExchangeGuard {
     clock: Clock,
@@ -43,7 +42,7 @@
 }
 
 impl ExchangeGuard {
-    /// Creates the guard of a connection that has written nothing.
+    /// Creates the guard of a connection on which nothing was written.
     pub(crate) fn new(clock: Clock, gate: PauseGate) -> Arc<ExchangeGuard> {
         Arc::new(ExchangeGuard {
             clock,
@@ -54,26 +53,26 @@
         })
     }
 
-    /// Begins an exchange whose first byte may be written until `not_after`.
+    /// Starts an exchange whose first byte may be written until `not_after`.
     pub(crate) fn begin(&self, not_after: Time) {
         self.not_after_us.store(not_after.as_micros(), Ordering::Release);
         self.state.store(NOT_WRITTEN, Ordering::Release);
     }
 
-    /// Ends the exchange and returns whether it is certain that no byte of it
-    /// left this VM or ever will.
+    /// Closes the exchange and returns whether it is certain that no byte of it was or will be
+    /// sent.
     pub(crate) fn close(&self) -> bool {
         let previous =
             self.state.compare_exchange(NOT_WRITTEN, CLOSED, Ordering::AcqRel, Ordering::Acquire);
         previous != Err(WRITTEN)
     }
 
-    /// Returns whether the first byte was held back because it came too late.
+    /// Returns whether the first write failed because it came too late.
     pub(crate) fn was_blocked(&self) -> bool {
         self.blocked.load(Ordering::Acquire)
     }
 
-    /// Returns whether the write that follows is the first of the exchange.
+    /// Returns whether the next write is the first of the exchange.
     fn before_write(&self) -> io::Result<bool> {
         if self.state.load(Ordering::Acquire) == WRITTEN {
             return Ok(false);
@@ -82,11 +81,11 @@
         let too_late = now.as_micros() > self.not_after_us.load(Ordering::Acquire);
         if too_late || self.gate.is_shut(now) {
             self.blocked.store(true, Ordering::Release);
-            return Err(io::Error::other("too late to send"));
+            return Err(io::Error::other("time limit for sending has passed"));
         }
         self.state
             .compare_exchange(NOT_WRITTEN, WRITTEN, Ordering::AcqRel, Ordering::Acquire)
-            .map_err(|_| io::Error::other("exchange was given up"))?;
+            .map_err(|_| io::Error::other("exchange was abandoned"))?;
         Ok(true)
     }
 
@@ -98,7 +97,7 @@
     }
 }
 
-/// A TCP stream under an [`ExchangeGuard`].
+/// A TCP stream with an [`ExchangeGuard`].
 #[derive(Debug)]
 pub(crate) struct GuardedStream {
     inner: TcpStream,
@@ -106,7 +105,7 @@
 }
 
 impl GuardedStream {
-    /// Puts a stream under a guard.
+    /// Creates a stream that checks its writes with `guard`.
     pub(crate) fn new(inner: TcpStream, guard: Arc<ExchangeGuard>) -> GuardedStream {
         GuardedStream { inner, guard }
     }
--- a/crates/pistachiotrackd/src/hand_over.rs
+++ b/crates/pistachiotrackd/src/hand_over.rs
@@ -1,4 +1,4 @@
-//! Tells a shard's new owner what this VM knows of it.
+//! Sends the state of a shard to its new owner.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use crate::{peer_client, peer_message::HAND_OVER_PATH, shard_table::shard_name};
 
-/// Tries before the hand-over is given up.
+/// Number of tries before the hand-over is abandoned.
 const MAX_TRIES: u32 = 3;
-/// Time allowed for one try.
+/// Time limit of one try.
 const TRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two tries.
+/// Delay between two tries.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Sends the hand-over to the new owner.
 ///
-/// A hand-over that doesn't arrive costs time, not safety: an owner without one
-/// starts with half of each endpoint's slots and learns the rest by itself.
+/// A lost hand-over costs time but not correctness: an owner without one starts with half of the
+/// slots of each endpoint and learns the remaining state itself.
 pub(crate) async fn send(to: Vm, hand_over: ShardHandOver) {
     let shard = shard_name(&hand_over.shard);
     let message = match postcard::to_stdvec(&hand_over) {
--- a/crates/pistachiotrackd/src/headers.rs
+++ b/crates/pistachiotrackd/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that must not travel on, and those that the fleet adds.
+//! Removal of headers that must not be forwarded, and setters for headers.
 
 use hyper::{
     HeaderMap,
@@ -9,17 +9,17 @@
 };
 use pistachiotrack_core::header;
 
-/// Headers that belong to one connection and not to the request.
+/// Headers that apply to one connection only.
 const HOP_BY_HOP: [HeaderName; 7] =
     [CONNECTION, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// Headers by which VMs talk to each other; callers may not set them.
+/// Headers exchanged between VMs; callers may not set them.
 const INTERNAL_REQUEST: [&str; 4] = [header::HOP, header::ROUTE, header::REQUEST_ID, header::VIA];
 
-/// Headers by which the fleet speaks to callers; endpoints may not set them.
+/// Headers from the fleet to callers; endpoints may not set them.
 const INTERNAL_ANSWER: [&str; 7] = [
     header::OUTCOME,
     header::REASON,
@@ -30,8 +30,7 @@
     header::PEER_RESULT,
 ];
 
-/// Removes the headers that belong to one connection, those that `connection`
-/// names included.
+/// Removes the hop-by-hop headers, including those listed in `connection`.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -50,7 +49,7 @@
     headers.remove(PROXY_CONNECTION);
 }
 
-/// Removes what a caller's request must not carry into the fleet.
+/// Removes the headers of a caller's request that must not enter the fleet.
 pub(crate) fn strip_from_caller(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     headers.remove(EXPECT);
@@ -59,7 +58,7 @@
     }
 }
 
-/// Removes what an endpoint's answer must not carry to a caller.
+/// Removes the headers of an endpoint's answer that must not reach a caller.
 pub(crate) fn strip_from_endpoint(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     for name in INTERNAL_ANSWER {
@@ -67,13 +66,13 @@
     }
 }
 
-/// Returns a header's value as text, if it is there and is text.
+/// Returns a header's value if it is present and is text.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Sets a header to a text that may hold any character; one that HTTP does not
-/// allow leaves the header out.
+/// Sets a header to `value`. The header is left out if the value contains characters that HTTP
+/// does not allow.
 pub(crate) fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
--- a/crates/pistachiotrackd/src/http_call.rs
+++ b/crates/pistachiotrackd/src/http_call.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange on a connection of its own, for control.
+//! An HTTP exchange on its own connection, for control traffic.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,42 +13,41 @@
 /// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The other end can't be reached.
+    /// The peer can't be reached.
     #[error("connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// The exchange broke.
+    /// The exchange failed.
     #[error("http: {0}")]
     Http(#[from] hyper::Error),
-    /// The answer was cut short.
+    /// The body of the answer is incomplete.
     #[error("body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// The answer is longer than allowed.
     #[error("body is longer than {0} bytes")]
     TooLong(usize),
-    /// No answer began in time.
+    /// No answer started in time.
     #[error("no answer within {}ms", .0.as_millis())]
     NoAnswer(Duration),
-    /// An answer began and then stood still.
-    #[error("nothing more of the body within {}ms", .0.as_millis())]
+    /// No data arrived for too long after the answer had started.
+    #[error("no further data of the body within {}ms", .0.as_millis())]
     Stalled(Duration),
-    /// The body took too long as a whole.
+    /// The complete body took too long.
     #[error("body not complete within {}ms", .0.as_millis())]
     Unfinished(Duration),
 }
 
-/// How long the parts of an answer may take.
+/// Time limits for the parts of an answer.
 ///
-/// Failure guarded against: one limit for the whole answer is right for small ones, and
-/// a large one that comes steadily over a slow link never gets to its end. It shows as a
-/// source that times out again and again while it is well. The guard holds because only
-/// silence counts soon.
+/// A single limit for the whole answer fits small answers, but a large one that arrives steadily
+/// over a slow link would never complete, and its source would time out repeatedly although it is
+/// healthy. The short limits therefore apply only to time without data.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseTimeouts {
-    /// Time allowed until the head of the answer is there.
+    /// Time limit for the head of the answer.
     pub head: Duration,
-    /// Time allowed from one piece of the body to the next.
+    /// Time limit from one chunk of the body to the next.
     pub chunk: Duration,
-    /// Time allowed for the whole body.
+    /// Time limit for the whole body.
     pub body: Duration,
 }
 
@@ -69,13 +68,13 @@
     Ok(Response::from_parts(head, body.to_bytes()))
 }
 
-/// Sends `request` to `address` and returns the answer with its whole body, which may
-/// take long as long as it comes steadily.
+/// Sends `request` to `address` and returns the answer with its whole body. The body may take
+/// long as long as data arrives steadily.
 ///
 /// # Errors
 ///
-/// Returns an error if the exchange fails, the body exceeds `max_bytes`, or a part of
-/// the answer takes longer than `timeouts` allows.
+/// Returns an error if the exchange fails, the body exceeds `max_bytes`, or a part of the answer
+/// exceeds `timeouts`.
 pub async fn call_with_timeouts(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -123,7 +122,7 @@
     }
 }
 
-/// Ends a connection's task together with the exchange.
+/// Aborts the task of a connection on drop.
 struct AbortOnDrop(tokio::task::AbortHandle);
 
 impl Drop for AbortOnDrop {
--- a/crates/pistachiotrackd/src/inbound.rs
+++ b/crates/pistachiotrackd/src/inbound.rs
@@ -1,4 +1,4 @@
-//! A request that came in, with what was decided about it.
+//! A received request and the decisions about it.
 
 use std::{sync::OnceLock, time::Duration};
 
@@ -17,38 +17,40 @@
 
 use crate::{forwarded_route::ForwardedRoute, headers, request_body::RequestBody};
 
-/// A request that came in, with what was decided about it.
+/// A received request and the decisions about it.
 #[derive(Debug)]
 pub(crate) struct Inbound {
-    /// Identity within this process.
+    /// ID within this process.
     pub(crate) id: RequestId,
-    /// Identity within the fleet.
+    /// ID within the fleet.
     pub(crate) fleet_id: Name,
-    /// Version of the configuration that decided; `None` if another VM did.
+    /// Version of the configuration used for routing; `None` if another VM routed the request.
     pub(crate) config_version: Option<u64>,
-    /// Where it goes and how.
+    /// Destination and options.
     pub(crate) route: ForwardedRoute,
     /// Method.
     pub(crate) method: Method,
     /// Path and query.
     pub(crate) uri: Uri,
-    /// Headers that travel on.
+    /// Headers that are forwarded.
     pub(crate) headers: HeaderMap,
     /// Body.
     pub(crate) body: RequestBody,
-    /// Moment after which the answer is of no use.
+    /// Time after which the caller no longer needs the answer.
     pub(crate) deadline: Time,
-    /// Customer that the caller named, if it named one.
+    /// Customer given by the caller, if any.
     pub(crate) named_customer: Option<Name>,
-    /// Fingerprint, once it was asked for.
+    /// Fingerprint, computed on first use.
     pub(crate) fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Inbound {
-    /// Returns the fingerprint: of the caller, the method, the path with its query and the body.
+    /// Returns the fingerprint, a hash of the caller, the method, the path with its query, and
+    /// the body.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            // The host may be the address of this VM, so it counts only where it names the caller.
+            // The host may be the address of this VM, so it is used only if the caller gave no
+            // customer.
             let host = || headers::text(&self.headers, HOST.as_str()).unwrap_or_default();
             let customer = self.named_customer.as_deref();
             let caller = customer.map_or_else(|| host().to_ascii_lowercase(), str::to_owned);
@@ -64,7 +66,7 @@
         })
     }
 
-    /// Returns the request as the shard's decisions need it.
+    /// Returns the request as input for the shard's decisions.
     pub(crate) fn request(&self) -> Request {
         Request {
             id: self.id,
@@ -79,20 +81,20 @@
         }
     }
 
-    /// Returns the idempotency key that the caller gave.
+    /// Returns the idempotency key given by the caller.
     pub(crate) fn key(&self) -> Option<&str> {
         headers::text(&self.headers, header::IDEMPOTENCY_KEY)
     }
 }
 
-/// Longest deadline that a caller may set.
+/// Maximum time to the deadline of a request.
 pub(crate) const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Returns the deadline that the caller set, if any.
+/// Returns the deadline set by the caller, if any.
 ///
 /// # Errors
 ///
-/// Returns an error if the header is there but holds no whole number.
+/// Returns an error if the header is present but isn't a whole number.
 pub(crate) fn caller_deadline(
     fields: &HeaderMap,
     received: Time,
@@ -102,7 +104,7 @@
     Ok(Some(received + left.min(MAX_DEADLINE)))
 }
 
-/// Returns the path and query of a request, also if the caller sent a whole URI.
+/// Returns the path and query of a request, also if the caller sent an absolute URI.
 pub(crate) fn origin_form(parts: &Parts) -> Uri {
     let path = parts.uri.path_and_query().cloned();
     Uri::from(path.unwrap_or_else(|| PathAndQuery::from_static("/")))
--- a/crates/pistachiotrackd/src/listener.rs
+++ b/crates/pistachiotrackd/src/listener.rs
@@ -21,18 +21,18 @@
     socket, stall_guard::StallGuard,
 };
 
-/// Pause after the system refused to accept a connection.
+/// Delay after the operating system failed to accept a connection.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// A port of the daemon.
+/// A listening port of the daemon.
 pub(crate) struct Listener {
-    /// Socket that connections come in at.
+    /// Listening socket.
     pub(crate) socket: TcpListener,
-    /// Connections open at the same time.
+    /// Maximum number of open connections.
     pub(crate) max_connections: usize,
-    /// Becomes true when no further request is taken.
+    /// Becomes true when no more requests are accepted.
     pub(crate) stopping: watch::Receiver<bool>,
-    /// Knows the connections that are still served.
+    /// Tracks the connections that are still served.
     pub(crate) connections: TaskTracker,
 }
 
@@ -108,13 +108,12 @@
     }
 }
 
-/// Answers a request; while the daemon leaves, the answer ends its connection.
+/// Handles a request and closes its connection after the answer while the daemon is shutting
+/// down.
 ///
-/// Failure guarded against: a caller sends on a kept connection in the moment in
-/// which a stopping daemon closes it, and can't know whether the request ran. It
-/// shows as a connection that ends without an answer. The guard holds because
-/// each connection that is used while the daemon leaves ends with an answer, so
-/// that only idle ones are left to be closed at the end.
+/// If a stopping daemon closes a keep-alive connection at the moment at which a caller sends a
+/// request on it, the caller can't know whether the request ran. Each connection used during the
+/// shutdown therefore ends with an answer, so that only idle connections are closed at the end.
 fn answer<H, F>(
     context: Arc<Context>,
     handler: &H,
@@ -135,7 +134,7 @@
 }
 
 async fn stopped(stopping: &mut watch::Receiver<bool>) {
-    // An error means that the daemon is gone, which is a stop as well.
+    // An error means that the daemon has ended, which also counts as stopped.
     let _ = stopping.wait_for(|stopping| *stopping).await;
 }
 
--- a/crates/pistachiotrackd/src/path_check.rs
+++ b/crates/pistachiotrackd/src/path_check.rs
@@ -1,4 +1,4 @@
-//! Tells a broken path of this VM from an endpoint that nobody reaches.
+//! Distinguishes a broken network path of this VM from an endpoint that no VM reaches.
 
 use std::{hash::BuildHasher, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,15 +13,13 @@
     view::FleetView,
 };
 
-/// Time allowed for an answer.
+/// Time limit for an answer.
 const ASK_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Asks VMs elsewhere whether they reach an endpoint.
+/// Asks VMs in other data centres whether they reach an endpoint.
 ///
-/// Failure guarded against: this VM's path to an endpoint is cut while the rest
-/// of the fleet reaches it, and the endpoint is ejected as sick. It shows as
-/// connections that fail from one VM only. The guard holds because the witnesses
-/// are in other data centres where there are any, and reach the endpoint by
+/// If only this VM's path to an endpoint is broken, the endpoint must not be ejected as faulty.
+/// The VMs that are asked are in other data centres if there are any, and reach the endpoint by
 /// other paths.
 #[derive(Clone, Debug)]
 pub(crate) struct PathCheck {
@@ -35,8 +33,8 @@
         PathCheck { me, view }
     }
 
-    /// Asks the witnesses and returns what they say, together with the first of
-    /// them that reaches the endpoint, if one does.
+    /// Asks the other VMs and returns their combined answer, with the first VM that reaches the
+    /// endpoint, if any.
     pub(crate) async fn ask(&self, endpoint: Name, address: SocketAddr) -> (PathAnswer, Vec<Name>) {
         let Ok(question) = postcard::to_stdvec(&ReachQuestion { endpoint, address }) else {
             return (PathAnswer::NoAnswer, Vec::new());
@@ -60,8 +58,8 @@
         (answer, Vec::new())
     }
 
-    /// Returns the VMs to ask: of two data centres, not of this VM's own if
-    /// there are others, and other ones for each endpoint and VM that asks.
+    /// Returns the VMs to ask: from two data centres, not from this VM's own if there are others,
+    /// and different ones for each endpoint and asking VM.
     fn probing_vms(&self, endpoint: SocketAddr) -> Vec<Vm> {
         let view = Arc::clone(&self.view.borrow());
         let mut alive: Vec<&Vm> = view
