--- a/crates/pistachiotrackd/src/peer_result.rs
+++ b/crates/pistachiotrackd/src/peer_result.rs
@@ -1,4 +1,4 @@
-//! What a VM says of a request that another one sent on to it.
+//! Result of a forwarded request as the answering VM reports it.
 
 use std::time::Duration;
 
@@ -12,36 +12,36 @@
 
 use crate::headers;
 
-/// What a VM says of a request that another one sent on to it; travels with its answer.
+/// Result of a forwarded request as the answering VM reports it in a header of its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerResult {
-    /// The answer is an endpoint's, or one that was kept for duplicates.
+    /// The answer is from an endpoint, or was stored for duplicates.
     Answered {
-        /// Time that the endpoint took to begin it.
+        /// Time until the endpoint started its answer.
         endpoint_time_us: Option<u64>,
     },
     /// The VM refused the request.
     Refused(PeerRefusal),
 }
 
-/// A VM's word that it refused a request.
+/// Refusal of a request by another VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerRefusal {
-    /// Identity of the request within the fleet.
+    /// ID of the request within the fleet.
     pub request: Name,
-    /// The VM.
+    /// The VM that refused.
     pub vm: Name,
-    /// Whether the copy that the VM had may have run.
+    /// Whether the copy sent to that VM may have run.
     pub execution: Execution,
     /// Why it was refused.
     pub reason: Reason,
-    /// When the caller may ask again.
+    /// Time after which the caller may retry.
     pub retry_after_ms: Option<u64>,
 }
 
 impl PeerRefusal {
-    /// Returns the word of `vm` on its refusal of `request`.
+    /// Creates the report of a refusal of `request` by `vm`.
     pub fn new(vm: &Name, request: &Name, refusal: &Refusal) -> PeerRefusal {
         PeerRefusal {
             request: request.clone(),
@@ -53,31 +53,30 @@
     }
 }
 
-/// What an answer of another VM turned out to be.
+/// Type of an answer from another VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerAnswer {
-    /// An answer to be passed on, with the time that the endpoint took.
+    /// An answer for the caller, with the time that the endpoint took.
     Answer(Option<Duration>),
-    /// A refusal, in the VM's own words.
+    /// A refusal reported by the VM.
     Refused(PeerRefusal),
-    /// A refusal without a word that can be relied on.
+    /// A refusal without a valid result for this request.
     Unverified,
 }
 
 impl PeerResult {
-    /// Adds the word to an answer's headers.
+    /// Writes the result to an answer's headers.
     pub fn write_to(&self, fields: &mut HeaderMap) {
         if let Ok(text) = serde_json::to_string(self) {
             headers::set(fields, header::PEER_RESULT, &text);
         }
     }
 
-    /// Takes the word out of the headers of an answer to `request`.
+    /// Removes the result from the headers of an answer to `request` and returns it.
     ///
-    /// Failure guarded against: a status or a header that some other program, or a VM of
-    /// another version, put on an answer is read as the promise that the request was not
-    /// run. It shows as a booking that runs twice. The guard holds because only a word that
-    /// names this request makes that promise, and a refusal without one promises nothing.
+    /// A status or header set by another program, or by a VM of another version, must not be read
+    /// as a guarantee that the request was not run; otherwise a booking could run twice. Only a
+    /// result with the ID of this request gives that guarantee.
     pub fn take_from(fields: &mut HeaderMap, request: &Name) -> PeerAnswer {
         let result = fields.remove(header::PEER_RESULT);
         let result =
--- a/crates/pistachiotrackd/src/probe.rs
+++ b/crates/pistachiotrackd/src/probe.rs
@@ -24,13 +24,13 @@
     shard_actor::{AttemptOutcome, BodyEnded, ShardActor},
 };
 
-/// Connections that a health check may need besides the budget of real work.
+/// Health checks are not limited by the connection budget of requests.
 const PROBE_BUDGET: u32 = u32::MAX;
 
 /// A health check of an endpoint.
 #[derive(Debug)]
 pub(crate) struct Probe {
-    /// Identity of the attempt.
+    /// ID of the attempt.
     pub(crate) attempt: AttemptId,
     /// Endpoint to check.
     pub(crate) endpoint: Name,
@@ -38,12 +38,12 @@
     pub(crate) address: SocketAddr,
     /// Path of the health check.
     pub(crate) path: Name,
-    /// Moment at which the probe has timed out.
+    /// Time at which the probe times out.
     pub(crate) time_limit: Time,
 }
 
 impl Probe {
-    /// Sends the health check and tells the shard how it ended.
+    /// Sends the health check and reports its result to the shard.
     pub(crate) async fn run(
         self,
         shard: ActorRef<ShardActor>,
--- a/crates/pistachiotrackd/src/proxy.rs
+++ b/crates/pistachiotrackd/src/proxy.rs
@@ -1,4 +1,4 @@
-//! What happens to a request at the VM that it comes in at.
+//! Handles requests at the VM that receives them.
 
 use std::{
     convert::Infallible,
@@ -46,10 +46,10 @@
     view::{ActiveConfig, FleetView},
 };
 
-/// Start of the paths that the daemon answers by itself.
+/// Prefix of the paths that the daemon answers itself.
 const RESERVED_PATH_PREFIX: &str = "/pistachiotrack/";
 
-/// Answers a caller.
+/// Handles a request from a caller.
 pub(crate) async fn handle_caller(
     context: Arc<Context>,
     request: Request<Incoming>,
@@ -89,7 +89,7 @@
     }))
 }
 
-/// Answers another VM that sends on a request.
+/// Handles a request that another VM forwards.
 pub(crate) async fn handle_peer(
     context: Arc<Context>,
     request: Request<Incoming>,
@@ -147,7 +147,7 @@
     context.metrics.count(event);
 }
 
-/// Takes in a caller's request and decides where it goes.
+/// Receives a caller's request and routes it.
 async fn receive(
     context: &Context,
     request: Request<Incoming>,
@@ -178,7 +178,7 @@
     let key = headers::text(&parts.headers, header::IDEMPOTENCY_KEY);
     let forwarded_route = ForwardedRoute {
         shard: choose_shard(context, &view, service, key, id),
-        // Where callers name no customer, work is accounted for by service.
+        // If callers give no customer, requests are accounted to the service.
         customer: metadata.customer.clone().unwrap_or_else(|| service.name.clone()),
         class: route.class.unwrap_or(metadata.class),
         idempotent: route.idempotent,
@@ -206,17 +206,16 @@
     check_not_quarantined(context, inbound)
 }
 
-/// Part of a request's time for which it waits for the first configuration, as a
-/// divisor; the rest is left to serve it.
+/// Divisor of a request's time that yields the maximum wait for the first configuration; the rest
+/// remains to serve it.
 const FIRST_CONFIG_DIVISOR: u32 = 4;
 
-/// Returns the view of the fleet, in a VM that has just started as soon as there is a
-/// configuration.
+/// Returns the view of the fleet; on a VM that has just started, waits for a configuration.
 ///
-/// Failure guarded against: all VMs restart, and callers reach them before they have
-/// the configuration. It shows as a burst of refusals, which most callers take for
-/// final. The guard holds because the configuration comes within a fraction of a
-/// second; later than that, requests are refused at once.
+/// After a restart of all VMs, callers reach them before they have the configuration. Immediate
+/// refusals would come in a burst, and most callers treat them as final. The configuration
+/// arrives within a fraction of a second, so requests wait for it; after that, requests are
+/// refused immediately.
 async fn view_with_config(
     context: &Context,
     received: Time,
@@ -233,7 +232,7 @@
     }
 }
 
-/// Returns the moment from which a request's deadline counts.
+/// Returns the time from which a request's deadline is counted.
 fn arrival(context: &Context, parts: &request::Parts) -> Time {
     parts.extensions.get().map_or_else(|| context.clock.now(), |Arrival(time)| *time)
 }
@@ -248,7 +247,7 @@
     if expired { Err(Reason::Paused.into()) } else { Ok(()) }
 }
 
-/// Refuses a request that is held back because endpoints end under it.
+/// Refuses a request that is held in quarantine because it crashes endpoints.
 fn check_not_quarantined(context: &Context, inbound: Inbound) -> Result<Inbound, Rejection> {
     match context.quarantine.remaining_hold(&inbound) {
         Some(retry_after) => Err(Rejection::crashes_endpoints(retry_after)),
@@ -281,7 +280,7 @@
     active.rules.decide(&attributes, &context.shards).map(|rule| &rule.then)
 }
 
-/// Returns the host that a request names, in lower case and without a port.
+/// Returns the host of a request, in lower case and without a port.
 fn host(parts: &request::Parts) -> String {
     let named = headers::text(&parts.headers, HOST.as_str());
     let authority = parts.uri.authority().map(Authority::as_str).or(named).unwrap_or_default();
@@ -299,8 +298,8 @@
         .collect()
 }
 
-/// Returns the shard of a service that takes a request: the one of its key; or
-/// one that this VM owns, which saves the hop; or any.
+/// Returns the shard of a service for a request: the shard of its idempotency key; otherwise one
+/// that this VM owns, which saves a hop; otherwise any.
 fn choose_shard(
     context: &Context,
     view: &FleetView,
@@ -344,7 +343,7 @@
     }
 }
 
-/// Takes in a request that another VM sends on.
+/// Receives a request that another VM forwards.
 async fn receive_forwarded(
     context: &Context,
     request: Request<Incoming>,
@@ -363,7 +362,7 @@
     check_not_expired_in_pause(context, &parts, deadline)?;
     headers::strip_from_caller(&mut parts.headers);
     let body = read_body(context, body, deadline).await?;
-    // The VM that the request entered at has judged its head.
+    // The VM at which the request entered has validated its head.
     let named_customer =
         context.dialect.read_request(&parts).ok().and_then(|metadata| metadata.customer);
     let inbound = Inbound {
@@ -382,8 +381,8 @@
     check_not_quarantined(context, inbound)
 }
 
-/// Has a caller's request served: here if this VM owns the shard, else by the
-/// owner, else here in careful mode.
+/// Serves a caller's request: on this VM if it owns the shard, otherwise on the owner, otherwise
+/// on this VM in careful mode.
 async fn serve(context: &Arc<Context>, inbound: Inbound, undispatched: Undispatched) -> Served {
     let owner = {
         let view = context.view();
@@ -413,12 +412,11 @@
     Served::refused(copies.refuse(Reason::AnswerLost, None))
 }
 
-/// Returns whether a request may be served here after sending it on has failed.
+/// Returns whether a request may be served on this VM after forwarding it has failed.
 ///
-/// Failure guarded against: the owner dispatched a booking and then became
-/// unreachable, and the entry VM dispatches it again. It shows as a doubled
-/// booking. The guard holds because a request that must not be repeated is
-/// served here only if no byte of it went to the owner.
+/// The owner may have dispatched a booking before it became unreachable. If this VM dispatched it
+/// again, it would run twice. A request that must not be repeated is therefore served here only
+/// if no byte of it was sent to the owner.
 fn may_serve_after(context: &Context, inbound: &Inbound, error: &ForwardError) -> bool {
     if !inbound.body.is_available() || context.clock.now() >= inbound.deadline {
         return false;
@@ -427,14 +425,14 @@
         || inbound.route.idempotent && context.forwards.take_retry(context.clock.now())
 }
 
-/// Returns whether several VMs dispatch for the service of a request. Any VM may
-/// then do so too, and tells the others.
+/// Returns whether several VMs are dispatchers of a request's service. Any VM may then dispatch
+/// too and sends updates to the others.
 fn is_shared(view: &FleetView, inbound: &Inbound) -> bool {
     let service = &inbound.route.shard.service;
     view.active.as_ref().and_then(|active| active.service(service)).is_some_and(Service::is_shared)
 }
 
-/// Has a request served by this VM's actor of the shard.
+/// Serves a request with this VM's actor of the shard.
 async fn serve_here(context: &Arc<Context>, inbound: Inbound, copies: Copies) -> Served {
     let shard = {
         let view = context.view();
--- a/crates/pistachiotrackd/src/quarantine.rs
+++ b/crates/pistachiotrackd/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Holds back requests that crash endpoints, together with the other VMs.
+//! Holds requests that crash endpoints in quarantine, together with the other VMs.
 
 mod transport;
 
@@ -26,18 +26,18 @@
 pub(crate) use self::transport::{QUARANTINE_TAG, QuarantineTransport};
 use crate::{clock::Clock, inbound::Inbound, timer::TimerEvent};
 
-/// Decides which requests are held back, and tells the other VMs.
+/// Decides which requests are held, and sends updates to the other VMs.
 #[derive(Debug)]
 pub(crate) struct QuarantineManager {
     clock: Clock,
     quarantine: Mutex<Quarantine>,
-    /// Whether nothing is known, so that most requests need no fingerprint.
+    /// Whether no request is tracked, so that most requests need no fingerprint.
     is_empty: AtomicBool,
     transport: QuarantineTransport,
 }
 
 impl QuarantineManager {
-    /// Creates a gate that holds nothing back.
+    /// Creates a manager without any records.
     pub(crate) fn new(
         clock: Clock,
         settings: QuarantineSettings,
@@ -48,7 +48,7 @@
         QuarantineManager { clock, quarantine, is_empty: AtomicBool::new(true), transport }
     }
 
-    /// Returns how long a request that has just come in is held back, if it is.
+    /// Returns the remaining hold time of a received request, if it is held.
     pub(crate) fn remaining_hold(&self, inbound: &Inbound) -> Option<Duration> {
         if self.is_empty.load(Ordering::Relaxed) {
             return None;
@@ -56,7 +56,7 @@
         self.with(|quarantine| quarantine.remaining_hold(self.clock.now(), inbound.fingerprint()))
     }
 
-    /// Decides about a request that is about to be sent to an endpoint.
+    /// Returns whether a request may be sent to an endpoint.
     pub(crate) fn admit(&self, inbound: &Inbound) -> DispatchDecision {
         if self.is_empty.load(Ordering::Relaxed) {
             return DispatchDecision::Send;
@@ -74,7 +74,7 @@
         decision
     }
 
-    /// Notes that an endpoint ended while it ran a request.
+    /// Records that an endpoint crashed while it ran a request.
     pub(crate) fn on_crash(&self, request: Fingerprint, service: &Name, endpoint: &Name) {
         let key = EndpointKey::of(endpoint);
         let change =
@@ -84,7 +84,7 @@
         self.send_updates();
     }
 
-    /// Notes that a request brought a whole answer.
+    /// Records that a request got a complete answer.
     pub(crate) fn on_answered(&self, inbound: &Inbound) {
         if self.is_empty.load(Ordering::Relaxed) {
             return;
@@ -97,7 +97,7 @@
         self.send_updates();
     }
 
-    /// Takes a datagram of another VM.
+    /// Handles a datagram from another VM.
     pub(crate) fn receive(&self, from: SocketAddr, bytes: &[u8]) {
         let updates = match self.transport.read(bytes) {
             Ok(updates) => updates,
@@ -119,12 +119,12 @@
         }
     }
 
-    /// Returns what is known, for the admin port.
+    /// Returns the status of all records, for the admin port.
     pub(crate) fn statuses(&self) -> Vec<QuarantineStatus> {
         self.with(|quarantine| quarantine.statuses(self.clock.now()))
     }
 
-    /// Tells other VMs what they have to know.
+    /// Sends the due updates to other VMs.
     fn send_updates(&self) {
         let batches = self.with(|quarantine| quarantine.on_gossip_round(self.clock.now()));
         for batch in batches {
@@ -154,7 +154,7 @@
     }
 }
 
-/// The actor that tells other VMs in rounds.
+/// Actor that sends updates to other VMs in gossip rounds.
 #[derive(Actor)]
 pub(crate) struct QuarantineGossip(pub(crate) Arc<QuarantineManager>);
 
--- a/crates/pistachiotrackd/src/quarantine/transport.rs
+++ b/crates/pistachiotrackd/src/quarantine/transport.rs
@@ -21,10 +21,11 @@
     view::FleetView,
 };
 
-/// First byte of these datagrams; those of the membership and of dispatchers begin with others.
+/// First byte of quarantine datagrams; datagrams of the membership and of dispatchers start with
+/// other bytes.
 pub(crate) const QUARANTINE_TAG: u8 = 0x90;
 
-/// One datagram.
+/// A quarantine datagram.
 #[derive(Debug, Serialize, Deserialize)]
 struct QuarantineDatagram {
     deployment: u64,
@@ -34,18 +35,18 @@
 /// Why a datagram is not used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum QuarantineError {
-    /// It is longer than any VM sends.
-    #[error("{0} bytes")]
+    /// The datagram is longer than the maximum.
+    #[error("datagram has {0} bytes, more than the maximum")]
     Length(usize),
-    /// It can't be read.
-    #[error("can't be read: {0}")]
+    /// The datagram can't be decoded.
+    #[error("datagram can't be decoded: {0}")]
     Unreadable(#[from] postcard::Error),
-    /// It comes from another deployment.
-    #[error("of another deployment")]
+    /// The datagram comes from another deployment.
+    #[error("datagram is from another deployment")]
     Deployment,
 }
 
-/// Tells other VMs about requests that crash endpoints.
+/// Sends updates about requests that crash endpoints to other VMs.
 #[derive(Debug)]
 pub(crate) struct QuarantineTransport {
     me: Name,
@@ -56,7 +57,7 @@
 }
 
 impl QuarantineTransport {
-    /// Creates a link over the socket that the membership uses too.
+    /// Creates a transport over the socket that the membership also uses.
     pub(crate) fn new(
         me: &Vm,
         deployment: &str,
@@ -68,7 +69,7 @@
         QuarantineTransport { me: me.name.clone(), deployment, socket, view, traffic }
     }
 
-    /// Tells the VMs that `telling` is for.
+    /// Sends a batch to its recipients.
     pub(crate) fn send_batch(&self, batch: UpdateBatch) {
         let view = Arc::clone(&self.view.borrow());
         let (recipients, updates) = match batch {
@@ -85,18 +86,18 @@
         }
     }
 
-    /// Tells the VM at an address.
+    /// Sends updates to the VM at an address.
     pub(crate) fn reply(&self, to: SocketAddr, updates: Vec<CrashUpdate>) {
         if let Some(bytes) = self.encode(updates) {
             self.send(to, &bytes);
         }
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is not for this VM to believe.
+    /// Returns an error if the datagram is invalid or comes from another deployment.
     pub(crate) fn read(&self, bytes: &[u8]) -> Result<Vec<CrashUpdate>, QuarantineError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(QuarantineError::Length(bytes.len()));
@@ -109,8 +110,8 @@
         Ok(datagram.updates)
     }
 
-    /// Returns whether trials of a request are up to this VM: of those that dispatch for its
-    /// service side by side one tries it, and the owner where there are none.
+    /// Returns whether this VM runs the trials of a request: of the dispatchers of its service
+    /// one does, and the owner if there are no dispatchers.
     pub(crate) fn is_trial_owner(&self, request: Fingerprint, service: &str) -> bool {
         let view = self.view.borrow();
         let dispatchers = view.ownership.dispatchers(service).iter();
--- a/crates/pistachiotrackd/src/refusal_log.rs
+++ b/crates/pistachiotrackd/src/refusal_log.rs
@@ -1,4 +1,5 @@
-//! The line of each refusal: who decided, why, and where the request had been sent.
+//! Log line for each refusal: the VM that decided, the reason, and where the request had been
+//! sent.
 
 use std::fmt;
 
@@ -11,12 +12,12 @@
 
 use crate::context::Context;
 
-/// Whom a refusal goes to.
+/// Recipient of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RefusalRecipient {
     /// The caller.
     Caller,
-    /// The VM that sent the request on, which may still find another way.
+    /// The VM that forwarded the request and may still serve it in another way.
     Peer,
 }
 
@@ -29,11 +30,10 @@
     }
 }
 
-/// Writes the line of a refusal.
+/// Writes the log line of a refusal.
 ///
-/// Failure guarded against: a caller complains of a refusal that no log knows. It shows as a
-/// trace without a decision. The guard holds because what takes requests in writes refusals
-/// to the wire nowhere else than where it writes this line.
+/// Every refusal must appear in a log, so that the trace of a refused request shows the decision.
+/// The request handlers therefore write this line wherever they send a refusal.
 pub(crate) fn on_refusal(
     context: &Context,
     request: &Name,
@@ -55,7 +55,7 @@
     );
 }
 
-/// Writes copies as `NAME/WORD/AGE_MS`, the first one first.
+/// Formats copies as `NAME/EXECUTION/AGE_MS`, the first one first.
 struct CopyList<'a> {
     copies: &'a [CopyRecord],
     now: Time,
--- a/crates/pistachiotrackd/src/rejection.rs
+++ b/crates/pistachiotrackd/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused where they come in.
+//! Requests that are refused on arrival.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
     request_task::Served,
 };
 
-/// Why a request is refused before it can be sent anywhere.
+/// Reason for a refusal before a request is sent anywhere.
 #[derive(Debug)]
 pub(crate) struct Rejection {
     reason: Reason,
     retry_after_ms: Option<u64>,
-    /// Status other than the usual one of the reason.
+    /// Status that replaces the default one of the reason.
     status: Option<StatusCode>,
 }
 
@@ -26,25 +26,25 @@
 }
 
 impl Rejection {
-    /// Returns that of a VM without a configuration.
+    /// Returns the rejection by a VM without a configuration.
     pub(crate) fn no_config() -> Rejection {
         Rejection { retry_after_ms: Some(NO_CONFIG_RETRY_MS), ..Reason::NoConfig.into() }
     }
 
-    /// Returns that by a rule.
+    /// Returns the rejection by a rule.
     pub(crate) fn by_rule(refuse: &Refuse) -> Rejection {
         let status = StatusCode::from_u16(refuse.status).unwrap_or(StatusCode::FORBIDDEN);
         let retry_after_ms = refuse.retry_after_ms;
         Rejection { reason: Reason::Rule, retry_after_ms, status: Some(status) }
     }
 
-    /// Returns that of a request that crashes endpoints.
+    /// Returns the rejection of a request that crashes endpoints.
     pub(crate) fn crashes_endpoints(retry_after: Duration) -> Rejection {
         let retry_after_ms = Some(retry_after.as_millis() as u64);
         Rejection { retry_after_ms, ..Reason::CrashesEndpoints.into() }
     }
 
-    /// Returns that of a request whose body is too large.
+    /// Returns the rejection of a request whose body is too large.
     pub(crate) fn too_large() -> Rejection {
         Rejection { status: Some(StatusCode::PAYLOAD_TOO_LARGE), ..Reason::BadRequest.into() }
     }
--- a/crates/pistachiotrackd/src/relay_client.rs
+++ b/crates/pistachiotrackd/src/relay_client.rs
@@ -1,5 +1,5 @@
-//! Sends a request to an endpoint through a witness: a VM that reaches the
-//! endpoint where this one doesn't.
+//! Sends a request to an endpoint through a relay: a VM that reaches the endpoint when this one
+//! doesn't.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -23,11 +23,10 @@
     request_body::RequestBody,
 };
 
-/// Time after an attempt's time limit for which the witness's own word on it is
-/// waited for.
+/// Time after an attempt's time limit during which the relay's own result is awaited.
 const RELAY_RESULT_GRACE: Duration = Duration::from_millis(250);
 
-/// What a witness is asked to do, as it travels with the request.
+/// Instructions for a relay, which are sent with the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RelayRequest {
@@ -35,13 +34,13 @@
     pub(crate) endpoint: Name,
     /// Address of the endpoint.
     pub(crate) address: SocketAddr,
-    /// Whether a new connection to the endpoint is wanted.
+    /// Whether a new connection to the endpoint must be opened.
     pub(crate) fresh: bool,
-    /// Whether a connection will do that has been silent for long.
+    /// Whether a connection may be used that has been idle for long.
     pub(crate) any: bool,
-    /// Time left in which the first byte may be written.
+    /// Time left until which the first byte may be written.
     pub(crate) not_after_us: u64,
-    /// Time left until the attempt is given up.
+    /// Time left until the attempt is abandoned.
     pub(crate) time_limit_us: u64,
 }
 
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Returns what the connection to the endpoint must be like.
+    /// Returns which connections to the endpoint may be used.
     pub(crate) fn choice(&self) -> ConnectionChoice {
         match (self.fresh, self.any) {
             (true, _) => ConnectionChoice::Fresh,
@@ -66,28 +65,28 @@
         }
     }
 
-    /// Returns whether it names an endpoint of the configuration.
+    /// Returns whether `endpoint` of the configuration is the requested one.
     pub(crate) fn matches(&self, endpoint: &Endpoint) -> bool {
         endpoint.name == self.endpoint && endpoint.address == self.address
     }
 }
 
-/// How the witness's part ended, as it travels with the answer.
+/// Result of a relayed request, which is sent with the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum RelayResult {
-    /// The endpoint's answer is the one that this travels with.
+    /// This is the result of an answer from the endpoint.
     Answered {
         /// Whether the connection to the endpoint was new.
         fresh: bool,
     },
-    /// The witness does not send to such an endpoint; nothing was sent.
+    /// The relay does not send to such an endpoint; nothing was sent.
     Refused,
     /// No connection to the endpoint could be opened; nothing was sent.
     ConnectFailed,
-    /// The witness gave up before the first byte; nothing was sent.
+    /// The relay gave up before the first byte; nothing was sent.
     NotSent,
-    /// The connection to the endpoint broke after bytes may have been sent.
+    /// The connection to the endpoint failed after bytes may have been sent.
     Broken {
         /// Whether it was new.
         fresh: bool,
@@ -97,15 +96,15 @@
         /// Whether the connection to it was new.
         fresh: bool,
     },
-    /// The request's body broke off on its way to the endpoint.
+    /// Reading the request's body failed on the way to the endpoint.
     BodyBroken,
 }
 
 impl RelayResult {
-    /// Returns what the owner's shard is told.
+    /// Returns the outcome that is reported to the owner's shard.
     fn outcome(self) -> Outcome {
         match self {
-            // Only with an answer, which is then passed on.
+            // Only sent with an answer, which is then returned to the caller.
             RelayResult::Answered { .. } => Outcome::RelayFailed { sent: true },
             RelayResult::Refused => Outcome::RelayFailed { sent: false },
             RelayResult::ConnectFailed => Outcome::ConnectFailed,
@@ -116,7 +115,7 @@
         }
     }
 
-    /// Adds the end to an answer's headers.
+    /// Writes the result to an answer's headers.
     pub(crate) fn write_to(self, fields: &mut HeaderMap) {
         if let Ok(text) = serde_json::to_string(&self) {
             headers::set(fields, header::VIA_END, &text);
@@ -128,19 +127,19 @@
     }
 }
 
-/// Why no answer of the endpoint could be had through the witness.
+/// Why no answer from the endpoint was received through the relay.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RelayError {
-    /// The witness is no longer alive; nothing was sent.
+    /// The relay is no longer alive; nothing was sent.
     #[error("relay {0} is not alive")]
     RelayNotAlive(Name),
-    /// The leg to the witness failed.
+    /// The exchange with the relay failed.
     #[error("leg to the relay: {0}")]
     Exchange(#[from] ExchangeError),
-    /// The witness says that its part failed.
+    /// The relay reports a failure.
     #[error("relay says {0:?}")]
     Failed(RelayResult),
-    /// The answer has no word of the witness on it.
+    /// The answer has no result of the relay.
     #[error("relay answered {status} without a word")]
     NoResult {
         /// HTTP status.
@@ -149,13 +148,12 @@
 }
 
 impl RelayError {
-    /// Returns what the shard is told.
+    /// Returns the outcome that is reported to the shard.
     ///
-    /// Failure guarded against: the leg to the witness breaks after a booking
-    /// was written to it, and the booking is called not run or is sent again,
-    /// while the witness has it run. It shows as a doubled booking. The guard
-    /// holds because only a connection to the witness on which no byte was
-    /// written, or the witness's own word, makes an attempt certainly not run.
+    /// If the connection to the relay fails after a booking was written to it, the relay may
+    /// still run it. The booking must not be reported as not run or be sent again. An attempt is
+    /// therefore certainly not run only if no byte was written to the relay, or if the relay
+    /// reports so.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
             RelayError::RelayNotAlive(_) => Outcome::RelayFailed { sent: false },
@@ -177,12 +175,12 @@
     }
 }
 
-/// Sends a request to the endpoint of `dispatch` through `witness` and returns
-/// the endpoint's answer.
+/// Sends a request to the endpoint of `dispatch` through `relay` and returns the endpoint's
+/// answer.
 ///
 /// # Errors
 ///
-/// Returns an error that says whether the endpoint may have got the request.
+/// Returns an error that indicates whether the endpoint may have received the request.
 pub(crate) async fn send(
     context: &Context,
     relay: &Name,
--- a/crates/pistachiotrackd/src/relay_server.rs
+++ b/crates/pistachiotrackd/src/relay_server.rs
@@ -1,7 +1,7 @@
-//! Sends another VM's request to an endpoint that the other VM can't reach.
+//! Relays a request from another VM to an endpoint that the other VM can't reach.
 //!
-//! The owner has decided everything; this VM only lends its path. It never
-//! sends the request to another VM, and not twice.
+//! The owner has made all decisions; this VM only provides its network path. It never forwards
+//! the request to another VM and never sends it twice.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,7 +21,7 @@
     request_task,
 };
 
-/// Answers a VM that sends a request for an endpoint.
+/// Handles a request that another VM sends for an endpoint.
 pub(crate) async fn handle(
     context: &Arc<Context>,
     request: Request<Incoming>,
@@ -45,9 +45,9 @@
     }
 }
 
-/// Reads what is asked for and returns it with the connections that this VM
-/// may have open to the endpoint; `None` if the configuration has no such
-/// endpoint, so that a stray message can't have this VM send to anything else.
+/// Parses the relay request and returns it with the number of connections that this VM may have
+/// open to the endpoint. Returns `None` if the configuration has no such endpoint, so that an
+/// invalid message can't make this VM send requests to other addresses.
 fn read_relay_request(context: &Context, fields: &HeaderMap) -> Option<(RelayRequest, u32)> {
     let relay_request: RelayRequest =
         serde_json::from_str(headers::text(fields, header::VIA)?).ok()?;
--- a/crates/pistachiotrackd/src/request_body.rs
+++ b/crates/pistachiotrackd/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests on their way from the caller to an endpoint or a VM.
+//! Bodies of requests sent to endpoints and to other VMs.
 
 use std::{
     pin::Pin,
@@ -18,18 +18,18 @@
     /// The body is larger than allowed.
     #[error("body is larger than {limit_bytes} bytes")]
     TooLarge {
-        /// Most bytes allowed.
+        /// Maximum length in bytes.
         limit_bytes: u64,
     },
-    /// No further part came in time.
-    #[error("body stalled")]
+    /// No data arrived within the idle limit.
+    #[error("body timed out: no data within the idle limit")]
     Stalled,
-    /// The other end broke off.
-    #[error("body broke off: {0}")]
+    /// The connection failed.
+    #[error("reading the body failed: {0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// The body of a request as it is sent once.
+/// Body of a request for a single exchange.
 #[derive(Debug)]
 pub(crate) enum SendBody {
     /// A whole body in memory.
@@ -109,18 +109,18 @@
     }
 }
 
-/// The body of a request as the caller gave it.
+/// Body of a request as received from the caller.
 ///
-/// A whole one can be sent any number of times, a streamed one once.
+/// A body in memory can be sent any number of times, a streamed one once.
 #[derive(Debug)]
 pub(crate) enum RequestBody {
     /// A whole body in memory.
     Whole(Option<Bytes>),
     /// A body that can be sent once.
     Once {
-        /// The body, until it has been sent.
+        /// The body, until it is sent.
         body: Mutex<Option<SendBody>>,
-        /// Hash of its length as far as it was announced.
+        /// Hash of its announced length.
         length_digest: u64,
     },
 }
@@ -128,21 +128,21 @@
 /// Limits of a request's body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BodyLimits {
-    /// Largest body.
+    /// Maximum length of a body.
     pub(crate) body_bytes: u64,
-    /// Largest body held in memory.
+    /// Maximum length of a body that is kept in memory.
     pub(crate) buffered_bytes: usize,
-    /// Time for the next part to arrive.
+    /// Time limit for the next data to arrive.
     pub(crate) idle: Duration,
 }
 
 impl RequestBody {
-    /// Reads a small body whole, so that no endpoint's slot waits for a slow
-    /// caller; of a larger one only the start.
+    /// Reads a small body completely, so that no slot of an endpoint waits for a slow caller. Of
+    /// a larger body only the start is read.
     ///
     /// # Errors
     ///
-    /// Returns an error if the body is too large, stalls or breaks off.
+    /// Returns an error if the body is too large, times out or can't be read.
     pub(crate) async fn read(
         mut incoming: Incoming,
         limits: BodyLimits,
@@ -178,8 +178,8 @@
         Ok(RequestBody::Once { body, length_digest })
     }
 
-    /// Takes the body for one exchange; `None` if it has been sent already and
-    /// can't be sent again.
+    /// Takes the body for one exchange; `None` if it has been sent already and can't be sent
+    /// again.
     pub(crate) fn take(&self) -> Option<SendBody> {
         match self {
             RequestBody::Whole(bytes) => Some(SendBody::Whole(bytes.clone())),
@@ -189,14 +189,14 @@
         }
     }
 
-    /// Gives back a body of which no byte was sent.
+    /// Restores a body of which no byte was sent.
     pub(crate) fn restore(&self, body: SendBody) {
         if let RequestBody::Once { body: slot, .. } = self {
             *slot.lock().unwrap_or_else(PoisonError::into_inner) = Some(body);
         }
     }
 
-    /// Returns the length of the body, or of the part of it that is known before it is sent.
+    /// Returns the length of the body, or of the part that is known before it is sent.
     pub(crate) fn announced_bytes(&self) -> usize {
         match self {
             RequestBody::Whole(bytes) => bytes.as_ref().map_or(0, Bytes::len),
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Returns a hash of the body, or of the length of one that is not held in memory.
+    /// Returns a hash of the body, or of its length if it isn't kept in memory.
     pub(crate) fn digest(&self) -> u64 {
         match self {
             RequestBody::Whole(bytes) => hash::fnv(bytes.as_deref().unwrap_or_default()),
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -1,5 +1,5 @@
-//! The part of a request's life at the VM that dispatches it: does what the
-//! shard decides and builds the answer.
+//! Task of a request at the VM that dispatches it: executes the decisions of the shard and builds
+//! the answer.
 
 use std::{
     future::{Future, poll_fn},
@@ -41,26 +41,25 @@
     view::FleetView,
 };
 
-/// Time after the deadline for which the shard's own refusal is waited for.
+/// Time after the deadline during which the shard's own refusal is awaited.
 const WATCHDOG_GRACE: Duration = Duration::from_millis(500);
 
-/// What came of a request.
+/// Result of a request.
 pub(crate) struct Served {
-    /// The answer, or the refusal, which is still to be written and logged.
+    /// The answer, or the refusal, which has not been written and logged yet.
     pub(crate) answer: Result<Response<AnswerBody>, PendingRefusal>,
-    /// Time between sending the request and the answer's head, if an endpoint
-    /// answered.
+    /// Time between sending the request and the head of the answer, if an endpoint answered.
     pub(crate) endpoint_time: Option<Duration>,
 }
 
 impl Served {
-    /// Returns what came of a request that is refused.
+    /// Returns the result of a refused request.
     pub(crate) fn refused(refusal: impl Into<PendingRefusal>) -> Served {
         Served { answer: Err(refusal.into()), endpoint_time: None }
     }
 }
 
-/// Has a request served by a shard of this VM.
+/// Serves a request with a shard of this VM.
 pub(crate) async fn serve(
     context: &Arc<Context>,
     shard: ActorRef<ShardActor>,
@@ -88,8 +87,9 @@
     task.run().await
 }
 
-/// Returns how many connections this VM may have open to an endpoint, its part of what the
-/// endpoint accepts, but enough for the endpoint's slots; and where the endpoint is.
+/// Returns the number of connections that this VM may have open to an endpoint, and the
+/// endpoint's location relative to this VM. The number is this VM's share of the connections that
+/// the endpoint accepts, but at least the number of the endpoint's slots.
 fn connection_budget(context: &Context, service: &str, endpoint: &str) -> (u32, Place) {
     let view = context.view();
     let endpoint =
@@ -101,15 +101,15 @@
     (endpoint_budget(&view, endpoint), place)
 }
 
-/// Returns how many connections this VM may have open to `endpoint`.
+/// Returns the number of connections that this VM may have open to `endpoint`.
 pub(crate) fn endpoint_budget(view: &FleetView, endpoint: &Endpoint) -> u32 {
     (endpoint.connections / view.live_vms()).max(endpoint.slots).max(MIN_CONNECTION_BUDGET)
 }
 
-/// Connections to an endpoint that a VM may have open in any case.
+/// Minimum number of connections that a VM may have open to an endpoint.
 const MIN_CONNECTION_BUDGET: u32 = 2;
 
-/// An attempt without an answer so far.
+/// An attempt whose answer has not started.
 struct RunningAttempt {
     attempt: AttemptId,
     copy: OutstandingCopy,
@@ -118,10 +118,10 @@
     abandon: AbandonSignal,
 }
 
-/// A request that a shard decides about.
+/// A request for which a shard makes the decisions.
 ///
-/// Dropping it ends all its attempts by closing their connections and tells the
-/// shard, which is what happens when the caller goes away.
+/// Dropping it cancels all its attempts by closing their connections and reports this to the
+/// shard. This happens when the caller disconnects.
 struct RequestTask {
     context: Arc<Context>,
     shard: ActorRef<ShardActor>,
@@ -130,23 +130,23 @@
     running: Vec<RunningAttempt>,
     answered: Vec<Answered>,
     copies: Copies,
-    /// Moment at which the shard was asked.
+    /// Time at which the request was submitted to the shard.
     started_at: Time,
     was_dispatched: bool,
     finished: bool,
 }
 
-/// An answer that has begun and waits for the shard's decision.
+/// An answer that has started and waits for the shard's decision.
 struct Answered {
     attempt: AttemptId,
     endpoint: Name,
-    /// Its address, unless it was asked through another VM.
+    /// Its address, unless the request was sent through a relay.
     address: Option<SocketAddr>,
     answer: Box<StartedAnswer>,
     pool: Arc<ConnectionPool>,
 }
 
-/// An attempt that has ended, or whose answer has begun.
+/// An attempt that has ended or whose answer has started.
 struct Ended {
     attempt: AttemptId,
     copy: OutstandingCopy,
@@ -243,15 +243,15 @@
         None
     }
 
-    /// Drops an attempt of a request that crashes endpoints, and refuses the request unless
-    /// another attempt is still on its way.
+    /// Skips an attempt of a request that crashes endpoints, and refuses the request unless
+    /// another attempt is still running.
     fn refuse_quarantined(&mut self, attempt: AttemptId, retry_after: Duration) -> Option<Served> {
         if !self.running.is_empty() || !self.answered.is_empty() {
             self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
         self.finished = true;
-        // Told first, so that the shard doesn't place the request anew.
+        // Sent first, so that the shard doesn't dispatch the request again.
         let _ = self.shard.tell(CallerGone(self.inbound.id)).try_send();
         self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
         let retry_after_ms = Some(retry_after.as_millis() as u64);
@@ -259,9 +259,10 @@
         Some(Served::refused(copies.refuse(Reason::CrashesEndpoints, retry_after_ms)))
     }
 
-    /// Failure guarded against: a booking is sent to two endpoints. It shows as
-    /// a doubled booking. The guard holds because every attempt of a request
-    /// passes here, and a copy counts as sent until it has come back.
+    /// Returns whether another dispatch could run a request twice that must not be repeated.
+    ///
+    /// Every attempt of a request is checked here, and a copy counts as possibly run until it is
+    /// known not to have run. Otherwise a booking could be sent to two endpoints.
     fn must_not_be_sent_again(&self) -> bool {
         !self.copies.is_certainly_not_run() && !self.inbound.route.idempotent
     }
@@ -304,7 +305,7 @@
         EndpointExecution { context, inbound, endpoint: endpoint.clone(), address }
     }
 
-    /// Says how an attempt ended; a failure is worth a line at any time.
+    /// Logs how an attempt ended; failures are logged at the warning level.
     fn log_end(&self, end: &AttemptEnd) {
         let level = match end.outcome {
             Outcome::Answered { status, .. } if status < FIRST_FAILURE_STATUS => log::Level::Debug,
@@ -353,7 +354,8 @@
         Some(Served { answer: Ok(response), endpoint_time: Some(endpoint_time) })
     }
 
-    /// Refuses the request without the shard's decision and tells the shard.
+    /// Refuses the request without a decision of the shard; dropping the task reports this to the
+    /// shard.
     fn refuse_unilaterally(&mut self, reason: Reason) -> Served {
         let refusal = match self.copies.finish().into_undispatched() {
             Ok(undispatched) => undispatched.refuse(reason, None),
@@ -365,12 +367,11 @@
         Served::refused(refusal)
     }
 
-    /// Returns the next command that was not read when the commands were closed.
+    /// Returns the next command that was still unread when the channel was closed.
     ///
-    /// Failure guarded against: a dispatch is sent at the moment at which the
-    /// caller goes away, nobody reports its end, and its slot stays taken. The
-    /// guard holds because a command that is just being sent makes the receiver
-    /// pending, and is waited for.
+    /// If a dispatch is sent at the moment at which the caller disconnects and its end is never
+    /// reported, the slot of the endpoint stays taken. A command that is just being sent makes
+    /// the receiver pending, so this function waits for it.
     fn next_buffered_command(&mut self) -> Option<Command> {
         loop {
             match tokio::task::unconstrained(self.commands.recv()).now_or_never() {
@@ -381,7 +382,7 @@
     }
 
     fn report_outcome(&self, attempt: AttemptId, outcome: Outcome, report: EndpointReport) {
-        // A stopped shard closes the commands, which ends this task.
+        // A stopped shard closes the command channel, which ends this task.
         let _ = self.shard.tell(AttemptOutcome { attempt, outcome, report }).try_send();
     }
 
@@ -424,7 +425,7 @@
     }
 }
 
-/// Waits until one of the running attempts has ended and removes it.
+/// Waits until one of the running attempts ends, and removes it.
 async fn next_end(running: &mut Vec<RunningAttempt>) -> Ended {
     poll_fn(|cx| {
         for index in 0..running.len() {
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -1,4 +1,4 @@
-//! The actor around the decisions of one shard.
+//! Actor that executes the decisions of one shard.
 
 mod peers;
 
@@ -42,62 +42,63 @@
     timer::TimerEvent,
 };
 
-/// Time without a word of a dispatcher after which a VM that isn't one asks for a
-/// picture when a request comes. Beliefs fade within about ten seconds.
+/// Maximum age of the last update from a dispatcher. When a request arrives at a VM that isn't a
+/// dispatcher and the last update is older, the VM requests a snapshot. Failure estimates decay
+/// within about ten seconds.
 const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(1);
 
-/// What a shard tells the task of a request.
+/// Commands of a shard to the task of a request.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Sends the request to an endpoint.
     Dispatch(Dispatch),
     /// Ends an attempt by closing its connection.
     Cancel(AttemptId),
-    /// Ends an attempt as if its time had passed.
+    /// Abandons an attempt as if its time limit had passed.
     GiveUp(AttemptId),
-    /// Passes on the answer of an attempt; final.
+    /// Sends the answer of an attempt to the caller; final.
     Deliver(AttemptId),
-    /// Answers with the answer of an earlier request; final.
+    /// Sends the answer of an earlier request; final.
     Replay(Arc<StoredAnswer>),
     /// Refuses the request; final.
     Refuse(RefusalDecision),
 }
 
-/// What a shard's actor is started with.
+/// Arguments of a shard's actor.
 pub(crate) struct ShardArgs {
     /// The shard.
     pub(crate) id: ShardId,
-    /// Configuration in force.
+    /// Active configuration.
     pub(crate) config: Arc<Config>,
     /// Mode at the start.
     pub(crate) mode: ShardMode,
-    /// Seed of every random choice.
+    /// Seed of all random choices.
     pub(crate) seed: u64,
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
-    /// Mechanisms at work.
+    /// Enabled mechanisms.
     pub(crate) mechanisms: FeatureFlags,
     /// Clock of the process.
     pub(crate) clock: Clock,
     /// Connections to endpoints.
     pub(crate) endpoints: Arc<ConnectionPool>,
-    /// Where the shard's live facts are published.
+    /// Table in which the shard publishes its status.
     pub(crate) statuses: ShardStatusTable,
-    /// Asks VMs elsewhere about endpoints.
+    /// Asks VMs in other data centres whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
-    /// Tells the other VMs that dispatch for the shard.
+    /// Sends updates to the other dispatchers of the shard.
     pub(crate) news: Arc<NewsLink>,
-    /// How endpoints speak.
+    /// Dialect of the endpoints.
     pub(crate) dialect: Arc<dyn Dialect>,
-    /// Time without requests after which a shard without an owner's duties stops.
+    /// Idle time after which a shard that this VM doesn't own is stopped.
     pub(crate) non_owner_idle: Duration,
 }
 
-/// The actor around the decisions of one shard.
+/// Actor that executes the decisions of one shard.
 ///
-/// The tasks of requests do the sending; the actor only decides. Of every
-/// attempt that a request's task was told of, the task reports the end; of one
-/// that it could not be told of any more, the actor does.
+/// The tasks of requests send them; the actor only makes decisions. The task reports the end of
+/// every attempt whose dispatch it received. The actor reports the end itself if the task could
+/// no longer be reached.
 pub(crate) struct ShardActor {
     id: ShardId,
     shard: Shard,
@@ -112,7 +113,7 @@
     mode: ShardMode,
     non_owner_idle: Duration,
     last_use: Time,
-    /// Moment of the last word of another VM, or of the last question for one.
+    /// Time of the last update from another VM or of the last request for a snapshot.
     last_update_at: Time,
     retired: bool,
 }
@@ -154,11 +155,11 @@
     }
 }
 
-/// Asks for a request to be served.
+/// Submits a request.
 pub(crate) struct Submit {
     /// The request.
     pub(crate) request: Request,
-    /// Where its task takes commands.
+    /// Channel for commands to its task.
     pub(crate) commands: UnboundedSender<Command>,
 }
 
@@ -175,13 +176,13 @@
     }
 }
 
-/// Tells how an attempt ended or how its answer began.
+/// Reports how an attempt ended or how its answer started.
 pub(crate) struct AttemptOutcome {
     /// The attempt.
     pub(crate) attempt: AttemptId,
-    /// How it ended or began.
+    /// Its outcome.
     pub(crate) outcome: Outcome,
-    /// What the endpoint reports.
+    /// State that the endpoint reports about itself.
     pub(crate) report: EndpointReport,
 }
 
@@ -195,13 +196,13 @@
     }
 }
 
-/// Tells how the body of an attempt's answer ended.
+/// Reports how the body of an attempt's answer ended.
 pub(crate) struct BodyEnded {
     /// The attempt.
     pub(crate) attempt: AttemptId,
     /// How the body ended.
     pub(crate) end: BodyEnd,
-    /// The whole answer, if it is kept for duplicates of the request.
+    /// The complete answer, if it is stored for duplicates of the request.
     pub(crate) stored: Option<(RequestId, StoredAnswer)>,
 }
 
@@ -219,7 +220,7 @@
     }
 }
 
-/// Tells that a caller went away before its answer began.
+/// Reports that a caller disconnected before its answer started.
 pub(crate) struct CallerGone(pub(crate) RequestId);
 
 impl Message<CallerGone> for ShardActor {
@@ -232,7 +233,7 @@
     }
 }
 
-/// Gives a shard a new configuration.
+/// Applies a new configuration to a shard.
 pub(crate) struct NewConfig(pub(crate) Arc<Config>);
 
 impl Message<NewConfig> for ShardActor {
@@ -244,7 +245,7 @@
     }
 }
 
-/// Changes how far this VM may go.
+/// Changes the mode of a shard on this VM.
 pub(crate) struct SetMode(pub(crate) ShardMode);
 
 impl Message<SetMode> for ShardActor {
@@ -268,7 +269,7 @@
     }
 }
 
-/// Asks for the endpoints of the shard.
+/// Requests the status of the shard's endpoints.
 pub(crate) struct Endpoints;
 
 impl Message<Endpoints> for ShardActor {
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Does one action and returns what follows from its failure.
+    /// Executes an action and returns the actions that follow from its failure.
     fn apply_one(&mut self, action: ShardAction) -> Vec<ShardAction> {
         match action {
             ShardAction::Dispatch(dispatch) => return self.dispatch(dispatch),
@@ -384,7 +385,7 @@
     }
 
     fn command(&self, request: RequestId, command: Command) {
-        // A request whose task has ended has ended its attempts too.
+        // If the task of a request has ended, its attempts have ended too.
         if let Some(commands) = self.requests.get(&request) {
             let _ = commands.send(command);
         }
@@ -392,24 +393,26 @@
 
     fn finish(&mut self, request: RequestId, command: Command) {
         if let Some(commands) = self.requests.remove(&request) {
-            // The caller may have gone away; the task has told so then.
+            // If the caller disconnected, the task has already reported it.
             let _ = commands.send(command);
         }
     }
 
-    /// Failure guarded against: a careful shard that served a booking in the
-    /// owner's place is forgotten, and a duplicate of the booking runs. It
-    /// shows as a doubled booking. The guard holds because a shard with a key on
-    /// record is kept.
+    /// Returns whether the actor may be stopped because it is idle.
+    ///
+    /// A shard in careful mode may have served a booking in place of the owner. If its record of
+    /// idempotency keys were lost, a duplicate of the booking would run. A shard with a recorded
+    /// key is therefore kept.
     fn can_stop(&self) -> bool {
         let unused = self.clock.now().since(self.last_use);
         self.mode != ShardMode::Owner && unused >= self.non_owner_idle && self.shard.is_idle()
     }
 
-    /// Failure guarded against: a VM becomes a dispatcher after a time in which it was
-    /// told little, and sends retries that the others have sent already. It shows as
-    /// more retries than the service's limit allows. The guard holds because it asks
-    /// for a picture then, and is careful until it gets one.
+    /// Updates the set of dispatchers of the shard.
+    ///
+    /// A VM that becomes a dispatcher may have received few updates before, and would send
+    /// retries that the other dispatchers have already sent, exceeding the service's retry limit.
+    /// It therefore requests a snapshot, and limits itself until the snapshot arrives.
     fn update_dispatchers(&mut self, now: Time) {
         let dispatchers = self.news.dispatchers(&self.id.service);
         if self.shard.set_dispatchers(now, dispatchers) {
@@ -423,10 +426,11 @@
         }
     }
 
-    /// Failure guarded against: a VM that callers seldom use sends a request to an
-    /// endpoint that all others know to fail. It shows as failures with a risk that was
-    /// seen ten seconds ago. The guard holds because it asks when a request comes, which
-    /// waits for the picture.
+    /// Requests a snapshot if the last update is too old.
+    ///
+    /// A VM that gets few requests would otherwise use estimates that are ten seconds old and
+    /// send a request to an endpoint that all other VMs know to fail. The snapshot is requested
+    /// when a request arrives, and the request waits for it.
     fn refresh_snapshot(&mut self, now: Time) {
         if self.shard.is_shared() && now.since(self.last_update_at) >= MAX_SNAPSHOT_AGE {
             self.last_update_at = now;
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -1,4 +1,4 @@
-//! What other VMs tell a shard, and what it tells them on its own.
+//! Messages between a shard and other VMs.
 
 use std::net::SocketAddr;
 
@@ -12,11 +12,11 @@
     news_link::{NewsContent, NewsDatagram},
 };
 
-/// Takes what another VM that dispatches for the shard tells.
+/// Applies an update from another dispatcher of the shard.
 pub(crate) struct PeerUpdate {
     /// Address of the VM.
     pub(crate) address: SocketAddr,
-    /// What it tells.
+    /// The update.
     pub(crate) datagram: NewsDatagram,
 }
 
@@ -40,11 +40,11 @@
     }
 }
 
-/// Tells what VMs elsewhere say about an endpoint.
+/// Reports what VMs in other data centres answered about an endpoint.
 pub(crate) struct PathChecked {
     /// The endpoint.
     pub(crate) endpoint: Name,
-    /// What they say.
+    /// Their combined answer.
     pub(crate) answer: PathAnswer,
     /// VMs that reach it.
     pub(crate) witnesses: Vec<Name>,
@@ -62,7 +62,7 @@
             message.witnesses
         );
         let now = self.clock.now();
-        // Where several VMs dispatch, those that reach the endpoint use it.
+        // If several VMs are dispatchers of the service, those that reach the endpoint use it.
         let actions = match message.witnesses.is_empty() || self.shard.is_shared() {
             true => self.shard.on_path_answer(now, &message.endpoint, message.answer),
             false => self.shard.on_relays(now, &message.endpoint, message.witnesses),
@@ -71,11 +71,11 @@
     }
 }
 
-/// Hands the shard over to its new owner.
+/// Sends the shard's state to its new owner.
 pub(crate) struct SendHandOver {
     /// The new owner.
     pub(crate) to: Vm,
-    /// Dropped when the new owner has been told, or can't be.
+    /// Dropped when the new owner has received the state, or can't be reached.
     pub(crate) done: Option<mpsc::Sender<()>>,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Takes what the shard's old owner knew.
+/// Applies the state sent by the shard's previous owner.
 pub(crate) struct ReceiveHandOver(pub(crate) ShardHandOver);
 
 impl Message<ReceiveHandOver> for ShardActor {
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -1,4 +1,4 @@
-//! The shards that this VM works on, as owner or in the owner's place.
+//! Shards that run on this VM, as their owner or in place of the owner.
 
 use std::{
     net::SocketAddr,
@@ -33,45 +33,44 @@
     view::FleetView,
 };
 
-/// Live facts about a shard that rules may ask for.
+/// Current status of a shard, used by the conditions of rules.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ShardStatus {
-    /// Whether further ejections are held back.
+    /// Whether no further endpoint is ejected because the minimum is reached.
     pub(crate) at_floor: bool,
-    /// Expected wait of a new request.
+    /// Expected queueing time of a new request.
     pub(crate) queue_wait_ms: u64,
 }
 
-/// Facts of all shards that this VM works on.
+/// Status of all shards that run on this VM.
 pub(crate) type ShardStatusTable = Arc<RwLock<FxHashMap<ShardId, ShardStatus>>>;
 
-/// What the shards of a VM have in common.
+/// Arguments that all shards of a VM share.
 #[derive(Debug)]
 pub(crate) struct ShardTableArgs {
     /// Clock of the process.
     pub(crate) clock: Clock,
     /// Connections to endpoints.
     pub(crate) endpoints: Arc<ConnectionPool>,
-    /// Ticks for the shards.
+    /// Source of ticks for the shards.
     pub(crate) timer: ActorRef<TimerService>,
-    /// Asks VMs elsewhere about endpoints.
+    /// Asks VMs in other data centres whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
-    /// Tells the other VMs that dispatch side by side.
+    /// Sends updates to the other dispatchers of a shared service.
     pub(crate) news: Arc<NewsLink>,
-    /// How endpoints speak.
+    /// Dialect of the endpoints.
     pub(crate) dialect: Arc<dyn Dialect>,
-    /// Time without requests after which a shard is forgotten that this VM does
-    /// not own.
+    /// Idle time after which a shard that this VM doesn't own is stopped.
     pub(crate) non_owner_idle: Duration,
-    /// Seed of every random choice.
+    /// Seed of all random choices.
     pub(crate) seed: u64,
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
-    /// Mechanisms at work.
+    /// Enabled mechanisms.
     pub(crate) mechanisms: FeatureFlags,
 }
 
-/// The actors of the shards that this VM works on.
+/// Actors of the shards that run on this VM.
 #[derive(Debug)]
 pub(crate) struct ShardTable {
     actors: RwLock<FxHashMap<ShardId, ActorRef<ShardActor>>>,
@@ -122,20 +121,19 @@
             non_owner_idle: shared.non_owner_idle,
         };
         let actor = ShardActor::spawn_with_mailbox(args, mailbox::unbounded());
-        // The timer service outlives every shard but at the process's end.
+        // The timer service stops only when the process ends.
         let _ = shared.timer.tell(Subscribe(actor.clone().recipient())).try_send();
         actors.insert(shard.clone(), actor.clone());
         actor
     }
 
-    /// Starts a shard as its owner or makes a running one the owner.
+    /// Starts a shard as its owner, or makes this VM the owner of a running one.
     pub(crate) fn own(&self, shard: &ShardId, config: &Arc<Config>) {
         let actor = self.find_or_start(shard, config, ShardMode::Owner);
         let _ = actor.tell(SetMode(ShardMode::Owner)).try_send();
     }
 
-    /// Changes a shard's mode because another VM owns it now, and hands it over
-    /// to that VM.
+    /// Changes the mode of a shard that another VM owns now, and hands the shard over to that VM.
     pub(crate) fn disown(&self, shard: &ShardId, to: Option<Vm>, mode: ShardMode) {
         if let Some(to) = to {
             self.hand_over(shard, to, None);
@@ -145,18 +143,18 @@
         }
     }
 
-    /// Tells a VM what this one knows of a shard; `told` is dropped afterwards.
+    /// Sends the state of a shard to a VM; `done` is dropped afterwards.
     pub(crate) fn hand_over(&self, shard: &ShardId, to: Vm, done: Option<mpsc::Sender<()>>) {
         if let Some(actor) = self.find(shard) {
-            // A shard that has just stopped has nothing to tell.
+            // A shard that has just stopped has no state to send.
             let _ = actor.tell(SendHandOver { to, done }).try_send();
         }
     }
 
-    /// Passes on what another VM tells that dispatches for a shared service.
+    /// Passes an update from another dispatcher of a shared service to its shard.
     ///
-    /// A dispatcher starts the shard for it, so that it knows the endpoints
-    /// before its own first request.
+    /// A dispatcher starts the shard if needed, so that it has estimates of the endpoints before
+    /// its first request.
     pub(crate) fn on_peer_update(
         &self,
         view: &FleetView,
@@ -174,7 +172,7 @@
         });
         if let Some(actor) = actor {
             let news = PeerUpdate { address: from, datagram };
-            // A shard that has just stopped needs no news.
+            // A shard that has just stopped needs no updates.
             let _ = actor.tell(news).try_send();
         }
     }
@@ -185,7 +183,7 @@
         actors.iter().map(|(id, actor)| (id.clone(), actor.clone())).collect()
     }
 
-    /// Stops the shards that `keep` does not hold for.
+    /// Stops the shards for which `keep` returns false.
     pub(crate) fn retain(&self, keep: impl Fn(&ShardId) -> bool) {
         let mut actors = self.actors.write().unwrap_or_else(PoisonError::into_inner);
         actors.retain(|id, _| keep(id));
@@ -219,7 +217,7 @@
     }
 }
 
-/// Returns the name under which a shard is shown and logged.
+/// Returns the name of a shard in logs and on the admin port.
 pub(crate) fn shard_name(shard: &ShardId) -> Name {
     Name::from(format!("{}/{}", shard.service, shard.index))
 }
--- a/crates/pistachiotrackd/src/stall_guard.rs
+++ b/crates/pistachiotrackd/src/stall_guard.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that fails when the other end takes nothing for too long.
+//! A TCP stream that fails if a write makes no progress for too long.
 
 use std::{
     future::Future,
@@ -17,13 +17,10 @@
 
 use crate::arrival::ArrivalTracker;
 
-/// A TCP stream that fails when the other end takes nothing for too long, and
-/// whose reads are watched.
+/// A TCP stream that fails if a write makes no progress for too long, and that tracks its reads.
 ///
-/// Failure guarded against: a caller goes silent while its answer is on the
-/// way, and the answer holds an endpoint's slot for good. It shows as a write
-/// that stays pending. The guard holds because every write that is
-/// pending runs under the same timer, which only progress resets.
+/// A caller that stops reading its answer would block a slot of the endpoint forever with a
+/// pending write. All pending writes therefore share a timer that only progress resets.
 #[derive(Debug)]
 pub(crate) struct StallGuard {
     inner: TcpStream,
@@ -33,7 +30,7 @@
 }
 
 impl StallGuard {
-    /// Puts a stream under a guard that fails after `limit` without progress.
+    /// Creates a stream that fails after `limit` without progress.
     pub(crate) fn new(
         inner: TcpStream,
         limit: Duration,
