--- a/crates/pistachiotrackd/src/attempt.rs
+++ b/crates/pistachiotrackd/src/attempt.rs
@@ -32,7 +32,7 @@
     /// Why the endpoint was selected.
     pub(crate) selection: SelectionDetails,
     /// Time from the dispatch to the outcome.
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
     /// Outcome that is reported to the shard.
     pub(crate) outcome: Outcome,
     /// State that the endpoint reports about itself.
@@ -86,7 +86,7 @@
         endpoint: dispatch.endpoint.clone(),
         address: dispatch.via.is_none().then_some(dispatch.address),
         selection: dispatch.selection,
-        took: context.clock.now().since(started_at),
+        elapsed: context.clock.now().since(started_at),
         outcome: Outcome::NotSent,
         report: EndpointReport::default(),
         answer: None,
@@ -109,7 +109,7 @@
 
 /// Selects the connection for the attempt.
 ///
-/// A firewall or NAT device on the path can drop its state for an idle connection. A booking
+/// A middlebox (firewall, NAT) on the path can drop its state for an idle connection. A booking
 /// written to such a connection gets no answer, and it is unknown whether it ran. A request that
 /// must not be repeated is therefore never sent on a connection that has been idle for long.
 fn connection_choice(inbound: &Inbound, choice: ConnectionChoice) -> ConnectionChoice {
--- a/crates/pistachiotrackd/src/body.rs
+++ b/crates/pistachiotrackd/src/body.rs
@@ -213,7 +213,7 @@
     /// Copy of the answer that is stored for duplicates of the request.
     pub(crate) copy: Option<AnswerCopy>,
     /// Execution of the request that produced the answer.
-    pub(crate) run: ExecutionMonitor,
+    pub(crate) execution: ExecutionMonitor,
 }
 
 impl AnswerMonitor {
@@ -227,7 +227,7 @@
     }
 
     fn finish(self, end: BodyEnd) {
-        self.run.finish(end);
+        self.execution.finish(end);
         let stored =
             self.copy.filter(|_| end == BodyEnd::Complete).map(|copy| (copy.request, copy.answer));
         let ended = BodyEnded { attempt: self.attempt, end, stored };
--- a/crates/pistachiotrackd/src/connection.rs
+++ b/crates/pistachiotrackd/src/connection.rs
@@ -77,7 +77,7 @@
 pub(crate) struct Connector {
     /// Clock of the process.
     pub(crate) clock: Clock,
-    /// Blocks writes for a short time after a pause of the process.
+    /// Gate that closes after a pause of the process.
     pub(crate) gate: PauseGate,
     /// Limits of the daemon.
     pub(crate) limits: Arc<Limits>,
--- a/crates/pistachiotrackd/src/connection_pool.rs
+++ b/crates/pistachiotrackd/src/connection_pool.rs
@@ -212,7 +212,7 @@
 
     /// Returns whether the connection received an answer recently.
     ///
-    /// A firewall or NAT device on the path can drop its state for an idle connection, after
+    /// A middlebox (firewall, NAT) on the path can drop its state for an idle connection, after
     /// which requests on it are lost and no answer arrives. A connection with a recent answer was
     /// known to both ends at that time.
     fn is_recently_used(&self, connection: &Connection, now: Time) -> bool {
--- a/crates/pistachiotrackd/src/crash_check.rs
+++ b/crates/pistachiotrackd/src/crash_check.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(crate) struct ExecutionMonitor {
     /// The execution.
-    pub(crate) run: EndpointExecution,
+    pub(crate) execution: EndpointExecution,
     /// Whether the answer is a failure, which doesn't show whether the request crashes endpoints.
     pub(crate) is_failure: bool,
 }
@@ -58,9 +58,9 @@
     pub(crate) fn finish(self, end: BodyEnd) {
         match end {
             BodyEnd::Complete if !self.is_failure => {
-                self.run.context.quarantine.on_answered(&self.run.inbound);
+                self.execution.context.quarantine.on_answered(&self.execution.inbound);
             }
-            BodyEnd::Truncated => self.run.check_endpoint(),
+            BodyEnd::Truncated => self.execution.check_endpoint(),
             BodyEnd::Complete | BodyEnd::CallerGone => {}
         }
     }
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -178,7 +178,7 @@
             endpoints: Arc::clone(&endpoints),
             timer: timer.clone(),
             path_check,
-            news: Arc::clone(&news),
+            update_link: Arc::clone(&news),
             dialect: Arc::clone(&adapter.dialect),
             non_owner_idle: Duration::from_millis(settings.limits.careful_idle_ms),
             seed,
--- a/crates/pistachiotrackd/src/exchange.rs
+++ b/crates/pistachiotrackd/src/exchange.rs
@@ -93,7 +93,7 @@
         /// Whether bytes may have been sent.
         sent: bool,
     },
-    /// The connection broke after bytes may have been sent.
+    /// The connection failed after bytes may have been sent.
     #[error("connection failed after bytes may have been sent")]
     Broken {
         /// Whether the connection was opened for this exchange.
@@ -124,7 +124,7 @@
 impl ExchangeError {
     /// Returns whether the idle connections to the address should be closed.
     ///
-    /// A firewall or NAT device on the path can drop the state of all connections at once. Each
+    /// A middlebox (firewall, NAT) on the path can drop the state of all connections at once. Each
     /// pooled connection would then fail in turn and cost a request. The first failure on a
     /// pooled connection therefore closes the other idle ones.
     fn invalidates_idle_connections(&self) -> bool {
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -84,7 +84,7 @@
     sent: Time,
 }
 
-/// Forwards a request to the VM that owns its shard, over one hop at most.
+/// Forwards a request to `owner` and returns the result.
 pub(crate) async fn send(
     context: &Context,
     owner: &Vm,
@@ -107,7 +107,7 @@
     /// Sends a request that may be repeated, and sends it again over a new connection if the
     /// answer takes too long.
     ///
-    /// A firewall or NAT device between two VMs can drop the state of their connections. Requests
+    /// A middlebox (firewall, NAT) between two VMs can drop the state of their connections. Requests
     /// on them would then wait until their deadline although both VMs are healthy. The answer on
     /// the new connection is used, and the first connection and all idle ones are closed.
     async fn send_with_retry(&self, mut copies: Copies, copy: OutstandingCopy) -> Forwarded {
@@ -208,14 +208,14 @@
             abandon: AbandonSignal::default(),
         };
         let head = request_head(context, inbound);
-        let place = Place::of(&owner.data_centre, &context.me.data_centre);
-        context.traffic.sent(Topic::Forwarded, place, inbound.body.announced_bytes());
+        let locality = Place::of(&owner.data_centre, &context.me.data_centre);
+        context.traffic.sent(Topic::Forwarded, locality, inbound.body.announced_bytes());
         let ended = exchange::run(&context.peers, context.clock, target, head, &inbound.body).await;
         let mut answer = match ended {
             Ok(answer) => answer,
             Err(error) => return CopyEnd::Failed(error.into(), copy),
         };
-        context.traffic.received(Topic::Forwarded, place, body::announced_bytes(&answer.body));
+        context.traffic.received(Topic::Forwarded, locality, body::announced_bytes(&answer.body));
         match PeerResult::take_from(&mut answer.parts.headers, &inbound.fleet_id) {
             PeerAnswer::Answer(endpoint_time) => CopyEnd::Answered(Box::new(answer), endpoint_time),
             PeerAnswer::Refused(result) => {
--- a/crates/pistachiotrackd/src/listener.rs
+++ b/crates/pistachiotrackd/src/listener.rs
@@ -111,7 +111,7 @@
 /// Handles a request and closes its connection after the answer while the daemon is shutting
 /// down.
 ///
-/// If a stopping daemon closes a keep-alive connection at the moment at which a caller sends a
+/// If a stopping daemon closes a keep-alive connection while a caller sends a
 /// request on it, the caller can't know whether the request ran. Each connection used during the
 /// shutdown therefore ends with an answer, so that only idle connections are closed at the end.
 fn answer<H, F>(
--- a/crates/pistachiotrackd/src/path_check.rs
+++ b/crates/pistachiotrackd/src/path_check.rs
@@ -16,7 +16,7 @@
 /// Time limit for an answer.
 const ASK_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Asks VMs in other data centres whether they reach an endpoint.
+/// Asks other VMs whether they reach an endpoint.
 ///
 /// If only this VM's path to an endpoint is broken, the endpoint must not be ejected as faulty.
 /// The VMs that are asked are in other data centres if there are any, and reach the endpoint by
--- a/crates/pistachiotrackd/src/proxy.rs
+++ b/crates/pistachiotrackd/src/proxy.rs
@@ -225,8 +225,8 @@
     let until = context.clock.started() + wait;
     let until = time_left.map_or(until, |left| until.min(received + left / FIRST_CONFIG_DIVISOR));
     let mut view = context.view.clone();
-    let known = view.wait_for(|view| view.active.is_some());
-    match tokio::time::timeout_at(context.clock.instant(until), known).await {
+    let configured = view.wait_for(|view| view.active.is_some());
+    match tokio::time::timeout_at(context.clock.instant(until), configured).await {
         Ok(Ok(view)) => Arc::clone(&view),
         Ok(Err(_)) | Err(_) => context.view(),
     }
--- a/crates/pistachiotrackd/src/quarantine/transport.rs
+++ b/crates/pistachiotrackd/src/quarantine/transport.rs
@@ -128,8 +128,8 @@
     }
 
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        let place = self.view.borrow().place(to);
-        udp::send(&self.socket, to, bytes, &self.traffic, (Topic::Quarantine, place));
+        let locality = self.view.borrow().place(to);
+        udp::send(&self.socket, to, bytes, &self.traffic, (Topic::Quarantine, locality));
     }
 }
 
--- a/crates/pistachiotrackd/src/relay_client.rs
+++ b/crates/pistachiotrackd/src/relay_client.rs
@@ -84,7 +84,7 @@
     Refused,
     /// No connection to the endpoint could be opened; nothing was sent.
     ConnectFailed,
-    /// The relay gave up before the first byte; nothing was sent.
+    /// The relay abandoned the request before the first byte; nothing was sent.
     NotSent,
     /// The connection to the endpoint failed after bytes may have been sent.
     Broken {
@@ -134,13 +134,13 @@
     #[error("relay {0} is not alive")]
     RelayNotAlive(Name),
     /// The exchange with the relay failed.
-    #[error("leg to the relay: {0}")]
+    #[error("exchange with the relay: {0}")]
     Exchange(#[from] ExchangeError),
     /// The relay reports a failure.
-    #[error("relay says {0:?}")]
+    #[error("relay reports {0:?}")]
     Failed(RelayResult),
     /// The answer has no result of the relay.
-    #[error("relay answered {status} without a word")]
+    #[error("relay answered {status} without a result header")]
     NoResult {
         /// HTTP status.
         status: u16,
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -90,15 +90,19 @@
 /// Returns the number of connections that this VM may have open to an endpoint, and the
 /// endpoint's location relative to this VM. The number is this VM's share of the connections that
 /// the endpoint accepts, but at least the number of the endpoint's slots.
-fn connection_budget(context: &Context, service: &str, endpoint: &str) -> (u32, Place) {
+fn connection_budget_and_locality(
+    context: &Context,
+    service: &str,
+    endpoint: &str,
+) -> (u32, Place) {
     let view = context.view();
     let endpoint =
         view.active.as_ref().and_then(|active| active.service(service)).and_then(|service| {
             service.endpoints.iter().find(|candidate| candidate.name.as_str() == endpoint)
         });
     let Some(endpoint) = endpoint else { return (MIN_CONNECTION_BUDGET, Place::Unknown) };
-    let place = Place::of(&endpoint.data_centre, &context.me.data_centre);
-    (endpoint_budget(&view, endpoint), place)
+    let locality = Place::of(&endpoint.data_centre, &context.me.data_centre);
+    (endpoint_budget(&view, endpoint), locality)
 }
 
 /// Returns the number of connections that this VM may have open to `endpoint`.
@@ -114,7 +118,7 @@
     attempt: AttemptId,
     copy: OutstandingCopy,
     end: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
-    place: Place,
+    locality: Place,
     abandon: AbandonSignal,
 }
 
@@ -150,7 +154,7 @@
 struct Ended {
     attempt: AttemptId,
     copy: OutstandingCopy,
-    place: Place,
+    locality: Place,
     end: AttemptEnd,
 }
 
@@ -229,8 +233,9 @@
         let context = Arc::clone(&self.context);
         let inbound = Arc::clone(&self.inbound);
         let service = &inbound.route.shard.service;
-        let (budget, place) = connection_budget(&context, service, &dispatch.endpoint);
-        context.traffic.sent(Topic::Endpoint, place, inbound.body.announced_bytes());
+        let (budget, locality) =
+            connection_budget_and_locality(&context, service, &dispatch.endpoint);
+        context.traffic.sent(Topic::Endpoint, locality, inbound.body.announced_bytes());
         if !self.was_dispatched {
             self.was_dispatched = true;
             let queued = context.clock.now().since(self.started_at);
@@ -239,7 +244,7 @@
         let abandon = AbandonSignal::default();
         let copy = self.copies.send(dispatch.endpoint.clone(), context.clock.now());
         let end = Box::pin(attempt::run(context, inbound, dispatch, budget, abandon.clone()));
-        self.running.push(RunningAttempt { attempt, copy, end, place, abandon });
+        self.running.push(RunningAttempt { attempt, copy, end, locality, abandon });
         None
     }
 
@@ -279,7 +284,7 @@
     }
 
     fn on_end(&mut self, ended: Ended) -> Option<Served> {
-        let Ended { attempt, copy, place, end } = ended;
+        let Ended { attempt, copy, locality, end } = ended;
         if let Some(copy) = copy.on_outcome(end.outcome) {
             self.copies.record_not_run(copy);
         }
@@ -292,7 +297,7 @@
         }
         if let Some(answer) = end.answer {
             let bytes = body::announced_bytes(&answer.body);
-            self.context.traffic.received(Topic::Endpoint, place, bytes);
+            self.context.traffic.received(Topic::Endpoint, locality, bytes);
             let AttemptEnd { endpoint, address, pool, .. } = end;
             self.answered.push(Answered { attempt, endpoint, address, answer, pool });
         }
@@ -325,7 +330,7 @@
             end.selection.reason,
             f64::from(end.selection.risk_permille) / 10.0,
             end.selection.last_seen_ms_ago,
-            end.took.as_millis()
+            end.elapsed.as_millis()
         );
     }
 
@@ -337,8 +342,9 @@
         let endpoint_time = started_at.since(sent);
         let copy = self.inbound.key().map(|_| AnswerCopy::begin(self.inbound.id, &parts));
         let is_failure = parts.status.as_u16() >= FIRST_FAILURE_STATUS;
-        let run = ExecutionMonitor { run: self.execution_at(&endpoint, address), is_failure };
-        let monitor = AnswerMonitor { shard: self.shard.clone(), attempt, copy, run };
+        let execution =
+            ExecutionMonitor { execution: self.execution_at(&endpoint, address), is_failure };
+        let monitor = AnswerMonitor { shard: self.shard.clone(), attempt, copy, execution };
         let body = AnswerBody::streaming(
             &parts,
             body,
@@ -369,7 +375,7 @@
 
     /// Returns the next command that was still unread when the channel was closed.
     ///
-    /// If a dispatch is sent at the moment at which the caller disconnects and its end is never
+    /// If a dispatch is sent while the caller disconnects and its end is never
     /// reported, the slot of the endpoint stays taken. A command that is just being sent makes
     /// the receiver pending, so this function waits for it.
     fn next_buffered_command(&mut self) -> Option<Command> {
@@ -430,8 +436,8 @@
     poll_fn(|cx| {
         for index in 0..running.len() {
             if let Poll::Ready(end) = running[index].end.as_mut().poll(cx) {
-                let RunningAttempt { attempt, copy, place, .. } = running.swap_remove(index);
-                return Poll::Ready(Ended { attempt, copy, place, end });
+                let RunningAttempt { attempt, copy, locality, .. } = running.swap_remove(index);
+                return Poll::Ready(Ended { attempt, copy, locality, end });
             }
         }
         Poll::Pending
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -84,10 +84,10 @@
     pub(crate) endpoints: Arc<ConnectionPool>,
     /// Table in which the shard publishes its status.
     pub(crate) statuses: ShardStatusTable,
-    /// Asks VMs in other data centres whether they reach an endpoint.
+    /// Asks other VMs whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
     /// Sends updates to the other dispatchers of the shard.
-    pub(crate) news: Arc<NewsLink>,
+    pub(crate) update_link: Arc<NewsLink>,
     /// Dialect of the endpoints.
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Idle time after which a shard that this VM doesn't own is stopped.
@@ -106,7 +106,7 @@
     endpoints: Arc<ConnectionPool>,
     statuses: ShardStatusTable,
     path_check: PathCheck,
-    news: Arc<NewsLink>,
+    update_link: Arc<NewsLink>,
     dialect: Arc<dyn Dialect>,
     actor_ref: WeakActorRef<ShardActor>,
     requests: FxHashMap<RequestId, UnboundedSender<Command>>,
@@ -131,8 +131,8 @@
         };
         let now = args.clock.now();
         let mut shard = Shard::new(now, args.id.clone(), &args.config, settings);
-        shard.set_dispatchers(now, args.news.dispatchers(&args.id.service));
-        if shard.is_shared() && args.news.ask(&args.id) {
+        shard.set_dispatchers(now, args.update_link.dispatchers(&args.id.service));
+        if shard.is_shared() && args.update_link.ask(&args.id) {
             shard.on_snapshot_requested(now);
         }
         Ok(ShardActor {
@@ -142,7 +142,7 @@
             endpoints: args.endpoints,
             statuses: args.statuses,
             path_check: args.path_check,
-            news: args.news,
+            update_link: args.update_link,
             dialect: args.dialect,
             actor_ref: actor_ref.downgrade(),
             requests: FxHashMap::default(),
@@ -343,12 +343,12 @@
                 let Some(shard) = self.actor_ref.upgrade() else { return Vec::new() };
                 let check = self.path_check.clone();
                 tokio::spawn(async move {
-                    let (answer, witnesses) = check.ask(endpoint.clone(), address).await;
+                    let (answer, relays) = check.ask(endpoint.clone(), address).await;
                     // A stopped shard needs no answer.
-                    let _ = shard.tell(PathChecked { endpoint, answer, witnesses }).try_send();
+                    let _ = shard.tell(PathChecked { endpoint, answer, relays }).try_send();
                 });
             }
-            ShardAction::Broadcast(news) => self.news.tell(news),
+            ShardAction::Broadcast(update) => self.update_link.tell(update),
             ShardAction::RateLimit { endpoint, limit } => {
                 let per_second = limit.map(RateLimit::per_second);
                 log::info!(
@@ -414,14 +414,14 @@
     /// retries that the other dispatchers have already sent, exceeding the service's retry limit.
     /// It therefore requests a snapshot, and limits itself until the snapshot arrives.
     fn update_dispatchers(&mut self, now: Time) {
-        let dispatchers = self.news.dispatchers(&self.id.service);
+        let dispatchers = self.update_link.dispatchers(&self.id.service);
         if self.shard.set_dispatchers(now, dispatchers) {
-            self.news.ask(&self.id);
+            self.update_link.ask(&self.id);
         }
     }
 
     fn request_snapshot(&mut self, now: Time) {
-        if self.news.ask(&self.id) {
+        if self.update_link.ask(&self.id) {
             self.shard.on_snapshot_requested(now);
         }
     }
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -29,10 +29,10 @@
         self.last_update_at = now;
         let NewsDatagram { from, content, .. } = message.datagram;
         let actions = match content {
-            NewsContent::Told(news) => self.shard.on_update(now, &from, &news),
-            NewsContent::Picture(picture) => self.shard.on_snapshot(now, &picture),
+            NewsContent::Told(update) => self.shard.on_update(now, &from, &update),
+            NewsContent::Picture(snapshot) => self.shard.on_snapshot(now, &snapshot),
             NewsContent::Begun(_) => {
-                self.news.answer(message.address, self.shard.snapshot(now));
+                self.update_link.answer(message.address, self.shard.snapshot(now));
                 Vec::new()
             }
         };
@@ -40,14 +40,14 @@
     }
 }
 
-/// Reports what VMs in other data centres answered about an endpoint.
+/// Reports whether other VMs reach an endpoint.
 pub(crate) struct PathChecked {
     /// The endpoint.
     pub(crate) endpoint: Name,
     /// Their combined answer.
     pub(crate) answer: PathAnswer,
     /// VMs that reach it.
-    pub(crate) witnesses: Vec<Name>,
+    pub(crate) relays: Vec<Name>,
 }
 
 impl Message<PathChecked> for ShardActor {
@@ -59,13 +59,13 @@
             self.id.service,
             message.endpoint,
             message.answer,
-            message.witnesses
+            message.relays
         );
         let now = self.clock.now();
         // If several VMs are dispatchers of the service, those that reach the endpoint use it.
-        let actions = match message.witnesses.is_empty() || self.shard.is_shared() {
+        let actions = match message.relays.is_empty() || self.shard.is_shared() {
             true => self.shard.on_path_answer(now, &message.endpoint, message.answer),
-            false => self.shard.on_relays(now, &message.endpoint, message.witnesses),
+            false => self.shard.on_relays(now, &message.endpoint, message.relays),
         };
         self.apply(actions);
     }
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -54,10 +54,10 @@
     pub(crate) endpoints: Arc<ConnectionPool>,
     /// Source of ticks for the shards.
     pub(crate) timer: ActorRef<TimerService>,
-    /// Asks VMs in other data centres whether they reach an endpoint.
+    /// Asks other VMs whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
     /// Sends updates to the other dispatchers of a shared service.
-    pub(crate) news: Arc<NewsLink>,
+    pub(crate) update_link: Arc<NewsLink>,
     /// Dialect of the endpoints.
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Idle time after which a shard that this VM doesn't own is stopped.
@@ -116,7 +116,7 @@
             endpoints: Arc::clone(&shared.endpoints),
             statuses: Arc::clone(&self.statuses),
             path_check: shared.path_check.clone(),
-            news: Arc::clone(&shared.news),
+            update_link: Arc::clone(&shared.update_link),
             dialect: Arc::clone(&shared.dialect),
             non_owner_idle: shared.non_owner_idle,
         };
@@ -167,13 +167,14 @@
             let has_shard = active
                 .service(&shard.service)
                 .is_some_and(|service| service.is_shared() && shard.index < shard_count(service));
-            let wanted = has_shard && self.shared.news.dispatchers(&shard.service).is_member;
-            wanted.then(|| self.find_or_start(shard, &active.config, ShardMode::Shared))
+            let is_needed =
+                has_shard && self.shared.update_link.dispatchers(&shard.service).is_member;
+            is_needed.then(|| self.find_or_start(shard, &active.config, ShardMode::Shared))
         });
         if let Some(actor) = actor {
-            let news = PeerUpdate { address: from, datagram };
+            let update = PeerUpdate { address: from, datagram };
             // A shard that has just stopped needs no updates.
-            let _ = actor.tell(news).try_send();
+            let _ = actor.tell(update).try_send();
         }
     }
 
