--- a/crates/pistachiotrackd/src/hand_over.rs
+++ b/crates/pistachiotrackd/src/hand_over.rs
@@ -8,7 +8,7 @@
 
 /// Number of tries before the hand-over is abandoned.
 const MAX_TRIES: u32 = 3;
-/// Time limit of one try.
+/// Time limit of a single try.
 const TRY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay between two tries.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -16,7 +16,7 @@
 /// Sends the hand-over to the new owner.
 ///
 /// A lost hand-over costs time but not correctness: an owner without one starts with half of the
-/// slots of each endpoint and learns the remaining state itself.
+/// slots of each endpoint and builds up the remaining state itself.
 pub(crate) async fn send(to: Vm, hand_over: ShardHandOver) {
     let shard = shard_name(&hand_over.shard);
     let message = match postcard::to_stdvec(&hand_over) {
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -412,7 +412,7 @@
     ///
     /// A VM that becomes a dispatcher may have received few updates before, and would send
     /// retries that the other dispatchers have already sent, exceeding the service's retry limit.
-    /// It therefore requests a snapshot, and limits itself until the snapshot arrives.
+    /// It therefore requests a snapshot, and is restricted until the snapshot arrives.
     fn update_dispatchers(&mut self, now: Time) {
         let dispatchers = self.update_link.dispatchers(&self.id.service);
         if self.shard.set_dispatchers(now, dispatchers) {
