--- a/crates/pistachiotrackd/src/attempt.rs
+++ b/crates/pistachiotrackd/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One dispatch of a request to an endpoint.
+//! Sends a request to one endpoint.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,52 +13,52 @@
 use crate::{
     connection_pool::{CheckoutError, ConnectionPool},
     context::Context,
-    dialect::{AnswerFacts, AnswerKind, OutgoingFacts},
-    exchange::{self, BegunAnswer, ExchangeError, GiveUp, RequestHead, Target},
+    dialect::{AnswerKind, AnswerMetadata, OutgoingMetadata},
+    exchange::{self, AbandonSignal, ExchangeError, RequestHead, StartedAnswer, Target},
     inbound::Inbound,
-    via,
+    relay_client,
 };
 
-/// Time for which the rest of a refusal's body is waited for.
-const SHED_BODY_WAIT: Duration = Duration::from_millis(5);
+/// Time limit for reading the rest of a refusal's body, so that its connection can be reused.
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// How an attempt ended, or how its answer began.
+/// Result of an attempt, or the start of its answer.
 #[derive(Debug)]
 pub(crate) struct AttemptEnd {
-    /// Endpoint that was asked.
+    /// Endpoint that the request was sent to.
     pub(crate) endpoint: Name,
-    /// Its address, unless it was asked through another VM.
+    /// Its address, unless the request was sent through a relay.
     pub(crate) address: Option<SocketAddr>,
-    /// Why the endpoint was chosen.
-    pub(crate) grounds: SelectionDetails,
+    /// Why the endpoint was selected.
+    pub(crate) selection: SelectionDetails,
     /// Time from the dispatch to the outcome.
-    pub(crate) took: Duration,
-    /// What the shard is told.
+    pub(crate) elapsed: Duration,
+    /// Outcome that is reported to the shard.
     pub(crate) outcome: Outcome,
-    /// What the endpoint reports.
+    /// State that the endpoint reports about itself.
     pub(crate) report: EndpointReport,
-    /// The answer, if the outcome is that it began.
-    pub(crate) answer: Option<Box<BegunAnswer>>,
+    /// The answer, if it has started.
+    pub(crate) answer: Option<Box<StartedAnswer>>,
     /// Pool that the answer's connection belongs to.
     pub(crate) pool: Arc<ConnectionPool>,
 }
 
-/// Sends the request of `inbound` as `dispatch` says.
+/// Sends the request of `inbound` to the endpoint selected in `dispatch`.
 pub(crate) async fn run(
     context: Arc<Context>,
     inbound: Arc<Inbound>,
     dispatch: Dispatch,
     budget: u32,
-    give_up: GiveUp,
+    abandon: AbandonSignal,
 ) -> AttemptEnd {
-    let begun = context.clock.now();
+    let started_at = context.clock.now();
     let choice = connection_choice(&inbound, dispatch.connection);
-    let facts = OutgoingFacts {
+    let metadata = OutgoingMetadata {
         request_id: Some(&inbound.fleet_id),
         endpoint: &dispatch.endpoint,
         time_left: remaining(inbound.deadline, context.clock.now()),
     };
-    let head = request_head(&context, &inbound, facts);
+    let head = request_head(&context, &inbound, metadata);
     let (pool, result) = match &dispatch.via {
         None => {
             let target = Target {
@@ -67,32 +67,33 @@
                 budget,
                 not_after: dispatch.not_after,
                 time_limit: dispatch.time_limit,
-                give_up,
+                abandon,
             };
             let pool = &context.endpoints;
             let result = exchange::run(pool, context.clock, target, head, &inbound.body).await;
             (pool, result.map_err(|error| (outcome_of_error(&error), error.to_string())))
         }
-        Some(witness) => {
-            let result = via::send(&context, witness, &dispatch, choice, head, &inbound.body).await;
+        Some(relay) => {
+            let result =
+                relay_client::send(&context, relay, &dispatch, choice, head, &inbound.body).await;
             let result = result.map_err(|error| (error.outcome(), error.to_string()));
             (&context.peers, result)
         }
     };
-    let read = |answer: &BegunAnswer| context.dialect.read_answer(&answer.parts, facts);
+    let read = |answer: &StartedAnswer| context.dialect.read_answer(&answer.parts, metadata);
     let result = result.map(|answer| (read(&answer), answer));
     let mut end = AttemptEnd {
         endpoint: dispatch.endpoint.clone(),
         address: dispatch.via.is_none().then_some(dispatch.address),
-        grounds: dispatch.selection,
-        took: context.clock.now().since(begun),
+        selection: dispatch.selection,
+        elapsed: context.clock.now().since(started_at),
         outcome: Outcome::NotSent,
         report: EndpointReport::default(),
         answer: None,
         pool: Arc::clone(pool),
     };
     match result {
-        Ok((facts, answer)) => end.take(facts, answer).await,
+        Ok((metadata, answer)) => end.set_answer(metadata, answer).await,
         Err((outcome, error)) => {
             log::debug!(
                 "event=attempt_failed request={} endpoint={} via={} error={error:?}",
@@ -106,10 +107,11 @@
     end
 }
 
-/// Failure guarded against: a booking is written to a connection that something
-/// between the two ends has forgotten, and nobody can tell whether it ran. It
-/// shows as a request without an answer. The guard holds because a request that
-/// must not be repeated never uses a connection that has been silent for long.
+/// Selects the connection for the attempt.
+///
+/// A middlebox (firewall, NAT) on the path can drop its state for an idle connection. A booking
+/// written to such a connection gets no answer, and it is unknown whether it ran. A request that
+/// must not be repeated is therefore never sent on a connection that has been idle for long.
 fn connection_choice(inbound: &Inbound, choice: ConnectionChoice) -> ConnectionChoice {
     match choice {
         ConnectionChoice::Any if !inbound.route.idempotent => ConnectionChoice::RecentlyUsed,
@@ -117,24 +119,27 @@
     }
 }
 
-fn request_head(context: &Context, inbound: &Inbound, facts: OutgoingFacts<'_>) -> RequestHead {
+fn request_head(
+    context: &Context,
+    inbound: &Inbound,
+    metadata: OutgoingMetadata<'_>,
+) -> RequestHead {
     let mut fields = inbound.headers.clone();
-    context.dialect.write_request(&mut fields, facts);
+    context.dialect.write_request(&mut fields, metadata);
     RequestHead { method: inbound.method.clone(), uri: inbound.uri.clone(), headers: fields }
 }
 
 impl AttemptEnd {
-    /// Takes an answer.
+    /// Sets the outcome and the report from an answer.
     ///
-    /// Failure guarded against: an endpoint's late answer to an earlier request, or
-    /// bytes that follow a whole answer, arrive where the next answer is due, and a
-    /// caller gets another one's roster. It shows as an answer that bears another
-    /// request's identity. The guard holds because such an answer is dropped with its
+    /// A late answer to an earlier request, or bytes after a complete answer, can arrive where
+    /// the next answer is expected; a caller would then get the answer to another caller's
+    /// request. An answer with another request's ID is therefore dropped together with its
     /// connection, and its request counts as possibly run.
-    async fn take(&mut self, facts: AnswerFacts, answer: BegunAnswer) {
-        self.outcome = outcome_of_answer(facts.kind, &answer);
-        self.report = facts.report;
-        match facts.kind {
+    async fn set_answer(&mut self, metadata: AnswerMetadata, answer: StartedAnswer) {
+        self.outcome = outcome_of_answer(metadata.kind, &answer);
+        self.report = metadata.report;
+        match metadata.kind {
             AnswerKind::Answer => self.answer = Some(Box::new(answer)),
             AnswerKind::NotRun => return_connection(&self.pool, answer).await,
             AnswerKind::WrongEndpoint | AnswerKind::Unrelated => {}
@@ -142,10 +147,10 @@
     }
 }
 
-/// Keeps the connection of a refusal if its short body is there already.
-pub(crate) async fn return_connection(pool: &ConnectionPool, mut answer: BegunAnswer) {
+/// Returns the connection of a refusal to the pool if its short body has already arrived.
+pub(crate) async fn return_connection(pool: &ConnectionPool, mut answer: StartedAnswer) {
     while !answer.body.is_end_stream() {
-        let frame = tokio::time::timeout(SHED_BODY_WAIT, answer.body.frame()).await;
+        let frame = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, answer.body.frame()).await;
         if !matches!(frame, Ok(Some(Ok(_)))) {
             return;
         }
@@ -153,8 +158,8 @@
     pool.check_in(answer.connection);
 }
 
-/// Returns what a shard is told of an answer that has begun.
-pub(crate) fn outcome_of_answer(kind: AnswerKind, answer: &BegunAnswer) -> Outcome {
+/// Returns the outcome of an attempt whose answer has started.
+pub(crate) fn outcome_of_answer(kind: AnswerKind, answer: &StartedAnswer) -> Outcome {
     let fresh_connection = answer.fresh;
     match kind {
         AnswerKind::Answer => {
@@ -166,7 +171,7 @@
     }
 }
 
-/// Returns what a shard is told of a failed exchange.
+/// Returns the outcome of a failed exchange.
 pub(crate) fn outcome_of_error(error: &ExchangeError) -> Outcome {
     match error {
         ExchangeError::NoConnection(CheckoutError::Connect(_)) | ExchangeError::ClosedUnsent => {
@@ -174,7 +179,7 @@
         }
         ExchangeError::NoConnection(CheckoutError::OverBudget { .. })
         | ExchangeError::TooLate
-        | ExchangeError::BodyGone
+        | ExchangeError::BodyConsumed
         | ExchangeError::CallerBody { sent: false } => Outcome::NotSent,
         ExchangeError::CallerBody { sent: true } => Outcome::Cancelled,
         ExchangeError::Broken { fresh } => Outcome::Broken { fresh_connection: *fresh },
--- a/crates/pistachiotrackd/src/body.rs
+++ b/crates/pistachiotrackd/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers on their way to the caller.
+//! Bodies of answers sent to callers.
 
 use std::{
     future::Future,
@@ -25,21 +25,21 @@
 use crate::{
     connection::Connection,
     connection_pool::ConnectionPool,
-    crash_check::RunWatch,
+    crash_check::ExecutionMonitor,
     shard_actor::{BodyEnded, ShardActor},
 };
 
-/// Why an answer's body was cut short.
+/// Why the body of an answer is incomplete.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AnswerBodyError {
-    /// The other end broke off.
-    #[error("answer broke off: {0}")]
+    /// The connection failed.
+    #[error("connection failed while reading the answer: {0}")]
     Broken(#[from] hyper::Error),
-    /// No further part came in time.
-    #[error("answer stalled")]
+    /// No data arrived within the idle limit.
+    #[error("answer timed out: no data within the idle limit")]
     Stalled,
-    /// The answer had no length, so that its end can't be told from a cut.
-    #[error("answer without length ended")]
+    /// The answer had no length, so its end can't be distinguished from a broken connection.
+    #[error("answer without a length ended; it may be incomplete")]
     NoLength,
 }
 
@@ -48,47 +48,47 @@
 pub(crate) enum AnswerBody {
     /// A whole body in memory.
     Whole(Option<Bytes>),
-    /// A body that is passed on as it arrives.
-    Relayed(Box<RelayedBody>),
+    /// A body that is forwarded as it arrives.
+    Streaming(Box<StreamingBody>),
 }
 
 impl AnswerBody {
-    /// Returns a body that is in memory.
+    /// Returns a body from memory.
     pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
         AnswerBody::Whole((!bytes.is_empty()).then_some(bytes))
     }
 
-    /// Returns a body that is passed on from a connection.
-    pub(crate) fn relayed(
+    /// Returns a body that is forwarded from a connection as it arrives.
+    pub(crate) fn streaming(
         parts: &Parts,
         incoming: Incoming,
         connection: Connection,
         pool: Arc<ConnectionPool>,
         idle_limit: Duration,
         ends_by_closing: bool,
-        watch: Option<AnswerWatch>,
+        monitor: Option<AnswerMonitor>,
     ) -> AnswerBody {
         let has_length = ends_by_closing
             || parts.headers.contains_key(CONTENT_LENGTH)
             || parts.headers.contains_key(TRANSFER_ENCODING);
-        let mut body = RelayedBody {
+        let mut body = StreamingBody {
             incoming,
             connection: Some(connection),
             pool,
             idle_limit,
             idle: None,
             has_length,
-            watch,
+            monitor,
         };
         if body.incoming.is_end_stream() {
             body.finish(BodyEnd::Complete);
         }
-        AnswerBody::Relayed(Box::new(body))
+        AnswerBody::Streaming(Box::new(body))
     }
 }
 
-/// Returns the length of a body as far as it was announced.
-pub(crate) fn known_bytes(body: &Incoming) -> usize {
+/// Returns the announced length of a body, or 0 if none was announced.
+pub(crate) fn announced_bytes(body: &Incoming) -> usize {
     body.size_hint().lower() as usize
 }
 
@@ -104,14 +104,14 @@
             AnswerBody::Whole(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            AnswerBody::Relayed(relayed) => relayed.poll(cx),
+            AnswerBody::Streaming(streaming) => streaming.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             AnswerBody::Whole(bytes) => bytes.is_none(),
-            AnswerBody::Relayed(relayed) => relayed.incoming.is_end_stream(),
+            AnswerBody::Streaming(streaming) => streaming.incoming.is_end_stream(),
         }
     }
 
@@ -120,30 +120,28 @@
             AnswerBody::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerBody::Relayed(relayed) => relayed.incoming.size_hint(),
+            AnswerBody::Streaming(streaming) => streaming.incoming.size_hint(),
         }
     }
 }
 
-/// A body that is passed on as it arrives.
+/// A body that is forwarded as it arrives.
 ///
-/// Failure guarded against: an endpoint dies in the middle of its answer, and
-/// the caller takes half a roster for the whole. It shows as a body that ends
-/// early. The guard holds because every end other than the announced one is an
-/// error here, upon which the server closes the caller's connection without
-/// ending the body.
+/// If an endpoint fails in the middle of its answer, the caller must not take the partial body
+/// for the complete one. Every end other than the announced one is therefore an error, on which
+/// the server closes the caller's connection without ending the body.
 #[derive(Debug)]
-pub(crate) struct RelayedBody {
+pub(crate) struct StreamingBody {
     incoming: Incoming,
     connection: Option<Connection>,
     pool: Arc<ConnectionPool>,
     idle_limit: Duration,
     idle: Option<Pin<Box<Sleep>>>,
     has_length: bool,
-    watch: Option<AnswerWatch>,
+    monitor: Option<AnswerMonitor>,
 }
 
-impl RelayedBody {
+impl StreamingBody {
     fn poll(
         &mut self,
         cx: &mut Context<'_>,
@@ -154,8 +152,8 @@
         self.idle = None;
         match frame {
             Some(Ok(frame)) => {
-                if let (Some(watch), Some(data)) = (&mut self.watch, frame.data_ref()) {
-                    watch.note(data);
+                if let (Some(monitor), Some(data)) = (&mut self.monitor, frame.data_ref()) {
+                    monitor.record(data);
                 }
                 if self.incoming.is_end_stream() {
                     self.finish(BodyEnd::Complete);
@@ -193,33 +191,33 @@
         if end == BodyEnd::Complete {
             self.pool.check_in(connection);
         }
-        if let Some(watch) = self.watch.take() {
-            watch.finish(end);
+        if let Some(monitor) = self.monitor.take() {
+            monitor.finish(end);
         }
     }
 }
 
-impl Drop for RelayedBody {
+impl Drop for StreamingBody {
     fn drop(&mut self) {
         self.finish(BodyEnd::CallerGone);
     }
 }
 
-/// Tells a shard how the body of an answer ended.
+/// Reports to a shard how the body of an answer ended.
 #[derive(Debug)]
-pub(crate) struct AnswerWatch {
+pub(crate) struct AnswerMonitor {
     /// The shard.
     pub(crate) shard: ActorRef<ShardActor>,
-    /// Attempt whose answer it is.
+    /// Attempt that the answer belongs to.
     pub(crate) attempt: AttemptId,
-    /// Copy of the answer that is kept for duplicates of the request.
+    /// Copy of the answer that is stored for duplicates of the request.
     pub(crate) copy: Option<AnswerCopy>,
-    /// The run that brought it.
-    pub(crate) run: RunWatch,
+    /// Execution of the request that produced the answer.
+    pub(crate) execution: ExecutionMonitor,
 }
 
-impl AnswerWatch {
-    fn note(&mut self, data: &Bytes) {
+impl AnswerMonitor {
+    fn record(&mut self, data: &Bytes) {
         let Some(copy) = &mut self.copy else { return };
         if copy.answer.body.len() + data.len() > MAX_STORED_BODY_BYTES {
             self.copy = None;
@@ -229,16 +227,16 @@
     }
 
     fn finish(self, end: BodyEnd) {
-        self.run.finish(end);
+        self.execution.finish(end);
         let stored =
             self.copy.filter(|_| end == BodyEnd::Complete).map(|copy| (copy.request, copy.answer));
         let ended = BodyEnded { attempt: self.attempt, end, stored };
-        // A stopped shard keeps no account of attempts.
+        // A stopped shard doesn't track attempts.
         let _ = self.shard.tell(ended).try_send();
     }
 }
 
-/// A copy of an answer while it passes.
+/// A copy of an answer that is collected while the answer is forwarded.
 #[derive(Debug)]
 pub(crate) struct AnswerCopy {
     request: RequestId,
@@ -246,7 +244,7 @@
 }
 
 impl AnswerCopy {
-    /// Begins a copy of the answer to `request`.
+    /// Starts a copy of the answer to `request`.
     pub(crate) fn begin(request: RequestId, parts: &Parts) -> AnswerCopy {
         let content_type =
             parts.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).map(String::from);
@@ -255,7 +253,7 @@
     }
 }
 
-/// Returns the response made of `parts` and `body`.
+/// Returns the response with `parts` and `body`.
 pub(crate) fn response(parts: Parts, body: AnswerBody) -> Response<AnswerBody> {
     Response::from_parts(parts, body)
 }
--- a/crates/pistachiotrackd/src/connection_pool.rs
+++ b/crates/pistachiotrackd/src/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Connections that wait for their next request.
+//! Pool of idle connections.
 //!
-//! A pool never sends anything and never repeats a request by itself: libraries'
-//! pools do, which would run a booking twice.
+//! The pool never sends a request and never retries one. The pools of HTTP libraries retry, which
+//! would run a booking twice.
 
 use std::{
     io,
@@ -15,33 +15,32 @@
 
 use crate::connection::{ConnectError, Connection, Connector, OpenCount};
 
-/// Time for which a connection that is just finishing its last exchange is
-/// waited for.
+/// Time to wait for a connection that is just completing its last exchange.
 const READY_WAIT: Duration = Duration::from_millis(5);
 
-/// The idle connections to all addresses of one kind.
+/// Idle connections to endpoints or to VMs, by address.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     connector: Connector,
-    places: Mutex<FxHashMap<SocketAddr, Place>>,
+    addresses: Mutex<FxHashMap<SocketAddr, AddressPool>>,
 }
 
 #[derive(Debug, Default)]
-struct Place {
+struct AddressPool {
     idle: Vec<Connection>,
     open: Arc<AtomicU32>,
-    /// Whether a test has cut the path to the address.
-    is_cut: bool,
+    /// Whether a test has blocked connections to the address.
+    is_blocked: bool,
 }
 
-/// Whether an address takes connections.
+/// Whether an address accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Listening {
-    /// It does.
+    /// It accepts connections.
     Open,
-    /// Its machine says that nobody listens there.
+    /// Its host refuses connections: no process listens there.
     Refused,
-    /// There was no answer that tells.
+    /// The connection attempt failed in another way or timed out.
     Unknown,
 }
 
@@ -54,7 +53,7 @@
     pub(crate) fresh: bool,
 }
 
-/// Why no connection could be had; nothing was sent.
+/// Why no connection is available; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CheckoutError {
     /// No connection could be opened.
@@ -63,7 +62,7 @@
     /// This VM's budget of connections to the address is used up.
     #[error("connect to {address}: all {budget} connections are in use")]
     OverBudget {
-        /// The other end.
+        /// Address of the peer.
         address: SocketAddr,
         /// Connections that this VM may have open.
         budget: u32,
@@ -73,21 +72,21 @@
 impl ConnectionPool {
     /// Creates an empty pool.
     pub(crate) fn new(connector: Connector) -> ConnectionPool {
-        ConnectionPool { connector, places: Mutex::default() }
+        ConnectionPool { connector, addresses: Mutex::default() }
     }
 
-    /// Returns a connection to `address` that fits `choice`, a new one if needed.
+    /// Returns a connection to `address` that satisfies `choice`, a new one if needed.
     ///
     /// # Errors
     ///
-    /// Returns an error if none could be opened before `give_up` or within
-    /// `budget` open connections.
+    /// Returns an error if no connection could be opened before `deadline` or within `budget`
+    /// open connections.
     pub(crate) async fn check_out(
         &self,
         address: SocketAddr,
         choice: ConnectionChoice,
         budget: u32,
-        give_up: Time,
+        deadline: Time,
     ) -> Result<CheckedOut, CheckoutError> {
         if choice != ConnectionChoice::Fresh {
             while let Some(mut connection) = self.take_idle(address, choice) {
@@ -96,20 +95,20 @@
                 }
             }
         }
-        if self.is_cut(address) {
+        if self.is_blocked(address) {
             let source = io::ErrorKind::ConnectionRefused.into();
             return Err(ConnectError::Io { address, source }.into());
         }
         let Some(open) = self.acquire(address, budget) else {
             return Err(CheckoutError::OverBudget { address, budget });
         };
-        let connection = self.connector.open(address, open, give_up).await?;
+        let connection = self.connector.open(address, open, deadline).await?;
         Ok(CheckedOut { connection, fresh: true })
     }
 
-    /// Looks whether `address` takes connections.
+    /// Checks whether `address` accepts connections.
     pub(crate) async fn listening(&self, address: SocketAddr) -> Listening {
-        if self.is_cut(address) {
+        if self.is_blocked(address) {
             return Listening::Unknown;
         }
         match self.connector.try_connect(address).await {
@@ -123,64 +122,65 @@
         }
     }
 
-    /// Takes back a connection whose exchange ended whole.
+    /// Returns a connection to the pool after a complete exchange.
     pub(crate) fn check_in(&self, mut connection: Connection) {
         let now = self.connector.clock.now();
         connection.last_answer = Some(now);
-        if connection.sender.is_closed() || !self.is_young(&connection, now) {
+        if connection.sender.is_closed() || !self.is_within_max_age(&connection, now) {
             return;
         }
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        places.entry(connection.address).or_default().idle.push(connection);
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        addresses.entry(connection.address).or_default().idle.push(connection);
     }
 
-    /// Closes all unused connections to `address`.
+    /// Closes all idle connections to `address`.
     pub(crate) fn close_idle(&self, address: SocketAddr) {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(place) = places.get_mut(&address) {
-            place.idle.clear();
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(pool) = addresses.get_mut(&address) {
+            pool.idle.clear();
         }
     }
 
-    /// Cuts or restores the path to an address: a cut one refuses connections.
-    pub(crate) fn set_cut(&self, address: SocketAddr, is_cut: bool) {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = places.entry(address).or_default();
-        place.is_cut = is_cut;
-        place.idle.clear();
+    /// Blocks or unblocks an address; connections to a blocked one are refused.
+    pub(crate) fn set_blocked(&self, address: SocketAddr, is_blocked: bool) {
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        let pool = addresses.entry(address).or_default();
+        pool.is_blocked = is_blocked;
+        pool.idle.clear();
     }
 
-    fn is_cut(&self, address: SocketAddr) -> bool {
-        let places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        places.get(&address).is_some_and(|place| place.is_cut)
+    fn is_blocked(&self, address: SocketAddr) -> bool {
+        let addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        addresses.get(&address).is_some_and(|pool| pool.is_blocked)
     }
 
-    /// Closes connections that have been unused for too long and forgets
-    /// addresses without any.
-    pub(crate) fn sweep(&self) {
+    /// Closes connections that have been idle for too long and removes addresses without
+    /// connections.
+    pub(crate) fn close_expired(&self) {
         let now = self.connector.clock.now();
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        for place in places.values_mut() {
-            place.idle.retain(|connection| {
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        for pool in addresses.values_mut() {
+            pool.idle.retain(|connection| {
                 !connection.sender.is_closed() && self.is_usable(connection, now)
             });
         }
-        places.retain(|_, place| {
-            !place.idle.is_empty() || Arc::strong_count(&place.open) > 1 || place.is_cut
+        addresses.retain(|_, pool| {
+            !pool.idle.is_empty() || Arc::strong_count(&pool.open) > 1 || pool.is_blocked
         });
     }
 
     fn take_idle(&self, address: SocketAddr, choice: ConnectionChoice) -> Option<Connection> {
         let now = self.connector.clock.now();
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let idle = &mut places.get_mut(&address).filter(|place| !place.is_cut)?.idle;
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        let idle = &mut addresses.get_mut(&address).filter(|pool| !pool.is_blocked)?.idle;
         while let Some(connection) = idle.pop() {
             if connection.sender.is_closed() || !self.is_usable(&connection, now) {
                 continue;
             }
-            if choice == ConnectionChoice::RecentlyUsed && !self.is_lively(&connection, now) {
-                // The list is in the order of last answers: no other one is
-                // livelier. This one stays for requests that may be repeated.
+            if choice == ConnectionChoice::RecentlyUsed && !self.is_recently_used(&connection, now)
+            {
+                // Idle connections are ordered by their last answer, so no other one was used
+                // more recently. This one stays in the pool for requests that may be repeated.
                 idle.push(connection);
                 return None;
             }
@@ -190,31 +190,32 @@
     }
 
     fn acquire(&self, address: SocketAddr, budget: u32) -> Option<OpenCount> {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = places.entry(address).or_default();
-        let open = OpenCount::acquire(&place.open, budget);
-        if open.is_some() || place.idle.is_empty() {
+        let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+        let pool = addresses.entry(address).or_default();
+        let open = OpenCount::acquire(&pool.open, budget);
+        if open.is_some() || pool.idle.is_empty() {
             return open;
         }
-        place.idle.remove(0);
-        OpenCount::acquire(&place.open, budget)
+        pool.idle.remove(0);
+        OpenCount::acquire(&pool.open, budget)
     }
 
     fn is_usable(&self, connection: &Connection, now: Time) -> bool {
         let idle_limit = Duration::from_millis(self.connector.limits.idle_ms);
         let last_use = connection.last_answer.unwrap_or(connection.opened);
-        self.is_young(connection, now) && now.since(last_use) < idle_limit
+        self.is_within_max_age(connection, now) && now.since(last_use) < idle_limit
     }
 
-    fn is_young(&self, connection: &Connection, now: Time) -> bool {
+    fn is_within_max_age(&self, connection: &Connection, now: Time) -> bool {
         now.since(connection.opened) < Duration::from_millis(self.connector.limits.age_ms)
     }
 
-    /// Failure guarded against: something between the two ends has lost track
-    /// of the connection, and what is written to it vanishes. It shows as a
-    /// connection on which no answer comes. A connection that has just
-    /// answered was known to both ends then.
-    fn is_lively(&self, connection: &Connection, now: Time) -> bool {
+    /// Returns whether the connection received an answer recently.
+    ///
+    /// A middlebox (firewall, NAT) on the path can drop its state for an idle connection, after
+    /// which requests on it are lost and no answer arrives. A connection with a recent answer was
+    /// known to both ends at that time.
+    fn is_recently_used(&self, connection: &Connection, now: Time) -> bool {
         let limit = Duration::from_millis(self.connector.limits.lively_ms);
         connection.last_answer.is_some_and(|last| now.since(last) < limit)
     }
--- a/crates/pistachiotrackd/src/crash_check.rs
+++ b/crates/pistachiotrackd/src/crash_check.rs
@@ -1,4 +1,4 @@
-//! Tells an endpoint that has ended from a connection that alone broke.
+//! Distinguishes the crash of an endpoint from the failure of a single connection.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -6,30 +6,30 @@
 
 use crate::{connection_pool::Listening, context::Context, inbound::Inbound, metrics::Event};
 
-/// A request at an endpoint that may end under it.
+/// A request being run by an endpoint that may crash.
 #[derive(Debug)]
-pub(crate) struct EndpointRun {
-    /// What all parts share.
+pub(crate) struct EndpointExecution {
+    /// Shared state of the daemon.
     pub(crate) context: Arc<Context>,
     /// The request.
     pub(crate) inbound: Arc<Inbound>,
     /// The endpoint.
     pub(crate) endpoint: Name,
-    /// Its address, unless it was asked through another VM.
+    /// Its address, unless the request was sent through a relay.
     pub(crate) address: Option<SocketAddr>,
 }
 
-impl EndpointRun {
-    /// Looks, after the connection broke, whether the endpoint still takes others; one that
-    /// doesn't has ended under the request.
+impl EndpointExecution {
+    /// Checks after a broken connection whether the endpoint still accepts connections. If it
+    /// doesn't, it has crashed while running the request.
     pub(crate) fn check_endpoint(self) {
         if let Some(address) = self.address {
-            tokio::spawn(self.look_at(address));
+            tokio::spawn(self.check_listening(address));
         }
     }
 
-    async fn look_at(self, address: SocketAddr) {
-        let EndpointRun { context, inbound, endpoint, .. } = self;
+    async fn check_listening(self, address: SocketAddr) {
+        let EndpointExecution { context, inbound, endpoint, .. } = self;
         let listening = context.endpoints.listening(address).await;
         let fingerprint = inbound.fingerprint();
         log::info!(
@@ -44,23 +44,23 @@
     }
 }
 
-/// Watches a run whose answer has begun.
+/// Records how an execution ends whose answer has started.
 #[derive(Debug)]
-pub(crate) struct RunWatch {
-    /// The run.
-    pub(crate) run: EndpointRun,
-    /// Whether the answer is a failure, which says nothing about the request.
+pub(crate) struct ExecutionMonitor {
+    /// The execution.
+    pub(crate) execution: EndpointExecution,
+    /// Whether the answer is a failure, which doesn't show whether the request crashes endpoints.
     pub(crate) is_failure: bool,
 }
 
-impl RunWatch {
-    /// Notes how the answer ended.
+impl ExecutionMonitor {
+    /// Records how the answer ended.
     pub(crate) fn finish(self, end: BodyEnd) {
         match end {
             BodyEnd::Complete if !self.is_failure => {
-                self.run.context.quarantine.on_answered(&self.run.inbound);
+                self.execution.context.quarantine.on_answered(&self.execution.inbound);
             }
-            BodyEnd::Truncated => self.run.check_endpoint(),
+            BodyEnd::Truncated => self.execution.check_endpoint(),
             BodyEnd::Complete | BodyEnd::CallerGone => {}
         }
     }
--- a/crates/pistachiotrackd/src/dialect/own.rs
+++ b/crates/pistachiotrackd/src/dialect/native.rs
@@ -1,4 +1,4 @@
-//! The fleet's own headers, as its callers and endpoints know them.
+//! The native dialect: headers defined by this project.
 
 use std::time::Duration;
 
@@ -17,36 +17,37 @@
 };
 
 use super::{
-    AnswerFacts, AnswerKind, Dialect, EntryWish, HeadError, OutgoingFacts, RequestFacts,
-    read_rate_limit,
+    AnswerKind, AnswerMetadata, Dialect, EntryRequest, HeaderError, OutgoingMetadata,
+    RequestMetadata, read_rate_limit,
 };
 use crate::headers;
 
-/// Most characters of a customer's name.
-const MAX_CUSTOMER_CHARS: usize = 256;
+/// Maximum length of a customer's name, in bytes.
+const MAX_CUSTOMER_BYTES: usize = 256;
 
-/// The fleet's own headers.
+/// The native dialect.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnDialect;
+pub struct NativeDialect;
 
-impl Dialect for OwnDialect {
-    fn read_request(&self, parts: &request::Parts) -> Result<RequestFacts, HeadError> {
+impl Dialect for NativeDialect {
+    fn read_request(&self, parts: &request::Parts) -> Result<RequestMetadata, HeaderError> {
         let text = |name| headers::text(&parts.headers, name);
-        let wrong = |header, problem| HeadError { header, problem };
+        let header_error = |header, problem| HeaderError { header, problem };
         let customer = text(header::CUSTOMER).unwrap_or_default();
-        if customer.is_empty() || customer.len() > MAX_CUSTOMER_CHARS {
+        if customer.is_empty() || customer.len() > MAX_CUSTOMER_BYTES {
             let problem = format!("{customer:?} is missing or too long");
-            return Err(wrong(header::CUSTOMER, problem));
+            return Err(header_error(header::CUSTOMER, problem));
         }
         let class = text(header::CLASS).map(|class| {
-            let unknown = || wrong(header::CLASS, format!("{class:?} is no class"));
+            let unknown = || header_error(header::CLASS, format!("{class:?} is not a class"));
             Class::parse(class).ok_or_else(unknown)
         });
-        let time_left = text(header::DEADLINE_MS).map(|left| {
-            let no_number = |_| wrong(header::DEADLINE_MS, format!("{left:?} is no number"));
-            left.trim().parse().map(Duration::from_millis).map_err(no_number)
+        let time_left = text(header::DEADLINE_MS).map(|value| {
+            let not_a_number =
+                |_| header_error(header::DEADLINE_MS, format!("{value:?} is not a whole number"));
+            value.trim().parse().map(Duration::from_millis).map_err(not_a_number)
         });
-        Ok(RequestFacts {
+        Ok(RequestMetadata {
             customer: Some(Name::from(customer)),
             class: class.transpose()?.unwrap_or_default(),
             service: text(header::SERVICE).map(Name::from),
@@ -58,18 +59,18 @@
         None
     }
 
-    fn write_request(&self, fields: &mut HeaderMap, facts: OutgoingFacts<'_>) {
-        if let Some(id) = facts.request_id {
-            headers::set_number(fields, header::DEADLINE_MS, facts.time_left.as_millis() as u64);
+    fn write_request(&self, fields: &mut HeaderMap, metadata: OutgoingMetadata<'_>) {
+        if let Some(id) = metadata.request_id {
+            headers::set_number(fields, header::DEADLINE_MS, metadata.time_left.as_millis() as u64);
             headers::set(fields, header::REQUEST_ID, id);
         }
     }
 
-    fn read_answer(&self, parts: &response::Parts, _: OutgoingFacts<'_>) -> AnswerFacts {
+    fn read_answer(&self, parts: &response::Parts, _: OutgoingMetadata<'_>) -> AnswerMetadata {
         let text = |name| headers::text(&parts.headers, name);
         let is_shed = parts.status == StatusCode::SERVICE_UNAVAILABLE
             && text(header::NOT_RUN) == Some("true");
-        AnswerFacts {
+        AnswerMetadata {
             kind: if is_shed { AnswerKind::NotRun } else { AnswerKind::Answer },
             report: EndpointReport {
                 in_flight: text(header::LOAD).and_then(|load| load.trim().parse().ok()),
@@ -111,8 +112,9 @@
         false
     }
 
-    /// The fleet's own callers ask at a path of the caller address instead.
-    fn read_entry_wish(&self, _: &request::Parts) -> Option<EntryWish> {
+    /// Callers with the native dialect send their queries to a path of the caller address
+    /// instead.
+    fn read_entry_request(&self, _: &request::Parts) -> Option<EntryRequest> {
         None
     }
 
--- a/crates/pistachiotrackd/src/entries.rs
+++ b/crates/pistachiotrackd/src/entries.rs
@@ -1,4 +1,4 @@
-//! Answers callers that ask which addresses to use.
+//! Answers queries for the entry addresses that a caller should use.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -14,23 +14,23 @@
     answer,
     body::AnswerBody,
     context::{Context, LifeState},
-    dialect::OwnDialect,
+    dialect::NativeDialect,
     headers,
 };
 
-/// Name of the query's field that holds the service.
+/// Query parameter that contains the service.
 const SERVICE: &str = "service";
 
-/// What a caller is told that asks for a service which does not exist.
+/// Response to a query for a service that does not exist.
 #[derive(Debug, Serialize)]
 struct UnknownService {
     error: String,
 }
 
-/// Returns the addresses for the service and customer that the caller names.
+/// Returns the entry addresses for the service and the customer in a query.
 pub(crate) fn answer(context: &Context, parts: &Parts) -> Response<AnswerBody> {
     let view = context.view();
-    let Some(active) = &view.active else { return answer::no_config(&OwnDialect) };
+    let Some(active) = &view.active else { return answer::no_config(&NativeDialect) };
     let service = service(parts.uri.query().unwrap_or_default());
     if active.service(&service).is_none() {
         let error = match service.as_str() {
@@ -41,49 +41,48 @@
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     }
-    let question = EntryQuery {
+    let query = EntryQuery {
         config: &active.config,
         ownership: &view.ownership,
         me: &context.me,
         service: &service,
         customer: headers::text(&parts.headers, header::CUSTOMER).unwrap_or_default(),
     };
-    answer::json(&steering::entries_for_query(question, view.members.iter()))
+    answer::json(&steering::entries_for_query(query, view.members.iter()))
 }
 
-/// Returns the service that a query names; empty if it names none.
+/// Returns the service in a query string; empty if there is none.
 fn service(query: &str) -> String {
     let fields = query.split('&').filter_map(|field| field.split_once('='));
     let value = fields.into_iter().find_map(|(name, value)| (name == SERVICE).then_some(value));
     percent_decode_str(value.unwrap_or_default()).decode_utf8_lossy().into_owned()
 }
 
-/// Answers a caller that asks in the deployment's dialect for the addresses of a
-/// host.
+/// Answers a query in the deployment's dialect for the entry addresses of a host.
 pub(crate) async fn handle(
     context: Arc<Context>,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let parts = request.into_parts().0;
-    let Some(wish) = context.dialect.read_entry_wish(&parts) else {
+    let Some(requested) = context.dialect.read_entry_request(&parts) else {
         return Ok(answer::plain(StatusCode::NOT_FOUND));
     };
     let view = context.view();
     let Some(active) = &view.active else {
         return Ok(answer::no_config(&*context.dialect));
     };
-    let question = HostQuery {
+    let query = HostQuery {
         config: &active.config,
         ownership: &view.ownership,
         me: &context.me,
-        host: &wish.host,
-        data_centre: wish.data_centre.as_deref(),
+        host: &requested.host,
+        data_centre: requested.data_centre.as_deref(),
     };
-    let entries = steering::entries_for_host(question, view.members.iter());
+    let entries = steering::entries_for_host(query, view.members.iter());
     Ok(context.dialect.write_entries(&entries).map(AnswerBody::whole))
 }
 
-/// Tells the platform whether this VM is ready to serve.
+/// Reports to the platform whether this VM is ready to serve requests.
 pub(crate) async fn readiness(
     context: Arc<Context>,
     _: Request<Incoming>,
--- a/crates/pistachiotrackd/src/exchange.rs
+++ b/crates/pistachiotrackd/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and the head of its answer on one connection.
+//! One request and the head of its answer on a connection.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -16,30 +16,30 @@
     request_body::{RequestBody, SendBody},
 };
 
-/// Where and when a request is sent.
+/// Destination and time limits of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// Address of the other end.
+    /// Address of the peer.
     pub(crate) address: SocketAddr,
-    /// What the connection must be like.
+    /// Which connections may be used.
     pub(crate) choice: ConnectionChoice,
-    /// Connections that may be open to the address.
+    /// Maximum number of open connections to the address.
     pub(crate) budget: u32,
-    /// Moment after which not even the first byte may be written.
+    /// Time after which the first byte may no longer be written.
     pub(crate) not_after: Time,
-    /// Moment at which the exchange is given up.
+    /// Time at which the exchange is abandoned.
     pub(crate) time_limit: Time,
-    /// Gives it up sooner.
-    pub(crate) give_up: GiveUp,
+    /// Abandons the exchange earlier.
+    pub(crate) abandon: AbandonSignal,
 }
 
-/// Ends an exchange without an answer as if its time had passed.
+/// Abandons an exchange without an answer as if its time limit had passed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct GiveUp(Arc<Notify>);
+pub(crate) struct AbandonSignal(Arc<Notify>);
 
-impl GiveUp {
-    /// Ends the exchange, now or as soon as it has a connection.
-    pub(crate) fn now(&self) {
+impl AbandonSignal {
+    /// Abandons the exchange, now or as soon as it has a connection.
+    pub(crate) fn trigger(&self) {
         self.0.notify_one();
     }
 }
@@ -55,52 +55,52 @@
     pub(crate) headers: HeaderMap,
 }
 
-/// An answer that has begun.
+/// An answer whose head has arrived.
 #[derive(Debug)]
-pub(crate) struct BegunAnswer {
+pub(crate) struct StartedAnswer {
     /// Status and headers.
     pub(crate) parts: Parts,
     /// The body, still arriving.
     pub(crate) body: Incoming,
-    /// Connection that it arrives on.
+    /// Connection of the exchange.
     pub(crate) connection: Connection,
     /// Whether the connection was opened for this exchange.
     pub(crate) fresh: bool,
-    /// Moment at which the request was handed to the connection.
+    /// Time at which the request was passed to the connection.
     pub(crate) sent: Time,
-    /// Moment at which the answer began.
-    pub(crate) began: Time,
+    /// Time at which the head of the answer arrived.
+    pub(crate) started_at: Time,
 }
 
-/// Why no answer began.
+/// Why no answer was received.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExchangeError {
-    /// No connection could be had; nothing was sent.
+    /// No connection was available; nothing was sent.
     #[error(transparent)]
     NoConnection(#[from] CheckoutError),
     /// The connection closed before the first byte was written.
-    #[error("connection closed before the first byte")]
+    #[error("connection closed before the first byte was written")]
     ClosedUnsent,
-    /// The moment for the first byte had passed; nothing was sent.
-    #[error("too late to send")]
+    /// The time limit for the first byte had passed; nothing was sent.
+    #[error("time limit for sending has passed")]
     TooLate,
-    /// The request's body has been sent before; nothing was sent.
-    #[error("body can't be sent again")]
-    BodyGone,
-    /// The caller's body broke off.
-    #[error("caller's body broke off")]
+    /// The request's body has already been sent and can't be sent again; nothing was sent.
+    #[error("request body can't be sent again")]
+    BodyConsumed,
+    /// Reading the caller's body failed.
+    #[error("reading the caller's body failed")]
     CallerBody {
         /// Whether bytes may have been sent.
         sent: bool,
     },
-    /// The connection broke after bytes may have been sent.
-    #[error("connection broke")]
+    /// The connection failed after bytes may have been sent.
+    #[error("connection failed after bytes may have been sent")]
     Broken {
         /// Whether the connection was opened for this exchange.
         fresh: bool,
     },
-    /// No answer began before the time limit; bytes may have been sent.
-    #[error("no answer in time")]
+    /// No answer started before the time limit; bytes may have been sent.
+    #[error("no answer within the time limit")]
     TimedOut {
         /// Whether the connection was opened for this exchange.
         fresh: bool,
@@ -114,7 +114,7 @@
             ExchangeError::NoConnection(_)
             | ExchangeError::ClosedUnsent
             | ExchangeError::TooLate
-            | ExchangeError::BodyGone => true,
+            | ExchangeError::BodyConsumed => true,
             ExchangeError::CallerBody { sent } => !sent,
             ExchangeError::Broken { .. } | ExchangeError::TimedOut { .. } => false,
         }
@@ -122,11 +122,12 @@
 }
 
 impl ExchangeError {
-    /// Failure guarded against: something between the two ends has lost track
-    /// of all connections that were open at some moment. It shows as silence on
-    /// one pooled connection after the other, each of which costs a request.
-    /// The guard holds because the first one that fails closes the others.
-    fn casts_doubt_on_pool(&self) -> bool {
+    /// Returns whether the idle connections to the address should be closed.
+    ///
+    /// A middlebox (firewall, NAT) on the path can drop the state of all connections at once. Each
+    /// pooled connection would then fail in turn and cost a request. The first failure on a
+    /// pooled connection therefore closes the other idle ones.
+    fn invalidates_idle_connections(&self) -> bool {
         matches!(
             self,
             ExchangeError::Broken { fresh: false } | ExchangeError::TimedOut { fresh: false }
@@ -134,21 +135,21 @@
     }
 }
 
-/// Sends a request and returns the answer when it has begun.
+/// Sends a request and returns the answer when its head has arrived.
 ///
-/// A pooled connection that turns out to be closed before any byte was written
-/// is replaced by a new one; nothing else is tried twice.
+/// If a pooled connection turns out to be closed before any byte was written, a new one is used.
+/// Nothing else is retried.
 ///
 /// # Errors
 ///
-/// Returns an error that says whether bytes may have been sent.
+/// Returns an error that indicates whether bytes may have been sent.
 pub(crate) async fn run(
     pool: &ConnectionPool,
     clock: Clock,
     target: Target,
     head: RequestHead,
     body: &RequestBody,
-) -> Result<BegunAnswer, ExchangeError> {
+) -> Result<StartedAnswer, ExchangeError> {
     let mut choice = target.choice;
     loop {
         let checked_out =
@@ -156,10 +157,10 @@
         let fresh = checked_out.fresh;
         let result = send(clock, &target, checked_out, head.clone(), body).await;
         match result {
-            Err(ExchangeError::ClosedUnsent) if !fresh && body.is_at_hand() => {
+            Err(ExchangeError::ClosedUnsent) if !fresh && body.is_available() => {
                 choice = ConnectionChoice::Fresh;
             }
-            Err(error) if error.casts_doubt_on_pool() => {
+            Err(error) if error.invalidates_idle_connections() => {
                 pool.close_idle(target.address);
                 return Err(error);
             }
@@ -174,9 +175,9 @@
     checked_out: CheckedOut,
     head: RequestHead,
     body: &RequestBody,
-) -> Result<BegunAnswer, ExchangeError> {
+) -> Result<StartedAnswer, ExchangeError> {
     let CheckedOut { mut connection, fresh } = checked_out;
-    let Some(send_body) = body.take() else { return Err(ExchangeError::BodyGone) };
+    let Some(send_body) = body.take() else { return Err(ExchangeError::BodyConsumed) };
     let request = request(head, send_body);
     connection.guard.begin(target.not_after);
     let sent = clock.now();
@@ -185,7 +186,7 @@
         tokio::select! {
             biased;
             answer = answer => Some(answer),
-            () = target.give_up.0.notified() => None,
+            () = target.abandon.0.notified() => None,
         }
     })
     .await
@@ -193,10 +194,17 @@
     match answer {
         Some(Ok(response)) => {
             let (parts, incoming) = response.into_parts();
-            Ok(BegunAnswer { parts, body: incoming, connection, fresh, sent, began: clock.now() })
+            Ok(StartedAnswer {
+                parts,
+                body: incoming,
+                connection,
+                fresh,
+                sent,
+                started_at: clock.now(),
+            })
         }
         Some(Err(error)) => Err(failure(&connection, fresh, error, body)),
-        None if connection.guard.seal() => Err(ExchangeError::TooLate),
+        None if connection.guard.close() => Err(ExchangeError::TooLate),
         None => Err(ExchangeError::TimedOut { fresh }),
     }
 }
@@ -208,16 +216,16 @@
     body: &RequestBody,
 ) -> ExchangeError {
     if let Some(request) = error.take_message() {
-        body.give_back(request.into_body());
+        body.restore(request.into_body());
     }
-    let sent = !connection.guard.seal();
+    let sent = !connection.guard.close();
     if error.error().is_user() {
         return ExchangeError::CallerBody { sent };
     }
     if sent {
         return ExchangeError::Broken { fresh };
     }
-    if connection.guard.was_held_back() {
+    if connection.guard.was_blocked() {
         return ExchangeError::TooLate;
     }
     ExchangeError::ClosedUnsent
--- a/crates/pistachiotrackd/src/hand_over.rs
+++ b/crates/pistachiotrackd/src/hand_over.rs
@@ -1,4 +1,4 @@
-//! Tells a shard's new owner what this VM knows of it.
+//! Sends the state of a shard to its new owner.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use crate::{peer_client, peer_message::HAND_OVER_PATH, shard_table::shard_name};
 
-/// Tries before the hand-over is given up.
-const TRIES: u32 = 3;
-/// Time allowed for one try.
+/// Number of tries before the hand-over is abandoned.
+const MAX_TRIES: u32 = 3;
+/// Time limit of a single try.
 const TRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay between two tries.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Sends the hand-over to the new owner.
 ///
-/// A hand-over that doesn't arrive costs time, not safety: an owner without one
-/// starts with half of each endpoint's slots and learns the rest by itself.
+/// A lost hand-over costs time but not correctness: an owner without one starts with half of the
+/// slots of each endpoint and builds up the remaining state itself.
 pub(crate) async fn send(to: Vm, hand_over: ShardHandOver) {
     let shard = shard_name(&hand_over.shard);
     let message = match postcard::to_stdvec(&hand_over) {
@@ -26,7 +26,7 @@
             return;
         }
     };
-    for tries in 1..=TRIES {
+    for tries in 1..=MAX_TRIES {
         let sent = peer_client::ask(to.peer_address, HAND_OVER_PATH, message.clone(), TRY_TIMEOUT);
         match sent.await {
             Ok(_) => {
@@ -41,6 +41,6 @@
                 );
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/pistachiotrackd/src/http_call.rs
+++ b/crates/pistachiotrackd/src/http_call.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange on a connection of its own, for control.
+//! An HTTP exchange on its own connection, for control traffic.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,42 +13,41 @@
 /// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The other end can't be reached.
+    /// The peer can't be reached.
     #[error("connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// The exchange broke.
+    /// The exchange failed.
     #[error("http: {0}")]
     Http(#[from] hyper::Error),
-    /// The answer was cut short.
+    /// The body of the answer is incomplete.
     #[error("body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// The answer is longer than allowed.
     #[error("body is longer than {0} bytes")]
     TooLong(usize),
-    /// No answer began in time.
+    /// No answer started in time.
     #[error("no answer within {}ms", .0.as_millis())]
     NoAnswer(Duration),
-    /// An answer began and then stood still.
-    #[error("nothing more of the body within {}ms", .0.as_millis())]
+    /// No data arrived for too long after the answer had started.
+    #[error("no further data of the body within {}ms", .0.as_millis())]
     Stalled(Duration),
-    /// The body took too long as a whole.
+    /// The complete body took too long.
     #[error("body not complete within {}ms", .0.as_millis())]
     Unfinished(Duration),
 }
 
-/// How long the parts of an answer may take.
+/// Time limits for the parts of an answer.
 ///
-/// Failure guarded against: one limit for the whole answer is right for small ones, and
-/// a large one that comes steadily over a slow link never gets to its end. It shows as a
-/// source that times out again and again while it is well. The guard holds because only
-/// silence counts soon.
+/// A single limit for the whole answer fits small answers, but a large one that arrives steadily
+/// over a slow link would never complete, and its source would time out repeatedly although it is
+/// healthy. The short limits therefore apply only to time without data.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    /// Time allowed until the head of the answer is there.
+pub struct ResponseTimeouts {
+    /// Time limit for the head of the answer.
     pub head: Duration,
-    /// Time allowed from one piece of the body to the next.
-    pub piece: Duration,
-    /// Time allowed for the whole body.
+    /// Time limit from one chunk of the body to the next.
+    pub chunk: Duration,
+    /// Time limit for the whole body.
     pub body: Duration,
 }
 
@@ -62,31 +61,31 @@
     request: Request<Full<Bytes>>,
     max_bytes: usize,
 ) -> Result<Response<Bytes>, CallError> {
-    let (answer, _closes) = open(address, request).await?;
+    let (answer, _connection) = open(address, request).await?;
     let (head, body) = answer.into_parts();
     let body = Limited::new(body, max_bytes).collect().await;
     let body = body.map_err(|error| body_error(error, max_bytes))?;
     Ok(Response::from_parts(head, body.to_bytes()))
 }
 
-/// Sends `request` to `address` and returns the answer with its whole body, which may
-/// take long as long as it comes steadily.
+/// Sends `request` to `address` and returns the answer with its whole body. The body may take
+/// long as long as data arrives steadily.
 ///
 /// # Errors
 ///
-/// Returns an error if the exchange fails, the body exceeds `max_bytes`, or a part of
-/// the answer takes longer than `pace` allows.
-pub async fn call_paced(
+/// Returns an error if the exchange fails, the body exceeds `max_bytes`, or a part of the answer
+/// exceeds `timeouts`.
+pub async fn call_with_timeouts(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     max_bytes: usize,
-    pace: Pace,
+    timeouts: ResponseTimeouts,
 ) -> Result<Response<Bytes>, CallError> {
-    let answer = timeout(pace.head, open(address, request)).await;
-    let (answer, _closes) = answer.map_err(|_| CallError::NoAnswer(pace.head))??;
+    let answer = timeout(timeouts.head, open(address, request)).await;
+    let (answer, _connection) = answer.map_err(|_| CallError::NoAnswer(timeouts.head))??;
     let (head, body) = answer.into_parts();
-    let body = timeout(pace.body, collect(body, max_bytes, pace.piece)).await;
-    let body = body.map_err(|_| CallError::Unfinished(pace.body))??;
+    let body = timeout(timeouts.body, collect(body, max_bytes, timeouts.chunk)).await;
+    let body = body.map_err(|_| CallError::Unfinished(timeouts.body))??;
     Ok(Response::from_parts(head, body))
 }
 
@@ -98,16 +97,16 @@
     socket::guard_outgoing(&stream)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = tokio::spawn(connection);
-    let closes = AbortOnDrop(connection.abort_handle());
-    Ok((sender.send_request(request).await?, closes))
+    let connection = AbortOnDrop(connection.abort_handle());
+    Ok((sender.send_request(request).await?, connection))
 }
 
-async fn collect(body: Incoming, max_bytes: usize, piece: Duration) -> Result<Bytes, CallError> {
+async fn collect(body: Incoming, max_bytes: usize, chunk: Duration) -> Result<Bytes, CallError> {
     let mut body = Limited::new(body, max_bytes);
     let mut collected = BytesMut::new();
     loop {
-        let frame = timeout(piece, body.frame()).await;
-        let Some(frame) = frame.map_err(|_| CallError::Stalled(piece))? else { break };
+        let frame = timeout(chunk, body.frame()).await;
+        let Some(frame) = frame.map_err(|_| CallError::Stalled(chunk))? else { break };
         let frame = frame.map_err(|error| body_error(error, max_bytes))?;
         if let Some(data) = frame.data_ref() {
             collected.extend_from_slice(data);
@@ -123,7 +122,7 @@
     }
 }
 
-/// Ends a connection's task together with the exchange.
+/// Aborts the task of a connection on drop.
 struct AbortOnDrop(tokio::task::AbortHandle);
 
 impl Drop for AbortOnDrop {
--- a/crates/pistachiotrackd/src/listener.rs
+++ b/crates/pistachiotrackd/src/listener.rs
@@ -17,22 +17,22 @@
 use tokio_util::task::TaskTracker;
 
 use crate::{
-    arrival::ArrivalWatch, body::AnswerBody, context::Context, metrics::Event, settings::Limits,
+    arrival::ArrivalTracker, body::AnswerBody, context::Context, metrics::Event, settings::Limits,
     socket, stall_guard::StallGuard,
 };
 
-/// Pause after the system refused to accept a connection.
+/// Delay after the operating system failed to accept a connection.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// A port of the daemon.
+/// A listening port of the daemon.
 pub(crate) struct Listener {
-    /// Socket that connections come in at.
+    /// Listening socket.
     pub(crate) socket: TcpListener,
-    /// Connections open at the same time.
+    /// Maximum number of open connections.
     pub(crate) max_connections: usize,
-    /// Becomes true when no further request is taken.
+    /// Becomes true when no more requests are accepted.
     pub(crate) stopping: watch::Receiver<bool>,
-    /// Knows the connections that are still served.
+    /// Tracks the connections that are still served.
     pub(crate) connections: TaskTracker,
 }
 
@@ -43,7 +43,7 @@
         H: Fn(Arc<Context>, Request<Incoming>) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Result<Response<AnswerBody>, Infallible>> + Send + 'static,
     {
-        let places = Arc::new(Semaphore::new(self.max_connections));
+        let permits = Arc::new(Semaphore::new(self.max_connections));
         let mut stopping = self.stopping.clone();
         loop {
             let accepted = tokio::select! {
@@ -58,20 +58,20 @@
                     continue;
                 }
             };
-            let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 context.metrics.count(Event::ConnectionTurnedAway);
                 continue;
             };
             let context = Arc::clone(&context);
             let stopping = self.stopping.clone();
-            self.connections.spawn(connection(stream, place, context, handler.clone(), stopping));
+            self.connections.spawn(connection(stream, permit, context, handler.clone(), stopping));
         }
     }
 }
 
 async fn connection<H, F>(
     stream: TcpStream,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
     context: Arc<Context>,
     handler: H,
     mut stopping: watch::Receiver<bool>,
@@ -85,11 +85,11 @@
     }
     let limits = &context.settings.limits;
     let builder = builder(limits);
-    let arrivals = Arc::new(ArrivalWatch::new(context.clock, context.gate.clone()));
+    let arrivals = Arc::new(ArrivalTracker::new(context.clock, context.gate.clone()));
     let idle_limit = Duration::from_millis(limits.body_idle_ms);
     let stream = StallGuard::new(stream, idle_limit, Arc::clone(&arrivals));
     let service = service_fn(move |mut request| {
-        if let Some(arrival) = arrivals.before_wake() {
+        if let Some(arrival) = arrivals.arrival_before_resume() {
             request.extensions_mut().insert(arrival);
         }
         answer(Arc::clone(&context), &handler, request)
@@ -108,13 +108,12 @@
     }
 }
 
-/// Answers a request; while the daemon leaves, the answer ends its connection.
+/// Handles a request and closes its connection after the answer while the daemon is shutting
+/// down.
 ///
-/// Failure guarded against: a caller sends on a kept connection in the moment in
-/// which a stopping daemon closes it, and can't know whether the request ran. It
-/// shows as a connection that ends without an answer. The guard holds because
-/// each connection that is used while the daemon leaves ends with an answer, so
-/// that only idle ones are left to be closed at the end.
+/// If a stopping daemon closes a keep-alive connection while a caller sends a
+/// request on it, the caller can't know whether the request ran. Each connection used during the
+/// shutdown therefore ends with an answer, so that only idle connections are closed at the end.
 fn answer<H, F>(
     context: Arc<Context>,
     handler: &H,
@@ -135,7 +134,7 @@
 }
 
 async fn stopped(stopping: &mut watch::Receiver<bool>) {
-    // An error means that the daemon is gone, which is a stop as well.
+    // An error means that the daemon has ended, which also counts as stopped.
     let _ = stopping.wait_for(|stopping| *stopping).await;
 }
 
--- /dev/null
+++ b/crates/pistachiotrackd/src/peer_result.rs
@@ -0,0 +1,96 @@
+//! Result of a forwarded request as the answering VM reports it.
+
+use std::time::Duration;
+
+use hyper::HeaderMap;
+use pistachiotrack_core::{
+    header,
+    name::Name,
+    refusal::{Execution, Reason, Refusal},
+};
+use serde::{Deserialize, Serialize};
+
+use crate::headers;
+
+/// Result of a forwarded request as the answering VM reports it in a header of its answer.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum PeerResult {
+    /// The answer is from an endpoint, or was stored for duplicates.
+    Answered {
+        /// Time until the endpoint started its answer.
+        endpoint_time_us: Option<u64>,
+    },
+    /// The VM refused the request.
+    Refused(PeerRefusal),
+}
+
+/// Refusal of a request by another VM.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PeerRefusal {
+    /// ID of the request within the fleet.
+    pub request: Name,
+    /// The VM that refused.
+    pub vm: Name,
+    /// Whether the copy sent to that VM may have run.
+    pub execution: Execution,
+    /// Why it was refused.
+    pub reason: Reason,
+    /// Time after which the caller may retry.
+    pub retry_after_ms: Option<u64>,
+}
+
+impl PeerRefusal {
+    /// Creates the report of a refusal of `request` by `vm`.
+    pub fn new(vm: &Name, request: &Name, refusal: &Refusal) -> PeerRefusal {
+        PeerRefusal {
+            request: request.clone(),
+            vm: vm.clone(),
+            execution: refusal.execution(),
+            reason: refusal.reason(),
+            retry_after_ms: refusal.retry_after_ms(),
+        }
+    }
+}
+
+/// Type of an answer from another VM.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum PeerAnswer {
+    /// An answer for the caller, with the time that the endpoint took.
+    Answer(Option<Duration>),
+    /// A refusal reported by the VM.
+    Refused(PeerRefusal),
+    /// A refusal without a valid result for this request.
+    Unverified,
+}
+
+impl PeerResult {
+    /// Writes the result to an answer's headers.
+    pub fn write_to(&self, fields: &mut HeaderMap) {
+        if let Ok(text) = serde_json::to_string(self) {
+            headers::set(fields, header::PEER_RESULT, &text);
+        }
+    }
+
+    /// Removes the result from the headers of an answer to `request` and returns it.
+    ///
+    /// A status or header set by another program, or by a VM of another version, must not be read
+    /// as a guarantee that the request was not run; otherwise a booking could run twice. Only a
+    /// result with the ID of this request gives that guarantee.
+    pub fn take_from(fields: &mut HeaderMap, request: &Name) -> PeerAnswer {
+        let result = fields.remove(header::PEER_RESULT);
+        let result =
+            result.as_ref().and_then(|result| serde_json::from_slice(result.as_bytes()).ok());
+        match result {
+            Some(PeerResult::Answered { endpoint_time_us }) => {
+                PeerAnswer::Answer(endpoint_time_us.map(Duration::from_micros))
+            }
+            Some(PeerResult::Refused(result)) if result.request == *request => {
+                PeerAnswer::Refused(result)
+            }
+            Some(PeerResult::Refused(_)) => PeerAnswer::Unverified,
+            None if fields.contains_key(header::OUTCOME) => PeerAnswer::Unverified,
+            None => PeerAnswer::Answer(None),
+        }
+    }
+}
--- a/crates/pistachiotrackd/src/probe.rs
+++ b/crates/pistachiotrackd/src/probe.rs
@@ -18,19 +18,19 @@
     attempt::{outcome_of_answer, outcome_of_error},
     clock::Clock,
     connection_pool::ConnectionPool,
-    dialect::{AnswerFacts, AnswerKind, Dialect, OutgoingFacts},
-    exchange::{self, BegunAnswer, GiveUp, RequestHead, Target},
+    dialect::{AnswerKind, AnswerMetadata, Dialect, OutgoingMetadata},
+    exchange::{self, AbandonSignal, RequestHead, StartedAnswer, Target},
     request_body::RequestBody,
     shard_actor::{AttemptOutcome, BodyEnded, ShardActor},
 };
 
-/// Connections that a health check may need besides the budget of real work.
+/// Health checks are not limited by the connection budget of requests.
 const PROBE_BUDGET: u32 = u32::MAX;
 
 /// A health check of an endpoint.
 #[derive(Debug)]
 pub(crate) struct Probe {
-    /// Identity of the attempt.
+    /// ID of the attempt.
     pub(crate) attempt: AttemptId,
     /// Endpoint to check.
     pub(crate) endpoint: Name,
@@ -38,12 +38,12 @@
     pub(crate) address: SocketAddr,
     /// Path of the health check.
     pub(crate) path: Name,
-    /// Moment at which the probe has timed out.
+    /// Time at which the probe times out.
     pub(crate) time_limit: Time,
 }
 
 impl Probe {
-    /// Sends the health check and tells the shard how it ended.
+    /// Sends the health check and reports its result to the shard.
     pub(crate) async fn run(
         self,
         shard: ActorRef<ShardActor>,
@@ -51,14 +51,15 @@
         clock: Clock,
         dialect: Arc<dyn Dialect>,
     ) {
-        let facts = OutgoingFacts {
+        let metadata = OutgoingMetadata {
             request_id: None,
             endpoint: &self.endpoint,
             time_left: self.time_limit.since(clock.now()),
         };
-        let (outcome, report, answer) = match self.exchange(&pool, clock, &*dialect, facts).await {
+        let (outcome, report, answer) = match self.exchange(&pool, clock, &*dialect, metadata).await
+        {
             Ok(answer) => {
-                let AnswerFacts { kind, report } = dialect.read_answer(&answer.parts, facts);
+                let AnswerMetadata { kind, report } = dialect.read_answer(&answer.parts, metadata);
                 let outcome = outcome_of_answer(kind, &answer);
                 (outcome, report, Some(answer).filter(|_| kind == AnswerKind::Answer))
             }
@@ -79,14 +80,14 @@
         pool: &ConnectionPool,
         clock: Clock,
         dialect: &dyn Dialect,
-        facts: OutgoingFacts<'_>,
-    ) -> Result<BegunAnswer, Outcome> {
+        metadata: OutgoingMetadata<'_>,
+    ) -> Result<StartedAnswer, Outcome> {
         let uri: Uri = self.path.parse().unwrap_or_default();
         let mut headers = HeaderMap::new();
         if let Ok(host) = HeaderValue::from_str(&self.address.to_string()) {
             headers.insert(HOST, host);
         }
-        dialect.write_request(&mut headers, facts);
+        dialect.write_request(&mut headers, metadata);
         let head = RequestHead { method: Method::GET, uri, headers };
         let target = Target {
             address: self.address,
@@ -94,7 +95,7 @@
             budget: PROBE_BUDGET,
             not_after: self.time_limit,
             time_limit: self.time_limit,
-            give_up: GiveUp::default(),
+            abandon: AbandonSignal::default(),
         };
         let body = RequestBody::Whole(None);
         exchange::run(pool, clock, target, head, &body).await.map_err(|e| outcome_of_error(&e))
@@ -102,7 +103,7 @@
 
     async fn read_body(
         &self,
-        mut answer: BegunAnswer,
+        mut answer: StartedAnswer,
         pool: &ConnectionPool,
         clock: Clock,
     ) -> BodyEnd {
--- a/crates/pistachiotrackd/src/quarantine.rs
+++ b/crates/pistachiotrackd/src/quarantine.rs
@@ -1,6 +1,6 @@
-//! Holds back requests that crash endpoints, together with the other VMs.
+//! Holds requests that crash endpoints in quarantine, together with the other VMs.
 
-mod link;
+mod transport;
 
 use std::{
     net::SocketAddr,
@@ -23,117 +23,119 @@
     shard::EndpointKey,
 };
 
-pub(crate) use self::link::{QUARANTINE_TAG, QuarantineLink};
+pub(crate) use self::transport::{QUARANTINE_TAG, QuarantineTransport};
 use crate::{clock::Clock, inbound::Inbound, timer::TimerEvent};
 
-/// Decides which requests are held back, and tells the other VMs.
+/// Decides which requests are held, and sends updates to the other VMs.
 #[derive(Debug)]
-pub(crate) struct QuarantineGate {
+pub(crate) struct QuarantineManager {
     clock: Clock,
-    known: Mutex<Quarantine>,
-    /// Whether nothing is known, so that most requests need no fingerprint.
+    quarantine: Mutex<Quarantine>,
+    /// Whether no request is tracked, so that most requests need no fingerprint.
     is_empty: AtomicBool,
-    link: QuarantineLink,
+    transport: QuarantineTransport,
 }
 
-impl QuarantineGate {
-    /// Creates a gate that holds nothing back.
+impl QuarantineManager {
+    /// Creates a manager without any records.
     pub(crate) fn new(
         clock: Clock,
         settings: QuarantineSettings,
-        link: QuarantineLink,
+        transport: QuarantineTransport,
         seed: u64,
-    ) -> QuarantineGate {
-        let known = Mutex::new(Quarantine::new(settings, seed));
-        QuarantineGate { clock, known, is_empty: AtomicBool::new(true), link }
+    ) -> QuarantineManager {
+        let quarantine = Mutex::new(Quarantine::new(settings, seed));
+        QuarantineManager { clock, quarantine, is_empty: AtomicBool::new(true), transport }
     }
 
-    /// Returns how long a request that has just come in is held back, if it is.
-    pub(crate) fn held_for(&self, inbound: &Inbound) -> Option<Duration> {
+    /// Returns the remaining hold time of a received request, if it is held.
+    pub(crate) fn remaining_hold(&self, inbound: &Inbound) -> Option<Duration> {
         if self.is_empty.load(Ordering::Relaxed) {
             return None;
         }
-        self.with(|known| known.remaining_hold(self.clock.now(), inbound.fingerprint()))
+        self.with(|quarantine| quarantine.remaining_hold(self.clock.now(), inbound.fingerprint()))
     }
 
-    /// Decides about a request that is about to be sent to an endpoint.
+    /// Returns whether a request may be sent to an endpoint.
     pub(crate) fn admit(&self, inbound: &Inbound) -> DispatchDecision {
         if self.is_empty.load(Ordering::Relaxed) {
             return DispatchDecision::Send;
         }
         let (request, service) = (inbound.fingerprint(), &inbound.route.shard.service);
-        if !self.with(|known| known.is_tracked(request)) {
+        if !self.with(|quarantine| quarantine.is_tracked(request)) {
             return DispatchDecision::Send;
         }
-        let may_try = self.link.is_placed_here(request, service);
-        let admission = self.with(|known| known.admit(self.clock.now(), request, may_try));
-        if admission == DispatchDecision::Trial {
+        let may_try = self.transport.is_trial_owner(request, service);
+        let decision = self.with(|quarantine| quarantine.admit(self.clock.now(), request, may_try));
+        if decision == DispatchDecision::Trial {
             log::info!("event=request_tried request={} fingerprint={request}", inbound.fleet_id);
-            self.tell();
+            self.send_updates();
         }
-        admission
+        decision
     }
 
-    /// Notes that an endpoint ended while it ran a request.
+    /// Records that an endpoint crashed while it ran a request.
     pub(crate) fn on_crash(&self, request: Fingerprint, service: &Name, endpoint: &Name) {
         let key = EndpointKey::of(endpoint);
-        let change = self.with(|known| known.on_crash(self.clock.now(), request, service, key));
+        let change =
+            self.with(|quarantine| quarantine.on_crash(self.clock.now(), request, service, key));
         let Some(change) = change else { return };
         log_change(request, change, &format!("endpoint={endpoint}"));
-        self.tell();
+        self.send_updates();
     }
 
-    /// Notes that a request brought a whole answer.
+    /// Records that a request got a complete answer.
     pub(crate) fn on_answered(&self, inbound: &Inbound) {
         if self.is_empty.load(Ordering::Relaxed) {
             return;
         }
         let (request, service) = (inbound.fingerprint(), &inbound.route.shard.service);
-        let change = self.with(|known| known.on_answered(self.clock.now(), request, service));
+        let change =
+            self.with(|quarantine| quarantine.on_answered(self.clock.now(), request, service));
         let Some(change) = change else { return };
         log_change(request, change, &format!("request={}", inbound.fleet_id));
-        self.tell();
+        self.send_updates();
     }
 
-    /// Takes a datagram of another VM.
+    /// Handles a datagram from another VM.
     pub(crate) fn receive(&self, from: SocketAddr, bytes: &[u8]) {
-        let notes = match self.link.read(bytes) {
-            Ok(notes) => notes,
+        let updates = match self.transport.read(bytes) {
+            Ok(updates) => updates,
             Err(error) => {
                 log::debug!("event=quarantine_unused from={from} error={:?}", error.to_string());
                 return;
             }
         };
         let mut newer = Vec::new();
-        for note in notes {
-            let taken = self.with(|known| known.on_update(self.clock.now(), &note));
-            if let Some(change) = taken.0 {
-                log_change(note.request, change, &format!("told_by={from}"));
+        for update in updates {
+            let applied = self.with(|quarantine| quarantine.on_update(self.clock.now(), &update));
+            if let Some(change) = applied.0 {
+                log_change(update.request, change, &format!("told_by={from}"));
             }
-            newer.extend(taken.1);
+            newer.extend(applied.1);
         }
         if !newer.is_empty() {
-            self.link.answer(from, newer);
+            self.transport.reply(from, newer);
         }
     }
 
-    /// Returns what is known, for the admin port.
+    /// Returns the status of all records, for the admin port.
     pub(crate) fn statuses(&self) -> Vec<QuarantineStatus> {
-        self.with(|known| known.statuses(self.clock.now()))
+        self.with(|quarantine| quarantine.statuses(self.clock.now()))
     }
 
-    /// Tells other VMs what they have to know.
-    fn tell(&self) {
-        let tellings = self.with(|known| known.on_gossip_round(self.clock.now()));
-        for telling in tellings {
-            self.link.tell(telling);
+    /// Sends the due updates to other VMs.
+    fn send_updates(&self) {
+        let batches = self.with(|quarantine| quarantine.on_gossip_round(self.clock.now()));
+        for batch in batches {
+            self.transport.send_batch(batch);
         }
     }
 
     fn with<T>(&self, change: impl FnOnce(&mut Quarantine) -> T) -> T {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let result = change(&mut known);
-        self.is_empty.store(known.is_empty(), Ordering::Relaxed);
+        let mut quarantine = self.quarantine.lock().unwrap_or_else(PoisonError::into_inner);
+        let result = change(&mut quarantine);
+        self.is_empty.store(quarantine.is_empty(), Ordering::Relaxed);
         result
     }
 }
@@ -152,17 +154,17 @@
     }
 }
 
-/// The actor that tells other VMs in rounds.
+/// Actor that sends updates to other VMs in gossip rounds.
 #[derive(Actor)]
-pub(crate) struct QuarantineRounds(pub(crate) Arc<QuarantineGate>);
+pub(crate) struct QuarantineGossip(pub(crate) Arc<QuarantineManager>);
 
-impl Message<TimerEvent> for QuarantineRounds {
+impl Message<TimerEvent> for QuarantineGossip {
     type Reply = ();
 
     async fn handle(&mut self, event: TimerEvent, _: &mut MessageContext<Self, ()>) {
         let is_due = !self.0.is_empty.load(Ordering::Relaxed);
         if let (TimerEvent::Tick(_), true) = (event, is_due) {
-            self.0.tell();
+            self.0.send_updates();
         }
     }
 }
--- a/crates/pistachiotrackd/src/quarantine/link.rs
+++ b/crates/pistachiotrackd/src/quarantine/transport.rs
@@ -21,33 +21,34 @@
     view::FleetView,
 };
 
-/// First byte of these datagrams; those of the membership and of dispatchers begin with others.
+/// First byte of quarantine datagrams; datagrams of the membership and of dispatchers start with
+/// other bytes.
 pub(crate) const QUARANTINE_TAG: u8 = 0x90;
 
-/// One datagram.
+/// A quarantine datagram.
 #[derive(Debug, Serialize, Deserialize)]
 struct QuarantineDatagram {
     deployment: u64,
-    notes: Vec<CrashUpdate>,
+    updates: Vec<CrashUpdate>,
 }
 
 /// Why a datagram is not used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum QuarantineError {
-    /// It is longer than any VM sends.
-    #[error("{0} bytes")]
+    /// The datagram is longer than the maximum.
+    #[error("datagram has {0} bytes, more than the maximum")]
     Length(usize),
-    /// It can't be read.
-    #[error("can't be read: {0}")]
+    /// The datagram can't be decoded.
+    #[error("datagram can't be decoded: {0}")]
     Unreadable(#[from] postcard::Error),
-    /// It comes from another deployment.
-    #[error("of another deployment")]
+    /// The datagram comes from another deployment.
+    #[error("datagram is from another deployment")]
     Deployment,
 }
 
-/// Tells other VMs about requests that crash endpoints.
+/// Sends updates about requests that crash endpoints to other VMs.
 #[derive(Debug)]
-pub(crate) struct QuarantineLink {
+pub(crate) struct QuarantineTransport {
     me: Name,
     deployment: u64,
     socket: Arc<UdpSocket>,
@@ -55,23 +56,23 @@
     traffic: Arc<Traffic>,
 }
 
-impl QuarantineLink {
-    /// Creates a link over the socket that the membership uses too.
+impl QuarantineTransport {
+    /// Creates a transport over the socket that the membership also uses.
     pub(crate) fn new(
         me: &Vm,
         deployment: &str,
         socket: Arc<UdpSocket>,
         view: watch::Receiver<Arc<FleetView>>,
         traffic: Arc<Traffic>,
-    ) -> QuarantineLink {
+    ) -> QuarantineTransport {
         let deployment = hash::fnv(deployment.as_bytes());
-        QuarantineLink { me: me.name.clone(), deployment, socket, view, traffic }
+        QuarantineTransport { me: me.name.clone(), deployment, socket, view, traffic }
     }
 
-    /// Tells the VMs that `telling` is for.
-    pub(crate) fn tell(&self, telling: UpdateBatch) {
+    /// Sends a batch to its recipients.
+    pub(crate) fn send_batch(&self, batch: UpdateBatch) {
         let view = Arc::clone(&self.view.borrow());
-        let (told, updates) = match telling {
+        let (recipients, updates) = match batch {
             UpdateBatch::ForDispatchers { service, updates } => {
                 let dispatchers = view.ownership.dispatchers(&service).iter();
                 let others = dispatchers.filter(|vm| vm.name != self.me);
@@ -80,23 +81,23 @@
             UpdateBatch::ForRandomVms { count, updates } => (random_members(&view, count), updates),
         };
         let Some(bytes) = self.encode(updates) else { return };
-        for to in told {
+        for to in recipients {
             self.send(to, &bytes);
         }
     }
 
-    /// Tells the VM at an address.
-    pub(crate) fn answer(&self, to: SocketAddr, notes: Vec<CrashUpdate>) {
-        if let Some(bytes) = self.encode(notes) {
+    /// Sends updates to the VM at an address.
+    pub(crate) fn reply(&self, to: SocketAddr, updates: Vec<CrashUpdate>) {
+        if let Some(bytes) = self.encode(updates) {
             self.send(to, &bytes);
         }
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is not for this VM to believe.
+    /// Returns an error if the datagram is invalid or comes from another deployment.
     pub(crate) fn read(&self, bytes: &[u8]) -> Result<Vec<CrashUpdate>, QuarantineError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(QuarantineError::Length(bytes.len()));
@@ -106,12 +107,12 @@
         if datagram.deployment != self.deployment {
             return Err(QuarantineError::Deployment);
         }
-        Ok(datagram.notes)
+        Ok(datagram.updates)
     }
 
-    /// Returns whether trials of a request are up to this VM: of those that dispatch for its
-    /// service side by side one tries it, and the owner where there are none.
-    pub(crate) fn is_placed_here(&self, request: Fingerprint, service: &str) -> bool {
+    /// Returns whether this VM runs the trials of a request: of the dispatchers of its service
+    /// one does, and the owner if there are no dispatchers.
+    pub(crate) fn is_trial_owner(&self, request: Fingerprint, service: &str) -> bool {
         let view = self.view.borrow();
         let dispatchers = view.ownership.dispatchers(service).iter();
         let score =
@@ -119,16 +120,16 @@
         dispatchers.max_by_key(|vm| score(vm)).is_none_or(|vm| vm.name == self.me)
     }
 
-    fn encode(&self, notes: Vec<CrashUpdate>) -> Option<Vec<u8>> {
-        let datagram = QuarantineDatagram { deployment: self.deployment, notes };
+    fn encode(&self, updates: Vec<CrashUpdate>) -> Option<Vec<u8>> {
+        let datagram = QuarantineDatagram { deployment: self.deployment, updates };
         postcard::to_extend(&datagram, vec![QUARANTINE_TAG])
             .inspect_err(|error| log::error!("event=quarantine_not_encoded error={error:?}"))
             .ok()
     }
 
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        let place = self.view.borrow().place(to);
-        udp::send(&self.socket, to, bytes, &self.traffic, (Topic::Quarantine, place));
+        let locality = self.view.borrow().place(to);
+        udp::send(&self.socket, to, bytes, &self.traffic, (Topic::Quarantine, locality));
     }
 }
 
--- /dev/null
+++ b/crates/pistachiotrackd/src/relay_server.rs
@@ -0,0 +1,107 @@
+//! Relays a request from another VM to an endpoint that the other VM can't reach.
+//!
+//! The owner has made all decisions; this VM only provides its network path. It never forwards
+//! the request to another VM and never sends it twice.
+
+use std::{sync::Arc, time::Duration};
+
+use hyper::{HeaderMap, Request, Response, StatusCode, body::Incoming};
+use pistachiotrack_core::{header, request::Outcome, time::Time};
+
+use crate::{
+    answer,
+    attempt::outcome_of_error,
+    body::{self, AnswerBody},
+    context::Context,
+    exchange::{self, AbandonSignal, ExchangeError, RequestHead, StartedAnswer, Target},
+    headers,
+    inbound::origin_form,
+    proxy,
+    relay_client::{RelayRequest, RelayResult},
+    request_task,
+};
+
+/// Handles a request that another VM sends for an endpoint.
+pub(crate) async fn handle(
+    context: &Arc<Context>,
+    request: Request<Incoming>,
+) -> Response<AnswerBody> {
+    let received = context.clock.now();
+    let Some((relay_request, budget)) = read_relay_request(context, request.headers()) else {
+        return failure_response(RelayResult::Refused);
+    };
+    let time_limit = received + Duration::from_micros(relay_request.time_limit_us);
+    let target = Target {
+        address: relay_request.address,
+        choice: relay_request.choice(),
+        budget,
+        not_after: received + Duration::from_micros(relay_request.not_after_us),
+        time_limit,
+        abandon: AbandonSignal::default(),
+    };
+    match run(context, request, target, time_limit).await {
+        Ok(answer) => pass_on(context, answer),
+        Err(result) => failure_response(result),
+    }
+}
+
+/// Parses the relay request and returns it with the number of connections that this VM may have
+/// open to the endpoint. Returns `None` if the configuration has no such endpoint, so that an
+/// invalid message can't make this VM send requests to other addresses.
+fn read_relay_request(context: &Context, fields: &HeaderMap) -> Option<(RelayRequest, u32)> {
+    let relay_request: RelayRequest =
+        serde_json::from_str(headers::text(fields, header::VIA)?).ok()?;
+    let view = context.view();
+    let services = &view.active.as_ref()?.config.services;
+    let mut endpoints = services.iter().flat_map(|service| &service.endpoints);
+    let endpoint = endpoints.find(|endpoint| relay_request.matches(endpoint))?;
+    let budget = request_task::endpoint_budget(&view, endpoint);
+    Some((relay_request, budget))
+}
+
+async fn run(
+    context: &Context,
+    request: Request<Incoming>,
+    target: Target,
+    time_limit: Time,
+) -> Result<StartedAnswer, RelayResult> {
+    let (mut parts, body) = request.into_parts();
+    let id = headers::text(&parts.headers, header::REQUEST_ID).map(String::from);
+    headers::strip_from_caller(&mut parts.headers);
+    if let Some(id) = id {
+        headers::set(&mut parts.headers, header::REQUEST_ID, &id);
+    }
+    let body =
+        proxy::read_body(context, body, time_limit).await.map_err(|_| RelayResult::NotSent)?;
+    let uri = origin_form(&parts);
+    let head = RequestHead { method: parts.method, uri, headers: parts.headers };
+    exchange::run(&context.endpoints, context.clock, target, head, &body)
+        .await
+        .map_err(result_of_error)
+}
+
+fn result_of_error(error: ExchangeError) -> RelayResult {
+    match outcome_of_error(&error) {
+        Outcome::ConnectFailed | Outcome::Misdirected => RelayResult::ConnectFailed,
+        Outcome::Broken { fresh_connection } => RelayResult::Broken { fresh: fresh_connection },
+        Outcome::TimedOut { fresh_connection } => RelayResult::TimedOut { fresh: fresh_connection },
+        outcome if outcome.certainly_not_run() => RelayResult::NotSent,
+        _ => RelayResult::BodyBroken,
+    }
+}
+
+fn pass_on(context: &Context, answer: StartedAnswer) -> Response<AnswerBody> {
+    let StartedAnswer { mut parts, body, connection, fresh, .. } = answer;
+    let idle_limit = Duration::from_millis(context.settings.limits.body_idle_ms);
+    let pool = Arc::clone(&context.endpoints);
+    let body = AnswerBody::streaming(&parts, body, connection, pool, idle_limit, false, None);
+    headers::strip_from_endpoint(&mut parts.headers);
+    RelayResult::Answered { fresh }.write_to(&mut parts.headers);
+    body::response(parts, body)
+}
+
+fn failure_response(result: RelayResult) -> Response<AnswerBody> {
+    let mut response = answer::plain(StatusCode::SERVICE_UNAVAILABLE);
+    result.write_to(response.headers_mut());
+    response
+}
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -1,5 +1,5 @@
-//! The part of a request's life at the VM that dispatches it: does what the
-//! shard decides and builds the answer.
+//! Task of a request at the VM that dispatches it: executes the decisions of the shard and builds
+//! the answer.
 
 use std::{
     future::{Future, poll_fn},
@@ -26,13 +26,13 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver};
 
 use crate::{
-    answer::{self, Refused},
+    answer::{self, PendingRefusal},
     attempt::{self, AttemptEnd},
-    body::{self, AnswerBody, AnswerCopy, AnswerWatch},
+    body::{self, AnswerBody, AnswerCopy, AnswerMonitor},
     connection_pool::ConnectionPool,
     context::Context,
-    crash_check::{EndpointRun, RunWatch},
-    exchange::{BegunAnswer, GiveUp},
+    crash_check::{EndpointExecution, ExecutionMonitor},
+    exchange::{AbandonSignal, StartedAnswer},
     headers,
     inbound::Inbound,
     metrics::Event,
@@ -41,26 +41,25 @@
     view::FleetView,
 };
 
-/// Time after the deadline for which the shard's own refusal is waited for.
+/// Time after the deadline during which the shard's own refusal is awaited.
 const WATCHDOG_GRACE: Duration = Duration::from_millis(500);
 
-/// What came of a request.
+/// Result of a request.
 pub(crate) struct Served {
-    /// The answer, or the refusal, which is still to be written and logged.
-    pub(crate) answer: Result<Response<AnswerBody>, Refused>,
-    /// Time between sending the request and the answer's head, if an endpoint
-    /// answered.
+    /// The answer, or the refusal, which has not been written and logged yet.
+    pub(crate) answer: Result<Response<AnswerBody>, PendingRefusal>,
+    /// Time between sending the request and the head of the answer, if an endpoint answered.
     pub(crate) endpoint_time: Option<Duration>,
 }
 
 impl Served {
-    /// Returns what came of a request that is refused.
-    pub(crate) fn refused(refusal: impl Into<Refused>) -> Served {
+    /// Returns the result of a refused request.
+    pub(crate) fn refused(refusal: impl Into<PendingRefusal>) -> Served {
         Served { answer: Err(refusal.into()), endpoint_time: None }
     }
 }
 
-/// Has a request served by a shard of this VM.
+/// Serves a request with a shard of this VM.
 pub(crate) async fn serve(
     context: &Arc<Context>,
     shard: ActorRef<ShardActor>,
@@ -81,48 +80,52 @@
         running: Vec::new(),
         answered: Vec::new(),
         copies,
-        began: context.clock.now(),
+        started_at: context.clock.now(),
         was_dispatched: false,
         finished: false,
     };
     task.run().await
 }
 
-/// Returns how many connections this VM may have open to an endpoint, its part of what the
-/// endpoint accepts, but enough for the endpoint's slots; and where the endpoint is.
-fn link(context: &Context, service: &str, endpoint: &str) -> (u32, Place) {
+/// Returns the number of connections that this VM may have open to an endpoint, and the
+/// endpoint's location relative to this VM. The number is this VM's share of the connections that
+/// the endpoint accepts, but at least the number of the endpoint's slots.
+fn connection_budget_and_locality(
+    context: &Context,
+    service: &str,
+    endpoint: &str,
+) -> (u32, Place) {
     let view = context.view();
-    let endpoint = view
-        .active
-        .as_ref()
-        .and_then(|active| active.service(service))
-        .and_then(|service| service.endpoints.iter().find(|one| one.name.as_str() == endpoint));
+    let endpoint =
+        view.active.as_ref().and_then(|active| active.service(service)).and_then(|service| {
+            service.endpoints.iter().find(|candidate| candidate.name.as_str() == endpoint)
+        });
     let Some(endpoint) = endpoint else { return (MIN_CONNECTION_BUDGET, Place::Unknown) };
-    let place = Place::of(&endpoint.data_centre, &context.me.data_centre);
-    (endpoint_budget(&view, endpoint), place)
+    let locality = Place::of(&endpoint.data_centre, &context.me.data_centre);
+    (endpoint_budget(&view, endpoint), locality)
 }
 
-/// Returns how many connections this VM may have open to `endpoint`.
+/// Returns the number of connections that this VM may have open to `endpoint`.
 pub(crate) fn endpoint_budget(view: &FleetView, endpoint: &Endpoint) -> u32 {
     (endpoint.connections / view.live_vms()).max(endpoint.slots).max(MIN_CONNECTION_BUDGET)
 }
 
-/// Connections to an endpoint that a VM may have open in any case.
+/// Minimum number of connections that a VM may have open to an endpoint.
 const MIN_CONNECTION_BUDGET: u32 = 2;
 
-/// An attempt without an answer so far.
+/// An attempt whose answer has not started.
 struct RunningAttempt {
     attempt: AttemptId,
     copy: OutstandingCopy,
     end: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
-    place: Place,
-    give_up: GiveUp,
+    locality: Place,
+    abandon: AbandonSignal,
 }
 
-/// A request that a shard decides about.
+/// A request for which a shard makes the decisions.
 ///
-/// Dropping it ends all its attempts by closing their connections and tells the
-/// shard, which is what happens when the caller goes away.
+/// Dropping it cancels all its attempts by closing their connections and reports this to the
+/// shard. This happens when the caller disconnects.
 struct RequestTask {
     context: Arc<Context>,
     shard: ActorRef<ShardActor>,
@@ -131,27 +134,27 @@
     running: Vec<RunningAttempt>,
     answered: Vec<Answered>,
     copies: Copies,
-    /// Moment at which the shard was asked.
-    began: Time,
+    /// Time at which the request was submitted to the shard.
+    started_at: Time,
     was_dispatched: bool,
     finished: bool,
 }
 
-/// An answer that has begun and waits for the shard's decision.
+/// An answer that has started and waits for the shard's decision.
 struct Answered {
     attempt: AttemptId,
     endpoint: Name,
-    /// Its address, unless it was asked through another VM.
+    /// Its address, unless the request was sent through a relay.
     address: Option<SocketAddr>,
-    answer: Box<BegunAnswer>,
+    answer: Box<StartedAnswer>,
     pool: Arc<ConnectionPool>,
 }
 
-/// An attempt that has ended, or whose answer has begun.
+/// An attempt that has ended or whose answer has started.
 struct Ended {
     attempt: AttemptId,
     copy: OutstandingCopy,
-    place: Place,
+    locality: Place,
     end: AttemptEnd,
 }
 
@@ -175,9 +178,9 @@
             };
             let served = match step {
                 Step::Command(Some(command)) => self.on_command(command),
-                Step::Command(None) => Some(self.give_up(Reason::NoEndpoint)),
+                Step::Command(None) => Some(self.refuse_unilaterally(Reason::NoEndpoint)),
                 Step::Ended(ended) => self.on_end(ended),
-                Step::Overdue => Some(self.give_up(Reason::DeadlinePassed)),
+                Step::Overdue => Some(self.refuse_unilaterally(Reason::DeadlinePassed)),
             };
             if let Some(served) = served {
                 return served;
@@ -191,7 +194,7 @@
             Command::Cancel(attempt) => self.cancel(attempt),
             Command::GiveUp(attempt) => {
                 let running = self.running.iter().find(|running| running.attempt == attempt);
-                running.inspect(|running| running.give_up.now());
+                running.inspect(|running| running.abandon.trigger());
             }
             Command::Deliver(attempt) => return self.deliver(attempt),
             Command::Replay(stored) => {
@@ -199,9 +202,9 @@
                 let response = answer::replay(&stored);
                 return Some(Served { answer: Ok(response), endpoint_time: None });
             }
-            Command::Refuse(verdict) => {
+            Command::Refuse(decision) => {
                 self.finished = true;
-                return Some(Served::refused(self.copies.finish().refuse_with(verdict)));
+                return Some(Served::refused(self.copies.finish().refuse_with(decision)));
             }
         }
         None
@@ -215,54 +218,56 @@
                 self.inbound.fleet_id,
                 dispatch.endpoint
             );
-            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
+            self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
-        if !self.inbound.body.is_at_hand() {
-            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
-            return Some(self.give_up(Reason::NoEndpoint));
+        if !self.inbound.body.is_available() {
+            self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
+            return Some(self.refuse_unilaterally(Reason::NoEndpoint));
         }
         if let DispatchDecision::Held { retry_after } = self.context.quarantine.admit(&self.inbound)
         {
-            return self.hold_back(attempt, retry_after);
+            return self.refuse_quarantined(attempt, retry_after);
         }
         self.context.metrics.count(Event::Dispatch);
         let context = Arc::clone(&self.context);
         let inbound = Arc::clone(&self.inbound);
         let service = &inbound.route.shard.service;
-        let (budget, place) = link(&context, service, &dispatch.endpoint);
-        context.traffic.sent(Topic::Endpoint, place, inbound.body.known_bytes());
+        let (budget, locality) =
+            connection_budget_and_locality(&context, service, &dispatch.endpoint);
+        context.traffic.sent(Topic::Endpoint, locality, inbound.body.announced_bytes());
         if !self.was_dispatched {
             self.was_dispatched = true;
-            let queued = context.clock.now().since(self.began);
+            let queued = context.clock.now().since(self.started_at);
             context.queued.record(&inbound.route.customer, inbound.route.class, queued);
         }
-        let give_up = GiveUp::default();
+        let abandon = AbandonSignal::default();
         let copy = self.copies.send(dispatch.endpoint.clone(), context.clock.now());
-        let end = Box::pin(attempt::run(context, inbound, dispatch, budget, give_up.clone()));
-        self.running.push(RunningAttempt { attempt, copy, end, place, give_up });
+        let end = Box::pin(attempt::run(context, inbound, dispatch, budget, abandon.clone()));
+        self.running.push(RunningAttempt { attempt, copy, end, locality, abandon });
         None
     }
 
-    /// Drops an attempt of a request that crashes endpoints, and refuses the request unless
-    /// another attempt is still on its way.
-    fn hold_back(&mut self, attempt: AttemptId, retry_after: Duration) -> Option<Served> {
+    /// Skips an attempt of a request that crashes endpoints, and refuses the request unless
+    /// another attempt is still running.
+    fn refuse_quarantined(&mut self, attempt: AttemptId, retry_after: Duration) -> Option<Served> {
         if !self.running.is_empty() || !self.answered.is_empty() {
-            self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
+            self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
             return None;
         }
         self.finished = true;
-        // Told first, so that the shard doesn't place the request anew.
+        // Sent first, so that the shard doesn't dispatch the request again.
         let _ = self.shard.tell(CallerGone(self.inbound.id)).try_send();
-        self.tell_outcome(attempt, Outcome::NotSent, EndpointReport::default());
+        self.report_outcome(attempt, Outcome::NotSent, EndpointReport::default());
         let retry_after_ms = Some(retry_after.as_millis() as u64);
         let copies = self.copies.finish();
         Some(Served::refused(copies.refuse(Reason::CrashesEndpoints, retry_after_ms)))
     }
 
-    /// Failure guarded against: a booking is sent to two endpoints. It shows as
-    /// a doubled booking. The guard holds because every attempt of a request
-    /// passes here, and a copy counts as sent until it has come back.
+    /// Returns whether another dispatch could run a request twice that must not be repeated.
+    ///
+    /// Every attempt of a request is checked here, and a copy counts as possibly run until it is
+    /// known not to have run. Otherwise a booking could be sent to two endpoints.
     fn must_not_be_sent_again(&self) -> bool {
         !self.copies.is_certainly_not_run() && !self.inbound.route.idempotent
     }
@@ -270,42 +275,42 @@
     fn cancel(&mut self, attempt: AttemptId) {
         if let Some(index) = self.running.iter().position(|running| running.attempt == attempt) {
             drop(self.running.swap_remove(index));
-            self.tell_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
+            self.report_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
         }
         if let Some(index) = self.answered.iter().position(|answered| answered.attempt == attempt) {
             drop(self.answered.swap_remove(index));
-            self.tell_body_end(attempt);
+            self.report_body_end(attempt);
         }
     }
 
     fn on_end(&mut self, ended: Ended) -> Option<Served> {
-        let Ended { attempt, copy, place, end } = ended;
+        let Ended { attempt, copy, locality, end } = ended;
         if let Some(copy) = copy.on_outcome(end.outcome) {
             self.copies.record_not_run(copy);
         }
         self.log_end(&end);
         if matches!(end.outcome, Outcome::Broken { .. }) {
-            self.run_at(&end.endpoint, end.address).check_endpoint();
+            self.execution_at(&end.endpoint, end.address).check_endpoint();
         }
         if end.outcome == Outcome::NotSent {
             self.context.metrics.count(Event::HeldBack);
         }
         if let Some(answer) = end.answer {
-            let bytes = body::known_bytes(&answer.body);
-            self.context.traffic.received(Topic::Endpoint, place, bytes);
+            let bytes = body::announced_bytes(&answer.body);
+            self.context.traffic.received(Topic::Endpoint, locality, bytes);
             let AttemptEnd { endpoint, address, pool, .. } = end;
             self.answered.push(Answered { attempt, endpoint, address, answer, pool });
         }
-        self.tell_outcome(attempt, end.outcome, end.report);
+        self.report_outcome(attempt, end.outcome, end.report);
         None
     }
 
-    fn run_at(&self, endpoint: &Name, address: Option<SocketAddr>) -> EndpointRun {
+    fn execution_at(&self, endpoint: &Name, address: Option<SocketAddr>) -> EndpointExecution {
         let (context, inbound) = (Arc::clone(&self.context), Arc::clone(&self.inbound));
-        EndpointRun { context, inbound, endpoint: endpoint.clone(), address }
+        EndpointExecution { context, inbound, endpoint: endpoint.clone(), address }
     }
 
-    /// Says how an attempt ended; a failure is worth a line at any time.
+    /// Logs how an attempt ended; failures are logged at the warning level.
     fn log_end(&self, end: &AttemptEnd) {
         let level = match end.outcome {
             Outcome::Answered { status, .. } if status < FIRST_FAILURE_STATUS => log::Level::Debug,
@@ -322,10 +327,10 @@
             end.endpoint,
             self.inbound.route.idempotent,
             end.outcome,
-            end.grounds.reason,
-            f64::from(end.grounds.risk_permille) / 10.0,
-            end.grounds.last_seen_ms_ago,
-            end.took.as_millis()
+            end.selection.reason,
+            f64::from(end.selection.risk_permille) / 10.0,
+            end.selection.last_seen_ms_ago,
+            end.elapsed.as_millis()
         );
     }
 
@@ -333,20 +338,21 @@
         let index = self.answered.iter().position(|answered| answered.attempt == attempt)?;
         let Answered { endpoint, address, answer, pool, .. } = self.answered.swap_remove(index);
         self.finished = true;
-        let BegunAnswer { mut parts, body, connection, sent, began, .. } = *answer;
-        let endpoint_time = began.since(sent);
+        let StartedAnswer { mut parts, body, connection, sent, started_at, .. } = *answer;
+        let endpoint_time = started_at.since(sent);
         let copy = self.inbound.key().map(|_| AnswerCopy::begin(self.inbound.id, &parts));
         let is_failure = parts.status.as_u16() >= FIRST_FAILURE_STATUS;
-        let run = RunWatch { run: self.run_at(&endpoint, address), is_failure };
-        let watch = AnswerWatch { shard: self.shard.clone(), attempt, copy, run };
-        let body = AnswerBody::relayed(
+        let execution =
+            ExecutionMonitor { execution: self.execution_at(&endpoint, address), is_failure };
+        let monitor = AnswerMonitor { shard: self.shard.clone(), attempt, copy, execution };
+        let body = AnswerBody::streaming(
             &parts,
             body,
             connection,
             pool,
             Duration::from_millis(self.context.settings.limits.body_idle_ms),
             self.context.dialect.ends_answers_by_closing(),
-            Some(watch),
+            Some(monitor),
         );
         headers::strip_from_endpoint(&mut parts.headers);
         self.context.dialect.write_answer(&mut parts.headers, &endpoint, &self.context.me.name);
@@ -354,10 +360,11 @@
         Some(Served { answer: Ok(response), endpoint_time: Some(endpoint_time) })
     }
 
-    /// Refuses the request without the shard's decision and tells the shard.
-    fn give_up(&mut self, reason: Reason) -> Served {
+    /// Refuses the request without a decision of the shard; dropping the task reports this to the
+    /// shard.
+    fn refuse_unilaterally(&mut self, reason: Reason) -> Served {
         let refusal = match self.copies.finish().into_undispatched() {
-            Ok(held) => held.refuse(reason, None),
+            Ok(undispatched) => undispatched.refuse(reason, None),
             Err(copies) if reason == Reason::NoEndpoint => {
                 copies.refuse_as_unknown(Reason::AnswerLost)
             }
@@ -366,13 +373,12 @@
         Served::refused(refusal)
     }
 
-    /// Returns the next command that was not read when the commands were closed.
+    /// Returns the next command that was still unread when the channel was closed.
     ///
-    /// Failure guarded against: a dispatch is sent at the moment at which the
-    /// caller goes away, nobody reports its end, and its slot stays taken. The
-    /// guard holds because a command that is just being sent makes the receiver
-    /// pending, and is waited for.
-    fn next_unread(&mut self) -> Option<Command> {
+    /// If a dispatch is sent while the caller disconnects and its end is never
+    /// reported, the slot of the endpoint stays taken. A command that is just being sent makes
+    /// the receiver pending, so this function waits for it.
+    fn next_buffered_command(&mut self) -> Option<Command> {
         loop {
             match tokio::task::unconstrained(self.commands.recv()).now_or_never() {
                 Some(command) => return command,
@@ -381,12 +387,12 @@
         }
     }
 
-    fn tell_outcome(&self, attempt: AttemptId, outcome: Outcome, report: EndpointReport) {
-        // A stopped shard closes the commands, which ends this task.
+    fn report_outcome(&self, attempt: AttemptId, outcome: Outcome, report: EndpointReport) {
+        // A stopped shard closes the command channel, which ends this task.
         let _ = self.shard.tell(AttemptOutcome { attempt, outcome, report }).try_send();
     }
 
-    fn tell_body_end(&self, attempt: AttemptId) {
+    fn report_body_end(&self, attempt: AttemptId) {
         let ended = BodyEnded { attempt, end: BodyEnd::CallerGone, stored: None };
         let _ = self.shard.tell(ended).try_send();
     }
@@ -395,10 +401,10 @@
 impl Drop for RequestTask {
     fn drop(&mut self) {
         self.commands.close();
-        while let Some(command) = self.next_unread() {
+        while let Some(command) = self.next_buffered_command() {
             match command {
                 Command::Dispatch(dispatch) => {
-                    self.tell_outcome(
+                    self.report_outcome(
                         dispatch.attempt,
                         Outcome::NotSent,
                         EndpointReport::default(),
@@ -412,11 +418,11 @@
         }
         for RunningAttempt { attempt, end, .. } in std::mem::take(&mut self.running) {
             drop(end);
-            self.tell_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
+            self.report_outcome(attempt, Outcome::Cancelled, EndpointReport::default());
         }
         for answered in std::mem::take(&mut self.answered) {
             drop(answered.answer);
-            self.tell_body_end(answered.attempt);
+            self.report_body_end(answered.attempt);
         }
         if !self.finished {
             self.context.metrics.count(Event::CallerGone);
@@ -425,13 +431,13 @@
     }
 }
 
-/// Waits until one of the running attempts has ended and removes it.
+/// Waits until one of the running attempts ends, and removes it.
 async fn next_end(running: &mut Vec<RunningAttempt>) -> Ended {
     poll_fn(|cx| {
         for index in 0..running.len() {
             if let Poll::Ready(end) = running[index].end.as_mut().poll(cx) {
-                let RunningAttempt { attempt, copy, place, .. } = running.swap_remove(index);
-                return Poll::Ready(Ended { attempt, copy, place, end });
+                let RunningAttempt { attempt, copy, locality, .. } = running.swap_remove(index);
+                return Poll::Ready(Ended { attempt, copy, locality, end });
             }
         }
         Poll::Pending
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -1,4 +1,4 @@
-//! What other VMs tell a shard, and what it tells them on its own.
+//! Messages between a shard and other VMs.
 
 use std::net::SocketAddr;
 
@@ -12,27 +12,27 @@
     news_link::{NewsContent, NewsDatagram},
 };
 
-/// Takes what another VM that dispatches for the shard tells.
-pub(crate) struct PeerNews {
+/// Applies an update from another dispatcher of the shard.
+pub(crate) struct PeerUpdate {
     /// Address of the VM.
     pub(crate) address: SocketAddr,
-    /// What it tells.
+    /// The update.
     pub(crate) datagram: NewsDatagram,
 }
 
-impl Message<PeerNews> for ShardActor {
+impl Message<PeerUpdate> for ShardActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: PeerNews, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: PeerUpdate, _: &mut Context<Self, ()>) {
         let now = self.clock.now();
         self.last_use = now;
-        self.heard = now;
+        self.last_update_at = now;
         let NewsDatagram { from, content, .. } = message.datagram;
         let actions = match content {
-            NewsContent::Told(news) => self.shard.on_update(now, &from, &news),
-            NewsContent::Picture(picture) => self.shard.on_snapshot(now, &picture),
+            NewsContent::Told(update) => self.shard.on_update(now, &from, &update),
+            NewsContent::Picture(snapshot) => self.shard.on_snapshot(now, &snapshot),
             NewsContent::Begun(_) => {
-                self.news.answer(message.address, self.shard.snapshot(now));
+                self.update_link.answer(message.address, self.shard.snapshot(now));
                 Vec::new()
             }
         };
@@ -40,14 +40,14 @@
     }
 }
 
-/// Tells what VMs elsewhere say about an endpoint.
+/// Reports whether other VMs reach an endpoint.
 pub(crate) struct PathChecked {
     /// The endpoint.
     pub(crate) endpoint: Name,
-    /// What they say.
+    /// Their combined answer.
     pub(crate) answer: PathAnswer,
     /// VMs that reach it.
-    pub(crate) witnesses: Vec<Name>,
+    pub(crate) relays: Vec<Name>,
 }
 
 impl Message<PathChecked> for ShardActor {
@@ -59,46 +59,46 @@
             self.id.service,
             message.endpoint,
             message.answer,
-            message.witnesses
+            message.relays
         );
         let now = self.clock.now();
-        // Where several VMs dispatch, those that reach the endpoint use it.
-        let actions = match message.witnesses.is_empty() || self.shard.is_shared() {
+        // If several VMs are dispatchers of the service, those that reach the endpoint use it.
+        let actions = match message.relays.is_empty() || self.shard.is_shared() {
             true => self.shard.on_path_answer(now, &message.endpoint, message.answer),
-            false => self.shard.on_relays(now, &message.endpoint, message.witnesses),
+            false => self.shard.on_relays(now, &message.endpoint, message.relays),
         };
         self.apply(actions);
     }
 }
 
-/// Hands the shard over to its new owner.
-pub(crate) struct HandOverTo {
+/// Sends the shard's state to its new owner.
+pub(crate) struct SendHandOver {
     /// The new owner.
     pub(crate) to: Vm,
-    /// Dropped when the new owner has been told, or can't be.
-    pub(crate) told: Option<mpsc::Sender<()>>,
+    /// Dropped when the new owner has received the state, or can't be reached.
+    pub(crate) done: Option<mpsc::Sender<()>>,
 }
 
-impl Message<HandOverTo> for ShardActor {
+impl Message<SendHandOver> for ShardActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: HandOverTo, _: &mut Context<Self, ()>) {
-        let HandOverTo { to, told } = message;
+    async fn handle(&mut self, message: SendHandOver, _: &mut Context<Self, ()>) {
+        let SendHandOver { to, done } = message;
         let hand_over = self.shard.hand_over(self.clock.now());
         tokio::spawn(async move {
             hand_over::send(to, hand_over).await;
-            drop(told);
+            drop(done);
         });
     }
 }
 
-/// Takes what the shard's old owner knew.
-pub(crate) struct TakeHandOver(pub(crate) ShardHandOver);
+/// Applies the state sent by the shard's previous owner.
+pub(crate) struct ReceiveHandOver(pub(crate) ShardHandOver);
 
-impl Message<TakeHandOver> for ShardActor {
+impl Message<ReceiveHandOver> for ShardActor {
     type Reply = ();
 
-    async fn handle(&mut self, message: TakeHandOver, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: ReceiveHandOver, _: &mut Context<Self, ()>) {
         let actions = self.shard.on_hand_over(self.clock.now(), &message.0);
         self.apply(actions);
     }
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -1,4 +1,4 @@
-//! The shards that this VM works on, as owner or in the owner's place.
+//! Shards that run on this VM, as their owner or in place of the owner.
 
 use std::{
     net::SocketAddr,
@@ -28,61 +28,60 @@
     dialect::Dialect,
     news_link::{NewsDatagram, NewsLink},
     path_check::PathCheck,
-    shard_actor::{HandOverTo, PeerNews, SetMode, ShardActor, ShardArgs},
+    shard_actor::{PeerUpdate, SendHandOver, SetMode, ShardActor, ShardArgs},
     timer::{Subscribe, TimerService},
     view::FleetView,
 };
 
-/// Live facts about a shard that rules may ask for.
+/// Current status of a shard, used by the conditions of rules.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ShardFacts {
-    /// Whether further ejections are held back.
+pub(crate) struct ShardStatus {
+    /// Whether no further endpoint is ejected because the minimum is reached.
     pub(crate) at_floor: bool,
-    /// Expected wait of a new request.
+    /// Expected queueing time of a new request.
     pub(crate) queue_wait_ms: u64,
 }
 
-/// Facts of all shards that this VM works on.
-pub(crate) type FactsTable = Arc<RwLock<FxHashMap<ShardId, ShardFacts>>>;
+/// Status of all shards that run on this VM.
+pub(crate) type ShardStatusTable = Arc<RwLock<FxHashMap<ShardId, ShardStatus>>>;
 
-/// What the shards of a VM have in common.
+/// Arguments that all shards of a VM share.
 #[derive(Debug)]
 pub(crate) struct ShardTableArgs {
     /// Clock of the process.
     pub(crate) clock: Clock,
     /// Connections to endpoints.
     pub(crate) endpoints: Arc<ConnectionPool>,
-    /// Ticks for the shards.
+    /// Source of ticks for the shards.
     pub(crate) timer: ActorRef<TimerService>,
-    /// Asks VMs elsewhere about endpoints.
+    /// Asks other VMs whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
-    /// Tells the other VMs that dispatch side by side.
-    pub(crate) news: Arc<NewsLink>,
-    /// How endpoints speak.
+    /// Sends updates to the other dispatchers of a shared service.
+    pub(crate) update_link: Arc<NewsLink>,
+    /// Dialect of the endpoints.
     pub(crate) dialect: Arc<dyn Dialect>,
-    /// Time without requests after which a shard is forgotten that this VM does
-    /// not own.
-    pub(crate) careful_idle: Duration,
-    /// Seed of every random choice.
+    /// Idle time after which a shard that this VM doesn't own is stopped.
+    pub(crate) non_owner_idle: Duration,
+    /// Seed of all random choices.
     pub(crate) seed: u64,
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
-    /// Mechanisms at work.
+    /// Enabled mechanisms.
     pub(crate) mechanisms: FeatureFlags,
 }
 
-/// The actors of the shards that this VM works on.
+/// Actors of the shards that run on this VM.
 #[derive(Debug)]
 pub(crate) struct ShardTable {
     actors: RwLock<FxHashMap<ShardId, ActorRef<ShardActor>>>,
-    facts: FactsTable,
+    statuses: ShardStatusTable,
     shared: ShardTableArgs,
 }
 
 impl ShardTable {
     /// Creates an empty table.
     pub(crate) fn new(shared: ShardTableArgs) -> ShardTable {
-        ShardTable { actors: RwLock::default(), facts: FactsTable::default(), shared }
+        ShardTable { actors: RwLock::default(), statuses: ShardStatusTable::default(), shared }
     }
 
     /// Returns the actor of a shard, if it runs.
@@ -115,27 +114,26 @@
             mechanisms: shared.mechanisms,
             clock: shared.clock,
             endpoints: Arc::clone(&shared.endpoints),
-            facts: Arc::clone(&self.facts),
+            statuses: Arc::clone(&self.statuses),
             path_check: shared.path_check.clone(),
-            news: Arc::clone(&shared.news),
+            update_link: Arc::clone(&shared.update_link),
             dialect: Arc::clone(&shared.dialect),
-            careful_idle: shared.careful_idle,
+            non_owner_idle: shared.non_owner_idle,
         };
         let actor = ShardActor::spawn_with_mailbox(args, mailbox::unbounded());
-        // The timer service outlives every shard but at the process's end.
+        // The timer service stops only when the process ends.
         let _ = shared.timer.tell(Subscribe(actor.clone().recipient())).try_send();
         actors.insert(shard.clone(), actor.clone());
         actor
     }
 
-    /// Starts a shard as its owner or makes a running one the owner.
+    /// Starts a shard as its owner, or makes this VM the owner of a running one.
     pub(crate) fn own(&self, shard: &ShardId, config: &Arc<Config>) {
         let actor = self.find_or_start(shard, config, ShardMode::Owner);
         let _ = actor.tell(SetMode(ShardMode::Owner)).try_send();
     }
 
-    /// Changes a shard's mode because another VM owns it now, and hands it over
-    /// to that VM.
+    /// Changes the mode of a shard that another VM owns now, and hands the shard over to that VM.
     pub(crate) fn disown(&self, shard: &ShardId, to: Option<Vm>, mode: ShardMode) {
         if let Some(to) = to {
             self.hand_over(shard, to, None);
@@ -145,32 +143,38 @@
         }
     }
 
-    /// Tells a VM what this one knows of a shard; `told` is dropped afterwards.
-    pub(crate) fn hand_over(&self, shard: &ShardId, to: Vm, told: Option<mpsc::Sender<()>>) {
+    /// Sends the state of a shard to a VM; `done` is dropped afterwards.
+    pub(crate) fn hand_over(&self, shard: &ShardId, to: Vm, done: Option<mpsc::Sender<()>>) {
         if let Some(actor) = self.find(shard) {
-            // A shard that has just stopped has nothing to tell.
-            let _ = actor.tell(HandOverTo { to, told }).try_send();
+            // A shard that has just stopped has no state to send.
+            let _ = actor.tell(SendHandOver { to, done }).try_send();
         }
     }
 
-    /// Passes on what another VM tells that dispatches for a shared service.
+    /// Passes an update from another dispatcher of a shared service to its shard.
     ///
-    /// A dispatcher starts the shard for it, so that it knows the endpoints
-    /// before its own first request.
-    pub(crate) fn on_news(&self, view: &FleetView, from: SocketAddr, datagram: NewsDatagram) {
+    /// A dispatcher starts the shard if needed, so that it has estimates of the endpoints before
+    /// its first request.
+    pub(crate) fn on_peer_update(
+        &self,
+        view: &FleetView,
+        from: SocketAddr,
+        datagram: NewsDatagram,
+    ) {
         let shard = datagram.content.shard();
         let actor = self.find(shard).or_else(|| {
             let active = view.active.as_ref()?;
             let has_shard = active
                 .service(&shard.service)
                 .is_some_and(|service| service.is_shared() && shard.index < shard_count(service));
-            let wanted = has_shard && self.shared.news.dispatchers(&shard.service).is_member;
-            wanted.then(|| self.find_or_start(shard, &active.config, ShardMode::Shared))
+            let is_needed =
+                has_shard && self.shared.update_link.dispatchers(&shard.service).is_member;
+            is_needed.then(|| self.find_or_start(shard, &active.config, ShardMode::Shared))
         });
         if let Some(actor) = actor {
-            let news = PeerNews { address: from, datagram };
-            // A shard that has just stopped needs no news.
-            let _ = actor.tell(news).try_send();
+            let update = PeerUpdate { address: from, datagram };
+            // A shard that has just stopped needs no updates.
+            let _ = actor.tell(update).try_send();
         }
     }
 
@@ -180,35 +184,41 @@
         actors.iter().map(|(id, actor)| (id.clone(), actor.clone())).collect()
     }
 
-    /// Stops the shards that `keep` does not hold for.
+    /// Stops the shards for which `keep` returns false.
     pub(crate) fn retain(&self, keep: impl Fn(&ShardId) -> bool) {
         let mut actors = self.actors.write().unwrap_or_else(PoisonError::into_inner);
         actors.retain(|id, _| keep(id));
-        let mut facts = self.facts.write().unwrap_or_else(PoisonError::into_inner);
-        facts.retain(|id, _| keep(id));
+        let mut statuses = self.statuses.write().unwrap_or_else(PoisonError::into_inner);
+        statuses.retain(|id, _| keep(id));
     }
 
-    fn facts_of<'a>(
-        facts: &'a FxHashMap<ShardId, ShardFacts>,
+    fn statuses_of<'a>(
+        statuses: &'a FxHashMap<ShardId, ShardStatus>,
         service: &'a str,
-    ) -> impl Iterator<Item = &'a ShardFacts> {
-        facts.iter().filter(move |(id, _)| id.service.as_str() == service).map(|(_, facts)| facts)
+    ) -> impl Iterator<Item = &'a ShardStatus> {
+        statuses
+            .iter()
+            .filter(move |(id, _)| id.service.as_str() == service)
+            .map(|(_, status)| status)
     }
 }
 
 impl ServiceState for ShardTable {
     fn service_at_floor(&self, service: &str) -> bool {
-        let facts = self.facts.read().unwrap_or_else(PoisonError::into_inner);
-        ShardTable::facts_of(&facts, service).any(|facts| facts.at_floor)
+        let statuses = self.statuses.read().unwrap_or_else(PoisonError::into_inner);
+        ShardTable::statuses_of(&statuses, service).any(|status| status.at_floor)
     }
 
     fn queue_wait_ms(&self, service: &str) -> u64 {
-        let facts = self.facts.read().unwrap_or_else(PoisonError::into_inner);
-        ShardTable::facts_of(&facts, service).map(|facts| facts.queue_wait_ms).max().unwrap_or(0)
+        let statuses = self.statuses.read().unwrap_or_else(PoisonError::into_inner);
+        ShardTable::statuses_of(&statuses, service)
+            .map(|status| status.queue_wait_ms)
+            .max()
+            .unwrap_or(0)
     }
 }
 
-/// Returns the name under which a shard is shown and logged.
+/// Returns the name of a shard in logs and on the admin port.
 pub(crate) fn shard_name(shard: &ShardId) -> Name {
     Name::from(format!("{}/{}", shard.service, shard.index))
 }
