--- a/crates/pistachiotrackd/tests/forward.rs
+++ b/crates/pistachiotrackd/tests/forward.rs
@@ -1,4 +1,4 @@
-//! Requests that enter at a VM which doesn't own their shard.
+//! Requests that arrive at a VM that doesn't own their shard.
 
 mod testenv;
 
@@ -24,24 +24,29 @@
 /// Lookups that fill an endpoint's slots.
 const LOOKUPS: usize = 4;
 
-/// Two daemons in processes of their own that know each other.
-struct Pair {
+/// Two daemons in separate processes that are members of one fleet.
+struct TwoVmFleet {
     _platform: Platform,
     vms: [DaemonProcess; 2],
 }
 
-impl Pair {
-    async fn start(search: &Endpoint, booking: &Endpoint) -> Pair {
-        Pair::start_with(search, booking, [json!({}), json!({})]).await
+impl TwoVmFleet {
+    async fn start(search: &Endpoint, booking: &Endpoint) -> TwoVmFleet {
+        TwoVmFleet::start_with_settings(search, booking, [json!({}), json!({})]).await
     }
 
-    /// Starts the two with settings of their own.
-    async fn start_with(search: &Endpoint, booking: &Endpoint, settings: [Value; 2]) -> Pair {
-        Pair::start_by(config(1, &[search.address], &[booking.address]), settings).await
+    /// Starts both VMs with additional settings for each.
+    async fn start_with_settings(
+        search: &Endpoint,
+        booking: &Endpoint,
+        settings: [Value; 2],
+    ) -> TwoVmFleet {
+        TwoVmFleet::start_with_config(config(1, &[search.address], &[booking.address]), settings)
+            .await
     }
 
-    /// Starts the two with a configuration and settings of their own.
-    async fn start_by(config: Value, settings: [Value; 2]) -> Pair {
+    /// Starts both VMs with a configuration and additional settings for each.
+    async fn start_with_config(config: Value, settings: [Value; 2]) -> TwoVmFleet {
         let platform = Platform::start().await;
         platform.publish_config(config);
         let [first, second] = settings;
@@ -57,11 +62,11 @@
             })
             .await;
         }
-        Pair { _platform: platform, vms }
+        TwoVmFleet { _platform: platform, vms }
     }
 
-    /// Waits until both VMs agree who owns a service and returns the indexes of
-    /// the owner and the other one.
+    /// Waits until both VMs agree on the owner of a service and returns the
+    /// indexes of the owner and of the other VM.
     async fn owner(&self, service: &str) -> (usize, usize) {
         let shard = Value::from(format!("{service}/0"));
         let start = std::time::Instant::now();
@@ -89,12 +94,12 @@
     }
 }
 
-fn book() -> Request<Full<Bytes>> {
+fn booking_request() -> Request<Full<Bytes>> {
     client::request(Method::POST, "/bookings", "slot 7")
 }
 
-/// An endpoint that keeps every request until it is released.
-async fn held() -> (Endpoint, watch::Sender<bool>) {
+/// Starts an endpoint that answers requests only after it has been released.
+async fn blocking_endpoint() -> (Endpoint, watch::Sender<bool>) {
     let (release, released) = watch::channel(false);
     let endpoint = Endpoint::start(move |_| {
         let mut released = released.clone();
@@ -108,13 +113,13 @@
 }
 
 #[tokio::test]
-async fn a_request_travels_one_hop_to_the_owner() {
+async fn a_request_is_forwarded_once_to_the_owner() {
     let search = Endpoint::answering("free slots").await;
     let booking = Endpoint::answering("booked").await;
-    let pair = Pair::start(&search, &booking).await;
-    let (owner, entry) = pair.owner("booking").await;
+    let fleet = TwoVmFleet::start(&search, &booking).await;
+    let (owner, entry) = fleet.owner("booking").await;
     for _ in 0..3 {
-        let booked = pair.send(entry, book()).await.unwrap();
+        let booked = fleet.send(entry, booking_request()).await.unwrap();
         assert_eq!(booked.body(), "booked");
         assert_eq!(client::field(&booked, header::OWNER), Some(VMS[owner]));
         assert_eq!(client::field(&booked, header::ENDPOINT), Some("booking-0"));
@@ -129,77 +134,77 @@
     }
 }
 
-/// A request circles between two VMs that each take the other for the owner,
-/// as after a partition. One of them sends it on; the other, which doesn't own
-/// the shard either, sends it back instead of serving it.
+/// Guards against a forwarding loop between two VMs that each take the other one for the
+/// owner, as after a partition: the VM that receives a forwarded request for a shard that
+/// it doesn't own must serve it.
 #[tokio::test]
-async fn a_request_that_was_sent_on_is_not_sent_on_again() {
+async fn a_forwarded_request_is_not_forwarded_again() {
     let search = Endpoint::answering("free slots").await;
     let booking = Endpoint::answering("booked").await;
-    let pair = Pair::start(&search, &booking).await;
-    let (owner, other) = pair.owner("booking").await;
+    let fleet = TwoVmFleet::start(&search, &booking).await;
+    let (owner, other) = fleet.owner("booking").await;
     let route = json!({"shard": {"service": "booking", "index": 0}, "customer": testenv::CUSTOMER,
                        "class": "standard", "idempotent": false, "hedge": false});
-    let request = client::with(book(), header::HOP, VMS[owner]);
+    let request = client::with(booking_request(), header::HOP, VMS[owner]);
     let request = client::with(request, header::ROUTE, &route.to_string());
     let request = client::with(request, header::DEADLINE_MS, "3000");
-    let booked = client::send(pair.vms[other].peer_address, request).await.unwrap();
+    let booked = client::send(fleet.vms[other].peer_address, request).await.unwrap();
     assert_eq!(booked.body(), "booked");
     assert_eq!(client::field(&booked, header::OWNER), Some(VMS[other]));
     assert_eq!(booking.received().len(), 1);
 }
 
-/// Bookings fail for as long as the fleet takes to notice that a VM is gone.
-/// The owner's VM dies; the entry VM still believes in it and can't connect.
+/// Guards against bookings that fail until the fleet has detected the failure of a VM. The
+/// owner is killed; the entry VM still lists it as alive and can't connect to it.
 #[tokio::test]
-async fn a_booking_is_run_once_although_its_owner_has_just_died() {
+async fn a_booking_is_run_once_after_its_owner_crashed() {
     let search = Endpoint::answering("free slots").await;
     let booking = Endpoint::answering("booked").await;
-    let mut pair = Pair::start(&search, &booking).await;
-    let (owner, entry) = pair.owner("booking").await;
-    pair.send(entry, book()).await.unwrap();
-    pair.vms[owner].kill().await;
-    let booked = pair.send(entry, book()).await.unwrap();
+    let mut fleet = TwoVmFleet::start(&search, &booking).await;
+    let (owner, entry) = fleet.owner("booking").await;
+    fleet.send(entry, booking_request()).await.unwrap();
+    fleet.vms[owner].kill().await;
+    let booked = fleet.send(entry, booking_request()).await.unwrap();
     assert_eq!(booked.body(), "booked");
     assert_eq!(client::field(&booked, header::OWNER), Some(VMS[entry]));
     assert_eq!(booking.received().len(), 2);
 }
 
-/// A booking is doubled. The owner has sent it to an endpoint when its VM dies;
-/// the entry VM sees a broken connection and sends the booking again.
+/// Guards against a booking that runs twice. The owner is killed after it has sent the
+/// booking to an endpoint; the entry VM gets a broken connection and must not resend it.
 #[tokio::test]
-async fn a_booking_whose_owner_dies_under_it_is_unknown_and_not_sent_again() {
+async fn a_booking_in_flight_at_a_crashed_owner_is_unknown_and_not_sent_again() {
     let search = Endpoint::answering("free slots").await;
-    let (booking, _release) = held().await;
-    let mut pair = Pair::start(&search, &booking).await;
-    let (owner, entry) = pair.owner("booking").await;
-    let caller = tokio::spawn(client::send(pair.vms[entry].caller_address, book()));
+    let (booking, _release) = blocking_endpoint().await;
+    let mut fleet = TwoVmFleet::start(&search, &booking).await;
+    let (owner, entry) = fleet.owner("booking").await;
+    let caller = tokio::spawn(client::send(fleet.vms[entry].caller_address, booking_request()));
     booking.wait_received(1).await;
-    pair.vms[owner].kill().await;
+    fleet.vms[owner].kill().await;
     let refused = caller.await.unwrap().unwrap();
     assert_eq!(client::field(&refused, header::OUTCOME), Some("unknown"));
     assert_eq!(booking.received().len(), 1);
 }
 
-/// A lookup is lost together with the VM that worked on it, although any VM
-/// could repeat it. The owner dies after it has sent the lookup on.
+/// Guards against a lookup that is lost with its owner although any VM could retry it. The
+/// owner is killed after it has sent the lookup to an endpoint.
 #[tokio::test]
-async fn a_lookup_whose_owner_dies_under_it_is_answered() {
-    let (search, release) = held().await;
+async fn a_lookup_in_flight_at_a_crashed_owner_is_answered() {
+    let (search, release) = blocking_endpoint().await;
     let booking = Endpoint::answering("booked").await;
-    let mut pair = Pair::start(&search, &booking).await;
-    let (owner, entry) = pair.owner("slot-search").await;
-    let caller = tokio::spawn(client::send(pair.vms[entry].caller_address, client::get("/slots")));
+    let mut fleet = TwoVmFleet::start(&search, &booking).await;
+    let (owner, entry) = fleet.owner("slot-search").await;
+    let caller = tokio::spawn(client::send(fleet.vms[entry].caller_address, client::get("/slots")));
     search.wait_received(1).await;
-    pair.vms[owner].kill().await;
+    fleet.vms[owner].kill().await;
     release.send_replace(true);
     assert_eq!(caller.await.unwrap().unwrap().body(), "done");
 }
 
-/// A clerk sees half a roster and takes it for the whole. The endpoint cuts its
-/// answer to the owner; the entry VM ends it to the caller as if it were whole.
+/// Guards against a truncated answer that the caller takes for a complete one. The endpoint
+/// breaks its answer to the owner off; the entry VM must not end it to the caller normally.
 #[tokio::test]
-async fn a_body_cut_at_the_owner_is_an_error_for_the_caller() {
+async fn a_body_truncated_at_the_owner_is_an_error_for_the_caller() {
     let search = Endpoint::serve(|mut stream| async move {
         read_head(&mut stream).await;
         let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n";
@@ -207,23 +212,23 @@
     })
     .await;
     let booking = Endpoint::answering("booked").await;
-    let pair = Pair::start(&search, &booking).await;
-    let (_, entry) = pair.owner("slot-search").await;
-    pair.send(entry, client::get("/slots")).await.unwrap_err();
+    let fleet = TwoVmFleet::start(&search, &booking).await;
+    let (_, entry) = fleet.owner("slot-search").await;
+    fleet.send(entry, client::get("/slots")).await.unwrap_err();
 }
 
-/// A stopped VM cuts off a caller in the middle of its request. Its process is
-/// asked to terminate while the endpoint works.
+/// Guards against a stopping VM that cuts off requests in flight. The process gets SIGTERM
+/// while the endpoint works on a request.
 #[tokio::test]
-async fn terminate_finishes_requests_in_flight_and_exits_with_0() {
+async fn sigterm_finishes_requests_in_flight_and_exits_with_0() {
     let search = Endpoint::answering("free slots").await;
-    let (booking, release) = held().await;
-    let mut pair = Pair::start(&search, &booking).await;
-    let (owner, _) = pair.owner("booking").await;
-    let caller = tokio::spawn(client::send(pair.vms[owner].caller_address, book()));
+    let (booking, release) = blocking_endpoint().await;
+    let mut fleet = TwoVmFleet::start(&search, &booking).await;
+    let (owner, _) = fleet.owner("booking").await;
+    let caller = tokio::spawn(client::send(fleet.vms[owner].caller_address, booking_request()));
     booking.wait_received(1).await;
-    pair.vms[owner].signal("TERM").await;
-    let address = pair.vms[owner].caller_address;
+    fleet.vms[owner].signal("TERM").await;
+    let address = fleet.vms[owner].caller_address;
     let start = std::time::Instant::now();
     while tokio::net::TcpStream::connect(address).await.is_ok() {
         assert!(start.elapsed() < client::HANG_LIMIT, "{address} still accepts");
@@ -231,12 +236,12 @@
     }
     release.send_replace(true);
     assert_eq!(caller.await.unwrap().unwrap().body(), "done");
-    assert_eq!(pair.vms[owner].exit_code().await, Some(0));
+    assert_eq!(fleet.vms[owner].exit_code().await, Some(0));
 }
 
-/// Lookups fail at their deadline although both VMs and the endpoint are well.
-/// Something between the VMs loses track of their connections; the entry VM
-/// writes to one of them and waits.
+/// Guards against lookups that fail at their deadline although both VMs and the endpoint
+/// work. A network device between the VMs drops the state of their connections; the entry VM
+/// writes to one of them and gets neither an answer nor an error.
 #[tokio::test]
 async fn a_lookup_on_a_silent_connection_between_vms_is_answered() {
     let search = Endpoint::answering("free slots").await;
@@ -246,43 +251,44 @@
         json!({"peer_address": path.vm_address, "advertised_peer_address": path.address,
                "limits": {"lively_ms": 600_000, "idle_ms": 600_000}})
     });
-    let pair = Pair::start_with(&search, &booking, settings).await;
-    let (owner, entry) = pair.owner("slot-search").await;
+    let fleet = TwoVmFleet::start_with_settings(&search, &booking, settings).await;
+    let (owner, entry) = fleet.owner("slot-search").await;
     for _ in 0..3 {
-        let found = pair.send(entry, client::get("/slots")).await.unwrap();
+        let found = fleet.send(entry, client::get("/slots")).await.unwrap();
         assert_eq!(client::field(&found, header::OWNER), Some(VMS[owner]));
     }
     paths[owner].forget();
-    let found = pair.send(entry, client::get("/slots")).await.unwrap();
+    let found = fleet.send(entry, client::get("/slots")).await.unwrap();
     assert_eq!(found.body(), "free slots");
     assert_eq!(client::field(&found, header::OWNER), Some(VMS[owner]));
-    client::wait_for(pair.vms[entry].admin_address, "/status", |status| {
+    client::wait_for(fleet.vms[entry].admin_address, "/status", |status| {
         let counters = status["counters"].as_array().unwrap();
         counters.contains(&json!({"name": "forwarded_again", "value": 1}))
     })
     .await;
 }
 
-/// A lookup is answered "not run" while an endpoint works on it. It is long in coming, and
-/// the entry VM sends it to the owner once more; the owner, whose queue has filled up since,
-/// refuses the second copy at once; the entry VM passes the refusal on although the first
-/// copy is at an endpoint. A caller that trusts it may count the lookup as never made.
+/// Guards against a lookup that is refused as not run while an endpoint works on it. The
+/// answer is slow, and the entry VM sends a second copy to the owner; the owner's queue is
+/// full by then, and it refuses the second copy at once. The entry VM must not return that
+/// refusal while the first copy is at an endpoint: a caller that relies on it may count the
+/// lookup as never made.
 #[tokio::test]
-async fn a_lookup_that_an_endpoint_works_on_is_not_called_not_run() {
-    let (search, release) = held().await;
+async fn a_lookup_running_at_an_endpoint_is_not_reported_as_not_run() {
+    let (search, release) = blocking_endpoint().await;
     let booking = Endpoint::answering("booked").await;
     let mut config = config(1, &[search.address], &[booking.address]);
     config["services"][0]["queue_limit"] = json!(1);
     config["services"][0]["endpoints"][0]["slots"] = json!(1);
-    let pair = Pair::start_by(config, [json!({}), json!({})]).await;
-    let (owner, entry) = pair.owner("slot-search").await;
+    let fleet = TwoVmFleet::start_with_config(config, [json!({}), json!({})]).await;
+    let (owner, entry) = fleet.owner("slot-search").await;
     let lookup = client::with(client::get("/slots"), header::DEADLINE_MS, "2000");
-    let answer = tokio::spawn(client::send(pair.vms[entry].caller_address, lookup));
+    let answer = tokio::spawn(client::send(fleet.vms[entry].caller_address, lookup));
     while search.received().is_empty() {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
     let others: Vec<_> = (0..4)
-        .map(|_| tokio::spawn(client::send(pair.vms[owner].caller_address, client::get("/slots"))))
+        .map(|_| tokio::spawn(client::send(fleet.vms[owner].caller_address, client::get("/slots"))))
         .collect();
     let answer = answer.await.unwrap().unwrap();
     release.send_replace(true);
@@ -292,12 +298,13 @@
     assert_ne!(client::field(&answer, header::OUTCOME), Some("not-run"), "{answer:?}");
 }
 
-/// A lookup is answered "not run" while an endpoint works on it. The entry VM had sent it
-/// to its owner when the path to that VM broke; it has no slot of its own left, refuses the
-/// lookup at its deadline and forgets that it was sent on.
+/// Guards against a lookup that is refused as not run while an endpoint works on it. The
+/// entry VM had forwarded it to its owner when the path to that VM broke. The entry VM has no
+/// free slot of its own and refuses the lookup at its deadline; the refusal must account for
+/// the forwarded copy.
 #[tokio::test]
-async fn a_lookup_served_in_the_owners_place_is_not_called_not_run() {
-    let (search, release) = held().await;
+async fn a_lookup_served_by_the_entry_vm_is_not_reported_as_not_run() {
+    let (search, release) = blocking_endpoint().await;
     let booking = Endpoint::answering("booked").await;
     let paths = [Path::open().await, Path::open().await];
     let settings = paths.each_ref().map(
@@ -305,10 +312,10 @@
     );
     let mut config = config(1, &[search.address], &[booking.address]);
     config["services"][0]["endpoints"][0]["slots"] = json!(LOOKUPS);
-    let pair = Pair::start_by(config, settings).await;
-    let (owner, entry) = pair.owner("slot-search").await;
+    let fleet = TwoVmFleet::start_with_config(config, settings).await;
+    let (owner, entry) = fleet.owner("slot-search").await;
     let lookup = || client::with(client::get("/slots"), header::DEADLINE_MS, "3000");
-    let address = pair.vms[entry].caller_address;
+    let address = fleet.vms[entry].caller_address;
     let answers: Vec<_> =
         (0..LOOKUPS).map(|_| tokio::spawn(client::send(address, lookup()))).collect();
     while search.received().len() < LOOKUPS {
@@ -322,14 +329,16 @@
     release.send_replace(true);
 }
 
-/// A caller complains of a refusal, and no log knows it. The VM that owns the service
-/// refuses, and the VM that the booking came in at passes the refusal on.
+/// Guards against a refusal that appears in no log. The owner of the service refuses, and
+/// the entry VM returns the refusal to the caller.
 #[tokio::test]
-async fn a_refusal_that_is_passed_on_leaves_a_line_at_both_vms() {
+async fn a_forwarded_refusal_is_logged_by_both_vms() {
     let search = Endpoint::answering("free slots").await;
-    let pair = Pair::start_by(config(1, &[search.address], &[]), [json!({}), json!({})]).await;
-    let (owner, entry) = pair.owner("booking").await;
-    let refused = pair.send(entry, book()).await.unwrap();
+    let fleet =
+        TwoVmFleet::start_with_config(config(1, &[search.address], &[]), [json!({}), json!({})])
+            .await;
+    let (owner, entry) = fleet.owner("booking").await;
+    let refused = fleet.send(entry, booking_request()).await.unwrap();
     assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
     assert_eq!(client::field(&refused, header::REASON), Some("no-endpoint"));
     let id = client::field(&refused, header::REQUEST_ID).unwrap();
@@ -337,36 +346,36 @@
     let decided_by = format!(" decided_by={} ", VMS[owner]);
     let [event, request] = refusal.each_ref().map(String::as_str);
     let sent = format!(" sent={}/not-run/", VMS[owner]);
-    pair.vms[entry].wait_for_line(&[event, request, " to=caller ", &decided_by, &sent]).await;
-    pair.vms[owner].wait_for_line(&[event, request, " to=vm ", &decided_by]).await;
+    fleet.vms[entry].wait_for_line(&[event, request, " to=caller ", &decided_by, &sent]).await;
+    fleet.vms[owner].wait_for_line(&[event, request, " to=vm ", &decided_by]).await;
 }
 
-/// A booking that came while its owner was paused is run after its caller has
-/// given up. The owner wakes up and takes the time left for one that begins now.
+/// Guards against a booking that runs after its caller has given up. It arrives while its
+/// owner is paused; after the pause the owner must not count the deadline from that moment.
 #[tokio::test]
-async fn a_booking_forwarded_to_a_paused_owner_is_refused_when_its_time_is_over() {
+async fn a_booking_forwarded_to_a_paused_owner_is_refused_after_its_deadline() {
     let search = Endpoint::answering("free slots").await;
     let booking = Endpoint::answering("booked").await;
-    let pair = Pair::start(&search, &booking).await;
-    let (owner, entry) = pair.owner("booking").await;
-    pair.vms[owner].signal("STOP").await;
-    let late = client::with(book(), header::DEADLINE_MS, "400");
-    let late = tokio::spawn(client::send(pair.vms[entry].caller_address, late));
+    let fleet = TwoVmFleet::start(&search, &booking).await;
+    let (owner, entry) = fleet.owner("booking").await;
+    fleet.vms[owner].signal("STOP").await;
+    let late = client::with(booking_request(), header::DEADLINE_MS, "400");
+    let late = tokio::spawn(client::send(fleet.vms[entry].caller_address, late));
     tokio::time::sleep(std::time::Duration::from_millis(800)).await;
-    pair.vms[owner].signal("CONT").await;
+    fleet.vms[owner].signal("CONT").await;
     let refused = late.await.unwrap().unwrap();
     assert!(client::field(&refused, header::OUTCOME).is_some(), "{refused:?}");
-    // A booking that the owner takes now shows that it has read the late one.
-    let address = pair.vms[owner].caller_address;
-    assert_eq!(client::send(address, book()).await.unwrap().body(), "booked");
+    // An answer to a later booking shows that the owner has read the late one.
+    let address = fleet.vms[owner].caller_address;
+    assert_eq!(client::send(address, booking_request()).await.unwrap().body(), "booked");
     assert_eq!(booking.received().len(), 1);
 }
 
-/// A VM that stood in for an owner judges the endpoints for ever by the few
-/// requests it once had. Connections to the owner break, the VM serves a lookup
-/// itself and then has no more of them.
+/// Guards against a VM that keeps its estimates of endpoints from a few requests for ever.
+/// Connections to the owner break, the entry VM serves one lookup itself and gets no more
+/// of them.
 #[tokio::test]
-async fn a_shard_served_in_the_owners_place_is_forgotten_when_unused() {
+async fn the_state_of_a_shard_served_for_its_owner_is_dropped_when_unused() {
     let search = Endpoint::answering("free slots").await;
     let booking = Endpoint::answering("booked").await;
     let paths = [Path::open().await, Path::open().await];
@@ -374,29 +383,28 @@
         json!({"peer_address": path.vm_address, "advertised_peer_address": path.address,
                "limits": {"careful_idle_ms": 2_000}})
     });
-    let pair = Pair::start_with(&search, &booking, settings).await;
-    let (owner, entry) = pair.owner("slot-search").await;
+    let fleet = TwoVmFleet::start_with_settings(&search, &booking, settings).await;
+    let (owner, entry) = fleet.owner("slot-search").await;
     paths[owner].cut();
-    let found = pair.send(entry, client::get("/slots")).await.unwrap();
+    let found = fleet.send(entry, client::get("/slots")).await.unwrap();
     assert_eq!(found.body(), "free slots");
     assert_eq!(client::field(&found, header::OWNER), Some(VMS[entry]));
-    let stands_in = |endpoints: &Value| {
+    let serves_for_owner = |endpoints: &Value| {
         let endpoints = endpoints.as_array().unwrap();
         endpoints.iter().any(|one| one["service"] == "slot-search" && one["mode"] == "careful")
     };
-    let admin = pair.vms[entry].admin_address;
-    client::wait_for(admin, "/endpoints", stands_in).await;
-    client::wait_for(admin, "/endpoints", |endpoints| !stands_in(endpoints)).await;
+    let admin = fleet.vms[entry].admin_address;
+    client::wait_for(admin, "/endpoints", serves_for_owner).await;
+    client::wait_for(admin, "/endpoints", |endpoints| !serves_for_owner(endpoints)).await;
 }
 
-/// A booking is answered 500 by an endpoint that was long known to be sick. The
-/// owner that knew it is being stopped; the other VM hears that it leaves, owns the
-/// service at once and takes bookings while the owner's hand-over is still on its
-/// way over a slow path.
+/// Guards against a booking that goes to an endpoint which the former owner had ejected.
+/// That owner stops; the other VM learns that it leaves and owns the service at once, while
+/// the hand-over is still in transit on a slow path.
 #[tokio::test]
-async fn the_heir_of_a_stopping_owner_takes_no_booking_before_the_hand_over() {
-    let well = Endpoint::answering("booked").await;
-    let sick = Endpoint::start(|_| async {
+async fn the_successor_of_a_stopping_owner_takes_no_booking_before_the_hand_over() {
+    let healthy = Endpoint::answering("booked").await;
+    let faulty = Endpoint::start(|_| async {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         response
@@ -406,32 +414,37 @@
     let settings = paths.each_ref().map(
         |path| json!({"peer_address": path.vm_address, "advertised_peer_address": path.address}),
     );
-    let mut pair = Pair::start_by(config(1, &[], &[well.address, sick.address]), settings).await;
-    let (owner, heir) = pair.owner("booking").await;
-    let owner_admin = pair.vms[owner].admin_address;
+    let mut fleet =
+        TwoVmFleet::start_with_config(config(1, &[], &[healthy.address, faulty.address]), settings)
+            .await;
+    let (owner, successor) = fleet.owner("booking").await;
+    let owner_admin = fleet.vms[owner].admin_address;
     while !is_ejected(owner_admin, "booking-1").await {
-        pair.send(owner, book()).await.unwrap();
+        fleet.send(owner, booking_request()).await.unwrap();
     }
-    // The heir's connections to the owner exist before anything is held up.
-    assert_eq!(pair.send(heir, book()).await.unwrap().status(), StatusCode::OK);
+    // Opens the successor's connections to the owner before the path is blocking_endpoint.
+    assert_eq!(fleet.send(successor, booking_request()).await.unwrap().status(), StatusCode::OK);
 
-    paths[heir].hold(true);
-    let before = paths[heir].connections();
-    pair.vms[owner].signal("TERM").await;
-    while paths[heir].connections() == before {
+    paths[successor].hold(true);
+    let before = paths[successor].connections();
+    fleet.vms[owner].signal("TERM").await;
+    while paths[successor].connections() == before {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
     for _ in 0..10 {
-        assert_eq!(pair.send(heir, book()).await.unwrap().status(), StatusCode::OK);
+        assert_eq!(
+            fleet.send(successor, booking_request()).await.unwrap().status(),
+            StatusCode::OK
+        );
     }
-    paths[heir].hold(false);
-    let heir_admin = pair.vms[heir].admin_address;
-    client::wait_for(heir_admin, "/status", |status| {
+    paths[successor].hold(false);
+    let successor_admin = fleet.vms[successor].admin_address;
+    client::wait_for(successor_admin, "/status", |status| {
         status["shards"].as_array().unwrap().contains(&json!("booking/0"))
     })
     .await;
-    assert!(is_ejected(heir_admin, "booking-1").await);
-    assert_eq!(pair.vms[owner].exit_code().await, Some(0));
+    assert!(is_ejected(successor_admin, "booking-1").await);
+    assert_eq!(fleet.vms[owner].exit_code().await, Some(0));
 }
 
 async fn is_ejected(admin: SocketAddr, endpoint: &str) -> bool {
--- a/crates/pistachiotrackd/tests/peer_word.rs
+++ b/crates/pistachiotrackd/tests/peer_word.rs
@@ -1,4 +1,4 @@
-//! What a VM takes for another VM's word that it did not run a request.
+//! Which headers a VM accepts as another VM's report that a request did not run.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 
 const REQUEST: &str = "vm-01-1a23-7";
 
-fn word(execution: Execution) -> RefusalWord {
-    let verdict =
+fn refusal_word(execution: Execution) -> RefusalWord {
+    let decision =
         RefusalDecision { execution, reason: Reason::QueueFull, retry_after_ms: Some(40) };
-    let refusal = Copies::from(Undispatched::on_arrival()).refuse_with(verdict);
+    let refusal = Copies::from(Undispatched::on_arrival()).refuse_with(decision);
     RefusalWord::new(&Name::from("vm-02"), &Name::from(REQUEST), &refusal)
 }
 
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn a_word_travels_whole_and_stays_behind() {
+fn a_peer_result_is_read_back_and_removed_from_the_headers() {
     for execution in [Execution::NotRun, Execution::Unknown] {
-        let word = word(execution);
+        let result = refusal_word(execution);
         let mut fields = HeaderMap::new();
-        PeerWord::Refused(word.clone()).mark(&mut fields);
-        assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Refused(word));
+        PeerWord::Refused(result.clone()).mark(&mut fields);
+        assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Refused(result));
         assert!(fields.is_empty());
     }
     let mut fields = HeaderMap::new();
@@ -39,31 +39,32 @@
     assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Answer(Some(time)));
 }
 
-/// A booking runs twice. Something else than the VM that holds it, or a VM of another
-/// version, says that it did not run, and the caller repeats it.
+/// Guards against a booking that runs twice. Something other than the VM that holds it, or a
+/// VM of another version, reports that it did not run, and the caller sends it again.
 #[test]
-fn nothing_but_the_word_on_this_request_says_that_it_did_not_run() {
+fn only_a_valid_peer_result_for_this_request_reports_not_run() {
     let mut other = HeaderMap::new();
-    PeerWord::Refused(word(Execution::NotRun)).mark(&mut other);
+    PeerWord::Refused(refusal_word(Execution::NotRun)).mark(&mut other);
     assert_eq!(take(&mut other, "vm-01-1a23-8"), PeerAnswer::Wordless);
 
     let large = "x".repeat(64 << 10);
     let half = format!(r#"{{"refused":{{"request":"{REQUEST}","vm":"vm-02"}}}}"#);
-    let forged = ["", "not-run", "{", half.as_str(), r#"{"refused":null}"#, "\u{e9}", &large];
-    for text in forged {
+    let invalid_values =
+        ["", "not-run", "{", half.as_str(), r#"{"refused":null}"#, "\u{e9}", &large];
+    for text in invalid_values {
         let mut fields = HeaderMap::new();
         let value = HeaderValue::from_bytes(text.as_bytes()).unwrap();
         fields.insert(header::PEER_RESULT, value);
         fields.insert(header::OUTCOME, HeaderValue::from_static("not-run"));
         assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Wordless, "{text:.40}");
     }
-    let mut of_another_version = HeaderMap::new();
-    of_another_version.insert(header::OUTCOME, HeaderValue::from_static("not-run"));
-    assert_eq!(take(&mut of_another_version, REQUEST), PeerAnswer::Wordless);
+    let mut from_another_version = HeaderMap::new();
+    from_another_version.insert(header::OUTCOME, HeaderValue::from_static("not-run"));
+    assert_eq!(take(&mut from_another_version, REQUEST), PeerAnswer::Wordless);
 }
 
-/// VMs of two versions run side by side while a release goes on.
+/// VMs of two versions run side by side during a rolling update.
 #[test]
-fn an_answer_of_a_vm_that_knows_no_words_is_passed_on() {
+fn an_answer_without_a_peer_result_is_returned() {
     assert_eq!(take(&mut HeaderMap::new(), REQUEST), PeerAnswer::Answer(None));
 }
--- a/crates/pistachiotrackd/tests/quarantine.rs
+++ b/crates/pistachiotrackd/tests/quarantine.rs
@@ -17,31 +17,31 @@
 const VMS: usize = 3;
 const ENDPOINTS: usize = 6;
 /// Crashes after which a request counts as the cause.
-const CAUSE_CRASHES: usize = 3;
-/// Time after them in which all VMs have to know.
-const SPREAD: Duration = Duration::from_secs(3);
-/// Runs that are allowed later.
-const LATER_RUNS: usize = 3;
+const CRASHES_TO_QUARANTINE: usize = 3;
+/// Time after these crashes within which all VMs have to hold the request.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Runs that are allowed after that time.
+const MAX_LATER_RUNS: usize = 3;
 
-/// Returns what a VM knows of requests that crash endpoints.
-async fn quarantine(vm: &Vm) -> serde_json::Value {
+/// Returns a VM's records of requests that crash endpoints.
+async fn quarantine_records(vm: &Vm) -> serde_json::Value {
     client::admin(vm.admin, "/quarantine").await
 }
 
 #[tokio::test]
-async fn a_request_that_crashed_three_endpoints_is_hardly_sent_to_others() {
+async fn a_request_that_crashed_three_endpoints_is_rarely_sent_to_others() {
     bounded(async {
         let runs = Runs::default();
         let endpoints = start_endpoints(ENDPOINTS, &runs).await;
         let (_platform, vms) = start_dispatchers(VMS, &endpoints).await;
-        let until = Instant::now() + SPREAD + Duration::from_secs(4);
+        let until = Instant::now() + PROPAGATION_TIME + Duration::from_secs(4);
         let (_, others) =
             tokio::join!(repeat(&vms, CRASHING, until), repeat(&vms, "/slots/other", until));
         let runs = runs.lock().unwrap().clone();
-        let known = runs[CAUSE_CRASHES - 1] + WORK + SPREAD;
-        let later = runs.iter().filter(|run| **run > known).count();
-        assert!(later <= LATER_RUNS, "sent {later} times more, {} in all", runs.len());
-        let failed = others.iter().filter(|(sent, status)| *sent > known && *status != 200);
+        let propagated_at = runs[CRASHES_TO_QUARANTINE - 1] + WORK + PROPAGATION_TIME;
+        let later = runs.iter().filter(|run| **run > propagated_at).count();
+        assert!(later <= MAX_LATER_RUNS, "sent {later} times more, {} in all", runs.len());
+        let failed = others.iter().filter(|(sent, status)| *sent > propagated_at && *status != 200);
         assert_eq!(failed.count(), 0, "other requests fail");
     })
     .await;
@@ -60,48 +60,48 @@
         let (_platform, vms) = start_dispatchers(VMS, &endpoints).await;
         repeat(&vms, "/slots/other", Instant::now() + Duration::from_secs(2)).await;
         for vm in &vms {
-            assert_eq!(quarantine(vm).await, json!([]));
+            assert_eq!(quarantine_records(vm).await, json!([]));
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_request_that_is_mended_is_served_again() {
+async fn a_request_that_no_longer_crashes_endpoints_is_served_again() {
     bounded(async {
         let runs = Runs::default();
-        let endpoints = start_mending(CAUSE_CRASHES, &runs, CAUSE_CRASHES).await;
+        let endpoints = start_mending(CRASHES_TO_QUARANTINE, &runs, CRASHES_TO_QUARANTINE).await;
         let (_platform, vms) = start_dispatchers(VMS, &endpoints).await;
         let trial = Duration::from_millis(QuarantineSettings::default().first_trial_ms);
-        let answers = repeat(&vms, CRASHING, Instant::now() + trial + SPREAD).await;
+        let answers = repeat(&vms, CRASHING, Instant::now() + trial + PROPAGATION_TIME).await;
         let refused = answers.iter().filter(|(_, status)| *status == 503).count();
         let (_, last) = answers.iter().max().unwrap();
         assert!(refused > 0 && *last == 200, "{refused} refused, last answer {last}");
         for vm in &vms {
-            assert_eq!(quarantine(vm).await, json!([]));
+            assert_eq!(quarantine_records(vm).await, json!([]));
         }
     })
     .await;
 }
 
-/// Sends a request with the VM's address as its host; returns the reason of a refusal.
-async fn ask(vm: &Vm, path: &str) -> Option<String> {
+/// Sends a request with the VM's address as its host; returns the reason if it is refused.
+async fn refusal_reason(vm: &Vm, path: &str) -> Option<String> {
     let request = client::with(client::get(path), HOST.as_str(), &vm.caller.to_string());
     let answer = client::send(vm.caller, request).await.ok()?;
     client::field(&answer, header::REASON).map(str::to_owned)
 }
 
 #[tokio::test]
-async fn a_request_that_is_held_back_is_so_at_vms_that_callers_name_otherwise() {
+async fn a_quarantined_request_is_held_at_all_vms_whatever_its_host_header() {
     bounded(async {
         let runs = Runs::default();
         let endpoints = start_endpoints(ENDPOINTS, &runs).await;
         let (_platform, vms) = start_dispatchers(VMS, &endpoints).await;
         let held = Some(Reason::CrashesEndpoints.as_str().to_owned());
-        while ask(&vms[0], CRASHING).await != held {}
-        tokio::time::sleep(SPREAD).await;
+        while refusal_reason(&vms[0], CRASHING).await != held {}
+        tokio::time::sleep(PROPAGATION_TIME).await;
         for vm in &vms {
-            assert_eq!(ask(vm, CRASHING).await, held, "at {}", vm.name);
+            assert_eq!(refusal_reason(vm, CRASHING).await, held, "at {}", vm.name);
         }
     })
     .await;
--- a/crates/pistachiotrackd/tests/rate_limit.rs
+++ b/crates/pistachiotrackd/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Endpoints that name a limit in requests a second for all VMs together.
+//! Endpoints that announce a limit in requests per second for all VMs together.
 
 mod testenv;
 
@@ -15,19 +15,19 @@
     fleet::{bounded, repeat, start_dispatchers},
 };
 
-/// Requests a second that the endpoint takes from all VMs together.
+/// Requests per second that the endpoint accepts from all VMs together.
 const LIMIT_PER_SECOND: f64 = 2.0;
-/// Time after its first word in which all VMs have to keep to it.
-const KNOWN_AFTER: Duration = Duration::from_secs(3);
+/// Time after the first request within which all VMs have to observe the limit.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Time over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How far a window may exceed what the limit allows: a factor, and requests besides.
+/// How far a window may exceed what the limit allows: a factor and a number of requests.
 const TOLERANCE: (f64, f64) = (1.5, 5.0);
 
 /// Moments at which requests arrived.
 type Arrivals = Arc<Mutex<Vec<Instant>>>;
 
-/// Starts an endpoint that names a limit, if it has one.
+/// Starts an endpoint that announces a limit, if it has one.
 async fn start_endpoint(arrivals: Arrivals, limit: Option<&'static str>) -> Endpoint {
     Endpoint::start(move |_| {
         arrivals.lock().unwrap().push(Instant::now());
@@ -43,7 +43,7 @@
     .await
 }
 
-/// Returns the most requests in one window that begins after `from`.
+/// Returns the highest_count requests in one window that begins after `from`.
 fn busiest_window(arrivals: &[Instant], from: Instant) -> usize {
     let later: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
     let in_window =
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_names_a_limit_gets_no_more_from_all_vms_together() {
+async fn an_announced_rate_limit_holds_for_all_vms_together() {
     bounded(async {
         let (limited, open) = (Arrivals::default(), Arrivals::default());
         let endpoints = [
@@ -62,14 +62,17 @@
         ];
         let addresses = endpoints.each_ref().map(|endpoint| endpoint.address);
         let (_platform, vms) = start_dispatchers(3, &addresses).await;
-        let until = Instant::now() + KNOWN_AFTER + WINDOW * 2;
+        let until = Instant::now() + PROPAGATION_TIME + WINDOW * 2;
         let answers = repeat(&vms, "/slots/free", until).await;
         let limited = limited.lock().unwrap().clone();
-        let most = busiest_window(&limited, limited[0] + KNOWN_AFTER);
+        let highest_count = busiest_window(&limited, limited[0] + PROPAGATION_TIME);
         let allowed = LIMIT_PER_SECOND * WINDOW.as_secs_f64() * TOLERANCE.0 + TOLERANCE.1;
-        assert!(most as f64 <= allowed, "{most} requests in {WINDOW:?}, {allowed} allowed");
+        assert!(
+            highest_count as f64 <= allowed,
+            "{highest_count} requests in {WINDOW:?}, {allowed} allowed"
+        );
         let unserved = answers.iter().filter(|(_, status)| *status != 200).count();
-        assert_eq!(unserved, 0, "the others have room");
+        assert_eq!(unserved, 0, "the other endpoints have capacity");
     })
     .await;
 }
