--- a/crates/pistachiotrackd/tests/forward.rs
+++ b/crates/pistachiotrackd/tests/forward.rs
@@ -422,7 +422,7 @@
     while !is_ejected(owner_admin, "booking-1").await {
         fleet.send(owner, booking_request()).await.unwrap();
     }
-    // Opens the successor's connections to the owner before the path is blocking_endpoint.
+    // Opens the successor's connections to the owner before the path delays new ones.
     assert_eq!(fleet.send(successor, booking_request()).await.unwrap().status(), StatusCode::OK);
 
     paths[successor].hold(true);
--- a/crates/pistachiotrackd/tests/rate_limit.rs
+++ b/crates/pistachiotrackd/tests/rate_limit.rs
@@ -43,7 +43,7 @@
     .await
 }
 
-/// Returns the highest_count requests in one window that begins after `from`.
+/// Returns the highest number of requests in one window that begins after `from`.
 fn busiest_window(arrivals: &[Instant], from: Instant) -> usize {
     let later: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
     let in_window =
--- a/crates/pistachiotrackd/tests/refusals.rs
+++ b/crates/pistachiotrackd/tests/refusals.rs
@@ -1,7 +1,7 @@
-//! Each way in which a request is refused, and the line that it leaves.
+//! Each reason for a refusal, and the log line that the refusal writes.
 //!
-//! A caller complains of a refusal, and no log knows it: the refusal of the VM that owns the
-//! service was passed on as it came, so that neither VM wrote a line.
+//! Guards against a refusal that appears in no log: the entry VM returned the refusal of the
+//! VM that owns the service unchanged, and neither VM logged it.
 
 mod testenv;
 
@@ -26,21 +26,21 @@
 };
 
 const VM: &str = "vm-01";
-/// Time that an endpoint takes for a lookup.
+/// Time that an endpoint takes to answer a lookup.
 const WORK: Duration = Duration::from_millis(200);
 
-/// A daemon that refuses, and what its caller was told.
+/// A daemon that refused a request, and its answer.
 struct Refusal {
     vm: DaemonProcess,
     answer: Response<Bytes>,
     _platform: Option<Platform>,
 }
 
-fn book() -> Request<Full<Bytes>> {
+fn booking_request() -> Request<Full<Bytes>> {
     client::request(Method::POST, "/bookings", "slot 7")
 }
 
-fn lookup(deadline_ms: &str) -> Request<Full<Bytes>> {
+fn lookup_request(deadline_ms: &str) -> Request<Full<Bytes>> {
     client::with(client::get("/slots"), header::DEADLINE_MS, deadline_ms)
 }
 
@@ -52,14 +52,15 @@
     (platform, vm)
 }
 
-async fn refused_with(config: Value, request: Request<Full<Bytes>>) -> Refusal {
+async fn refuse_with(config: Value, request: Request<Full<Bytes>>) -> Refusal {
     let (platform, vm) = start(config).await;
     let answer = client::send(vm.caller_address, request).await.unwrap();
     Refusal { vm, answer, _platform: Some(platform) }
 }
 
-/// An endpoint that answers the first lookups and keeps the others until it is released.
-async fn held_after(first: usize) -> (Endpoint, watch::Sender<bool>) {
+/// Starts an endpoint that answers the first lookups at once and the others only after it has
+/// been released.
+async fn endpoint_blocking_after(first: usize) -> (Endpoint, watch::Sender<bool>) {
     let (release, released) = watch::channel(false);
     let (count, _) = watch::channel(0);
     let endpoint = Endpoint::start(move |_| {
@@ -81,27 +82,29 @@
     (endpoint, release)
 }
 
-/// A configuration with one endpoint for lookups that has one slot.
-fn one_slot(search: &Endpoint, queue_limit: u32) -> Value {
+/// Returns a configuration with one endpoint for lookups, which has one slot.
+fn one_slot_config(search: &Endpoint, queue_limit: u32) -> Value {
     let mut config = config(1, &[search.address], &[]);
     config["services"][0]["queue_limit"] = json!(queue_limit);
     config["services"][0]["endpoints"][0]["slots"] = json!(1);
     config
 }
 
-/// Sends a lookup that the endpoint keeps, and further ones, and returns the first refusal.
-async fn refused_behind_others(queue_limit: u32, known: usize, deadlines_ms: &[&str]) -> Refusal {
-    let (search, _release) = held_after(known).await;
-    let (platform, vm) = start(one_slot(&search, queue_limit)).await;
-    for _ in 0..known {
+/// Sends a lookup that occupies the only slot, then further ones, and returns the first
+/// refusal of those.
+async fn refuse_behind_others(queue_limit: u32, answered: usize, deadlines_ms: &[&str]) -> Refusal {
+    let (search, _release) = endpoint_blocking_after(answered).await;
+    let (platform, vm) = start(one_slot_config(&search, queue_limit)).await;
+    for _ in 0..answered {
         client::send(vm.caller_address, client::get("/slots")).await.unwrap();
     }
-    let _kept: JoinHandle<_> = tokio::spawn(client::send(vm.caller_address, client::get("/slots")));
-    search.wait_received(known + 1).await;
+    let _blocked: JoinHandle<_> =
+        tokio::spawn(client::send(vm.caller_address, client::get("/slots")));
+    search.wait_received(answered + 1).await;
     let mut others = JoinSet::new();
     for deadline_ms in deadlines_ms {
-        others.spawn(client::send(vm.caller_address, lookup(deadline_ms)));
-        wait_for_requests(&vm, known + 1 + others.len()).await;
+        others.spawn(client::send(vm.caller_address, lookup_request(deadline_ms)));
+        wait_for_requests(&vm, answered + 1 + others.len()).await;
     }
     let answer = others.join_next().await.unwrap().unwrap().unwrap();
     Refusal { vm, answer, _platform: Some(platform) }
@@ -115,34 +118,34 @@
     .await;
 }
 
-async fn refused_without_configuration() -> Refusal {
+async fn refuse_without_config() -> Refusal {
     let limits = json!({"limits": {"first_config_wait_ms": 0}});
     let vm = DaemonProcess::start_with(VM, absent_platform().await, limits).await;
     let answer = client::send(vm.caller_address, client::get("/slots")).await.unwrap();
     Refusal { vm, answer, _platform: None }
 }
 
-/// An endpoint that reads a request and closes the connection.
-async fn closing() -> Endpoint {
+/// Starts an endpoint that reads a request and closes the connection.
+async fn closing_endpoint() -> Endpoint {
     Endpoint::serve(|mut stream| async move {
         read_head(&mut stream).await;
     })
     .await
 }
 
-async fn refused_duplicate() -> Refusal {
-    let booking = closing().await;
+async fn refuse_duplicate() -> Refusal {
+    let booking = closing_endpoint().await;
     let (platform, vm) = start(config(1, &[], &[booking.address])).await;
-    let keyed = || client::with(book(), header::IDEMPOTENCY_KEY, "booking-7");
+    let keyed = || client::with(booking_request(), header::IDEMPOTENCY_KEY, "booking-7");
     client::send(vm.caller_address, keyed()).await.unwrap();
     let answer = client::send(vm.caller_address, keyed()).await.unwrap();
     Refusal { vm, answer, _platform: Some(platform) }
 }
 
-async fn refused_after_pause() -> Refusal {
+async fn refuse_after_pause() -> Refusal {
     let (platform, vm) = start(config(1, &[], &[])).await;
     vm.signal("STOP").await;
-    let late = client::with(book(), header::DEADLINE_MS, "300");
+    let late = client::with(booking_request(), header::DEADLINE_MS, "300");
     let late = tokio::spawn(client::send(vm.caller_address, late));
     tokio::time::sleep(Duration::from_secs(1)).await;
     vm.signal("CONT").await;
@@ -150,7 +153,7 @@
     Refusal { vm, answer, _platform: Some(platform) }
 }
 
-async fn refused_after_crashes() -> Refusal {
+async fn refuse_after_crashes() -> Refusal {
     let runs = Runs::default();
     let search = start_endpoints(3, &runs).await;
     let (platform, vm) = start(config(1, &search, &[])).await;
@@ -158,44 +161,45 @@
     loop {
         let answer = client::send(vm.caller_address, client::get(CRASHING)).await.unwrap();
         let reason = client::field(&answer, header::REASON);
-        let is_held = reason == Some(Reason::CrashesEndpoints.as_str());
-        if is_held || start.elapsed() > client::HANG_LIMIT {
+        let is_quarantined = reason == Some(Reason::CrashesEndpoints.as_str());
+        if is_quarantined || start.elapsed() > client::HANG_LIMIT {
             return Refusal { vm, answer, _platform: Some(platform) };
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// Brings a refusal about. A new reason has no arm here, so that this does not compile.
+/// Causes a refusal. The match has no default arm, so that a new reason doesn't compile
+/// without one.
 async fn refuse_for(reason: Reason) -> Refusal {
     match reason {
-        Reason::QueueFull => refused_behind_others(1, 0, &["3000", "3000"]).await,
-        Reason::WaitTooLong => refused_behind_others(9, 3, &["3000", "100"]).await,
-        Reason::DeadlinePassed => refused_behind_others(9, 0, &["200"]).await,
-        Reason::Rule => refused_with(config(1, &[], &[]), client::get("/nowhere")).await,
-        Reason::NoConfig => refused_without_configuration().await,
-        Reason::NoEndpoint => refused_with(config(1, &[], &[]), book()).await,
+        Reason::QueueFull => refuse_behind_others(1, 0, &["3000", "3000"]).await,
+        Reason::WaitTooLong => refuse_behind_others(9, 3, &["3000", "100"]).await,
+        Reason::DeadlinePassed => refuse_behind_others(9, 0, &["200"]).await,
+        Reason::Rule => refuse_with(config(1, &[], &[]), client::get("/nowhere")).await,
+        Reason::NoConfig => refuse_without_config().await,
+        Reason::NoEndpoint => refuse_with(config(1, &[], &[]), booking_request()).await,
         Reason::AnswerLost => {
-            let booking = closing().await;
-            refused_with(config(1, &[], &[booking.address]), book()).await
+            let booking = closing_endpoint().await;
+            refuse_with(config(1, &[], &[booking.address]), booking_request()).await
         }
         Reason::NoRecord => {
-            let repeat = client::with(book(), header::REPEAT, "true");
-            refused_with(config(1, &[], &[]), repeat).await
+            let repeat = client::with(booking_request(), header::REPEAT, "true");
+            refuse_with(config(1, &[], &[]), repeat).await
         }
-        Reason::Duplicate => refused_duplicate().await,
+        Reason::Duplicate => refuse_duplicate().await,
         Reason::BadRequest => {
             let mut request = client::get("/slots");
             request.headers_mut().remove(header::CUSTOMER);
-            refused_with(config(1, &[], &[]), request).await
+            refuse_with(config(1, &[], &[]), request).await
         }
-        Reason::Paused => refused_after_pause().await,
-        Reason::CrashesEndpoints => refused_after_crashes().await,
+        Reason::Paused => refuse_after_pause().await,
+        Reason::CrashesEndpoints => refuse_after_crashes().await,
     }
 }
 
 #[tokio::test]
-async fn every_refusal_leaves_a_line_that_says_who_decided_and_why() {
+async fn every_refusal_is_logged_with_its_decider_and_reason() {
     let mut refusals = JoinSet::new();
     for reason in Reason::ALL {
         refusals.spawn(async move { (reason, refuse_for(reason).await) });
@@ -217,12 +221,13 @@
     }
 }
 
-/// Nobody can tell whether a booking that was refused had been sent anywhere.
+/// Guards against a refusal whose log line doesn't show whether the booking had been sent to
+/// an endpoint.
 #[tokio::test]
-async fn the_line_of_a_refusal_names_what_was_sent_where() {
-    let booking = closing().await;
+async fn the_log_line_of_a_refusal_lists_attempts_and_their_endpoints() {
+    let booking = closing_endpoint().await;
     let config = config(1, &[], &[booking.address]);
-    let Refusal { vm, answer, .. } = refused_with(config, book()).await;
+    let Refusal { vm, answer, .. } = refuse_with(config, booking_request()).await;
     let id = client::field(&answer, header::REQUEST_ID).unwrap();
     vm.wait_for_line(&["event=refused", &format!(" request={id} "), " sent=booking-0/unknown/"])
         .await;
--- a/crates/pistachiotrackd/tests/repeat.rs
+++ b/crates/pistachiotrackd/tests/repeat.rs
@@ -1,4 +1,4 @@
-//! What is sent again and what is not.
+//! Retries, hedges and repeated requests: what is sent again and what is not.
 
 mod testenv;
 
@@ -26,8 +26,8 @@
     if repeat { client::with(request, header::REPEAT, "true") } else { request }
 }
 
-/// A booking is doubled. The caller lost the first answer and sends the booking
-/// again with the same key; the fleet takes it for a new one.
+/// Guards against a booking that runs twice. The caller lost the first answer and sends the
+/// booking again with the same key; the fleet must not handle it as a new one.
 #[tokio::test]
 async fn a_repeat_with_the_same_key_gets_the_first_answer() {
     let count = Arc::new(AtomicU32::new(0));
@@ -45,8 +45,8 @@
     assert_eq!(booking.received().len(), 1);
 }
 
-/// A lookup waits for one slow endpoint while another one is idle. The first
-/// attempt hangs; a hedge is answered; the first one is cancelled.
+/// Guards against a lookup that waits for a slow endpoint while another one is idle. The
+/// first attempt hangs, the hedge is answered, and the first attempt is cancelled.
 #[tokio::test]
 async fn a_hedge_answers_and_the_slow_attempt_is_cancelled() {
     let (hang, hanging) = watch::channel(false);
@@ -77,10 +77,10 @@
     slow.wait_closed(1).await;
 }
 
-/// Callers lose requests that a full endpoint turned away. The endpoint says
-/// that it did not run the booking; it may be sent elsewhere, and once only.
+/// Guards against requests that fail because an overloaded endpoint shed them. The endpoint
+/// reports that it did not run the booking, so the fleet may send it elsewhere, exactly once.
 #[tokio::test]
-async fn a_booking_that_was_shed_is_sent_to_another_endpoint() {
+async fn a_shed_booking_is_sent_to_another_endpoint() {
     let full = Endpoint::start(|_| async {
         let response = Response::builder()
             .status(StatusCode::SERVICE_UNAVAILABLE)
@@ -99,8 +99,8 @@
     assert!(!full.received().is_empty());
 }
 
-/// A lookup is lost on a connection that the endpoint has just closed. The
-/// connection waited in the pool; nothing was written to it yet.
+/// Guards against a lookup that fails on a pooled connection which the endpoint has just
+/// closed. Nothing of the request was written to it yet.
 #[tokio::test]
 async fn a_connection_closed_while_idle_is_replaced() {
     let search = Endpoint::serve(|mut stream| async move {
@@ -117,9 +117,9 @@
     }
 }
 
-/// Lookups are late one after the other. Something between the two ends has
-/// lost track of all connections that were open; each waits for its answer on
-/// one of them, while new ones work.
+/// Guards against lookups that time out one after the other. A network device has dropped
+/// the state of all connections that were open; requests on them get no answer, while new
+/// connections work.
 #[tokio::test]
 async fn one_silent_connection_closes_the_other_idle_ones() {
     let (silence, silent) = watch::channel(false);
@@ -141,13 +141,13 @@
     let limits = json!({"idle_ms": 600_000});
     let deployment = Deployment::start_with_limits(&[search.address], &[], limits).await;
     let lookup = || tokio::spawn(client::send(deployment.address(), client::get("/slots")));
-    // A new owner uses all slots only after a while.
+    // A new owner uses all slots only after the takeover grace period.
     let start = std::time::Instant::now();
     while search.connections() < 2 {
-        assert!(start.elapsed() < client::HANG_LIMIT, "one connection only");
-        let pair = (lookup(), lookup());
-        assert_eq!(pair.0.await.unwrap().unwrap().body(), "free");
-        assert_eq!(pair.1.await.unwrap().unwrap().body(), "free");
+        assert!(start.elapsed() < client::HANG_LIMIT, "only one connection was opened");
+        let lookups = (lookup(), lookup());
+        assert_eq!(lookups.0.await.unwrap().unwrap().body(), "free");
+        assert_eq!(lookups.1.await.unwrap().unwrap().body(), "free");
     }
     silence.send_replace(true);
     let late = client::with(client::get("/slots"), header::DEADLINE_MS, "200");
@@ -156,10 +156,10 @@
     assert_eq!(lookup().await.unwrap().unwrap().body(), "free");
 }
 
-/// A booking is run long after its caller has given up. The VM is paused while
-/// the booking waits for a slot, wakes up and believes that no time has passed.
+/// Guards against a booking that runs long after its caller has given up. The VM is paused
+/// while the booking waits for a slot, and must count the pause towards the deadline.
 #[tokio::test]
-async fn a_booking_that_waited_through_a_pause_is_not_run() {
+async fn a_booking_queued_during_a_pause_is_not_run() {
     let (release, released) = watch::channel(false);
     let booking = Endpoint::start(move |_| {
         let mut released = released.clone();
@@ -173,11 +173,11 @@
     platform.publish_config(testenv::config(1, &[], &[booking.address]));
     let vm = DaemonProcess::start("vm-01", platform.address).await;
     client::wait_until_serving(vm.admin_address).await;
-    let book = || client::request(Method::POST, "/bookings", "slot 7");
+    let booking_request = || client::request(Method::POST, "/bookings", "slot 7");
     let running: Vec<_> =
-        (0..2).map(|_| tokio::spawn(client::send(vm.caller_address, book()))).collect();
+        (0..2).map(|_| tokio::spawn(client::send(vm.caller_address, booking_request()))).collect();
     booking.wait_received(2).await;
-    let late = client::with(book(), header::DEADLINE_MS, "300");
+    let late = client::with(booking_request(), header::DEADLINE_MS, "300");
     let waiting = tokio::spawn(client::send(vm.caller_address, late));
     client::wait_for(vm.admin_address, "/status", |status| {
         let counters = status["counters"].as_array().unwrap();
@@ -196,31 +196,31 @@
     assert_eq!(booking.received().len(), 2);
 }
 
-/// A booking is run after its caller has given up. It lies in the socket's
-/// buffer while the VM is paused; the VM wakes up, reads it and takes its
-/// deadline for one that begins now.
+/// Guards against a booking that runs after its caller has given up. It waits in the socket's
+/// buffer while the VM is paused; the VM must not count its deadline from the moment at which
+/// it reads the booking.
 #[tokio::test]
-async fn a_booking_that_came_during_a_pause_is_refused_when_its_time_is_over() {
+async fn a_booking_received_during_a_pause_is_refused_after_its_deadline() {
     let booking = Endpoint::answering("booked").await;
     let platform = Platform::start().await;
     platform.publish_config(testenv::config(1, &[], &[booking.address]));
     let vm = DaemonProcess::start("vm-01", platform.address).await;
     client::wait_until_serving(vm.admin_address).await;
-    let book = |deadline_ms| {
+    let booking_request = |deadline_ms| {
         let request = client::request(Method::POST, "/bookings", "slot 7");
         client::with(request, header::DEADLINE_MS, deadline_ms)
     };
-    let mut known = client::Connection::open(vm.caller_address).await;
-    assert_eq!(known.send(book("20000")).await.unwrap().body(), "booked");
+    let mut pooled = client::Connection::open(vm.caller_address).await;
+    assert_eq!(pooled.send(booking_request("20000")).await.unwrap().body(), "booked");
     vm.signal("STOP").await;
     let address = vm.caller_address;
-    let late = tokio::spawn(client::send(address, book("300")));
-    let late_on_known_request = book("300");
-    let late_on_known = tokio::spawn(async move { known.send(late_on_known_request).await });
-    let in_time = tokio::spawn(client::send(address, book("20000")));
+    let late = tokio::spawn(client::send(address, booking_request("300")));
+    let late_on_pooled_request = booking_request("300");
+    let late_on_pooled = tokio::spawn(async move { pooled.send(late_on_pooled_request).await });
+    let in_time = tokio::spawn(client::send(address, booking_request("20000")));
     tokio::time::sleep(std::time::Duration::from_millis(1_000)).await;
     vm.signal("CONT").await;
-    for late in [late, late_on_known] {
+    for late in [late, late_on_pooled] {
         let refused = late.await.unwrap().unwrap();
         assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
         assert_eq!(client::field(&refused, header::REASON), Some("paused"));
--- a/crates/pistachiotrackd/tests/via.rs
+++ b/crates/pistachiotrackd/tests/via.rs
@@ -1,5 +1,5 @@
 //! Requests to an endpoint that the owner of their shard can't reach, while
-//! other VMs do.
+//! other VMs can.
 
 mod testenv;
 
@@ -24,16 +24,16 @@
 const OWNER: &str = "vm-01";
 const OTHERS: [&str; 2] = ["vm-02", "vm-03"];
 
-/// An owner in the test's process, whose paths can be cut, and two other VMs in
-/// processes of their own, which can be killed.
-struct Trio {
+/// An owner in the test's process, whose paths to endpoints can be cut, and two
+/// other VMs in separate processes, which can be killed.
+struct ThreeVmFleet {
     _platform: Platform,
     owner: Daemon,
     others: Vec<DaemonProcess>,
 }
 
-impl Trio {
-    async fn start(booking: &[&Endpoint]) -> Trio {
+impl ThreeVmFleet {
+    async fn start(booking: &[&Endpoint]) -> ThreeVmFleet {
         let platform = Platform::start().await;
         let addresses: Vec<_> = booking.iter().map(|endpoint| endpoint.address).collect();
         platform.publish_config(config(1, &[], &addresses));
@@ -57,19 +57,19 @@
             status["shards"].as_array().is_some_and(|shards| shards.contains(&shard))
         })
         .await;
-        Trio { _platform: platform, owner, others }
+        ThreeVmFleet { _platform: platform, owner, others }
     }
 
     async fn send(&self, request: Request<Full<Bytes>>) -> Response<Bytes> {
         client::send(self.owner.caller_address(), request).await.unwrap()
     }
 
-    /// Books until one booking is answered, and returns that answer. Until the
-    /// fleet knows of the cut, bookings are refused as not run.
+    /// Sends bookings until one is answered, and returns that answer. Until the
+    /// fleet has detected the cut, bookings are refused as not run.
     async fn book_until_answered(&self) -> Response<Bytes> {
         let start = std::time::Instant::now();
         loop {
-            let response = self.send(book()).await;
+            let response = self.send(booking_request()).await;
             match client::field(&response, header::OUTCOME) {
                 None => return response,
                 outcome => assert_eq!(outcome, Some("not-run")),
@@ -80,22 +80,22 @@
     }
 }
 
-fn book() -> Request<Full<Bytes>> {
+fn booking_request() -> Request<Full<Bytes>> {
     client::request(Method::POST, "/bookings", "slot 7")
 }
 
-/// All bookings fail although the only endpoint is well. The owner's path to it
-/// is cut; any other VM reaches it. The bookings go through one of those, and
-/// directly again when the path has healed.
+/// Guards against bookings that all fail although the only endpoint works. The owner's path
+/// to it is cut, but other VMs reach it: bookings are relayed through one of those, and sent
+/// directly again once the path works.
 #[tokio::test]
-async fn bookings_go_through_another_vm_while_the_owners_path_is_cut() {
+async fn bookings_are_relayed_while_the_owners_path_is_cut() {
     let booking = Endpoint::answering("booked").await;
-    let mut trio = Trio::start(&[&booking]).await;
-    assert_eq!(trio.send(book()).await.body(), "booked");
-    trio.owner.set_path_cut(booking.address, true);
+    let mut fleet = ThreeVmFleet::start(&[&booking]).await;
+    assert_eq!(fleet.send(booking_request()).await.body(), "booked");
+    fleet.owner.set_path_cut(booking.address, true);
     let mut answered = 1;
     for _ in 0..20 {
-        let booked = trio.book_until_answered().await;
+        let booked = fleet.book_until_answered().await;
         answered += 1;
         assert_eq!(booked.body(), "booked");
         assert_eq!(client::field(&booked, header::ENDPOINT), Some("booking-0"));
@@ -111,18 +111,18 @@
         assert!(!request.headers().contains_key(header::HOP));
     }
 
-    trio.owner.set_path_cut(booking.address, false);
-    for other in &mut trio.others {
+    fleet.owner.set_path_cut(booking.address, false);
+    for other in &mut fleet.others {
         other.kill().await;
     }
-    assert_eq!(trio.book_until_answered().await.body(), "booked");
+    assert_eq!(fleet.book_until_answered().await.body(), "booked");
 }
 
-/// A booking is doubled. The witness has sent it to the endpoint when the
-/// witness's VM dies; the owner sees a broken connection and must not send it
-/// again, nor call it not run.
+/// Guards against a booking that runs twice. The relay is killed after it has sent the
+/// booking to the endpoint; the owner gets a broken connection and must neither resend the
+/// booking nor report it as not run.
 #[tokio::test]
-async fn a_booking_whose_witness_dies_under_it_is_unknown_and_not_sent_again() {
+async fn a_booking_in_flight_at_a_crashed_relay_is_unknown_and_not_sent_again() {
     let (release, released) = tokio::sync::watch::channel(true);
     let booking = Endpoint::start(move |_| {
         let mut released = released.clone();
@@ -132,16 +132,16 @@
         }
     })
     .await;
-    let mut trio = Trio::start(&[&booking]).await;
-    trio.owner.set_path_cut(booking.address, true);
-    trio.book_until_answered().await;
+    let mut fleet = ThreeVmFleet::start(&[&booking]).await;
+    fleet.owner.set_path_cut(booking.address, true);
+    fleet.book_until_answered().await;
     release.send_replace(false);
     let before = booking.received().len();
-    let caller = tokio::spawn(client::send(trio.owner.caller_address(), book()));
+    let caller = tokio::spawn(client::send(fleet.owner.caller_address(), booking_request()));
     while booking.received().len() == before {
         tokio::task::yield_now().await;
     }
-    for other in &mut trio.others {
+    for other in &mut fleet.others {
         other.kill().await;
     }
     let refused = caller.await.unwrap().unwrap();
@@ -149,10 +149,10 @@
     assert_eq!(booking.received().len(), before + 1);
 }
 
-/// A booking is called not run although it may have run. The endpoint takes it
-/// from the witness and closes the connection without an answer.
+/// Guards against a booking that is reported as not run although it may have run. The
+/// endpoint receives it from the relay and closes the connection without an answer.
 #[tokio::test]
-async fn a_booking_that_the_endpoint_breaks_off_behind_the_witness_is_unknown() {
+async fn a_booking_whose_endpoint_closes_the_relays_connection_is_unknown() {
     let (sender, breaks) = tokio::sync::watch::channel(false);
     let booking = Endpoint::serve(move |mut stream| {
         let breaks = breaks.clone();
@@ -166,43 +166,43 @@
         }
     })
     .await;
-    let trio = Trio::start(&[&booking]).await;
-    trio.owner.set_path_cut(booking.address, true);
-    trio.book_until_answered().await;
+    let fleet = ThreeVmFleet::start(&[&booking]).await;
+    fleet.owner.set_path_cut(booking.address, true);
+    fleet.book_until_answered().await;
     sender.send_replace(true);
-    let refused = trio.send(book()).await;
+    let refused = fleet.send(booking_request()).await;
     assert_eq!(client::field(&refused, header::OUTCOME), Some("unknown"));
 }
 
-/// A clerk takes half a roster for the whole. The endpoint cuts its answer to
-/// the witness, which ends it towards the owner as if it were whole.
+/// Guards against a truncated answer that the caller takes for a complete one. The endpoint
+/// breaks its answer to the relay off, and the relay must not end it to the owner normally.
 #[tokio::test]
-async fn a_body_cut_behind_the_witness_is_an_error_for_the_caller() {
+async fn a_body_truncated_at_the_relay_is_an_error_for_the_caller() {
     let booking = Endpoint::serve(|mut stream| async move {
         read_head(&mut stream).await;
         let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n";
         tokio::io::AsyncWriteExt::write_all(&mut stream, head).await.unwrap();
     })
     .await;
-    let trio = Trio::start(&[&booking]).await;
-    trio.owner.set_path_cut(booking.address, true);
+    let fleet = ThreeVmFleet::start(&[&booking]).await;
+    fleet.owner.set_path_cut(booking.address, true);
     let start = std::time::Instant::now();
     loop {
-        match client::send(trio.owner.caller_address(), book()).await {
+        match client::send(fleet.owner.caller_address(), booking_request()).await {
             Err(_) => return,
             Ok(refused) => {
                 assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
             }
         }
-        assert!(start.elapsed() < client::HANG_LIMIT, "no booking gets through");
+        assert!(start.elapsed() < client::HANG_LIMIT, "every booking is refused");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A caller that goes away leaves its booking at work behind the witness, and
-/// the slot stays taken. The end of its connection must reach the endpoint.
+/// Guards against a booking that keeps its slot after its caller has disconnected. The end
+/// of the caller's connection must reach the endpoint through the relay.
 #[tokio::test]
-async fn a_cancellation_reaches_the_endpoint_behind_the_witness() {
+async fn a_cancellation_is_relayed_to_the_endpoint() {
     let (release, released) = tokio::sync::watch::channel(true);
     let booking = Endpoint::start(move |_| {
         let mut released = released.clone();
@@ -212,13 +212,13 @@
         }
     })
     .await;
-    let trio = Trio::start(&[&booking]).await;
-    trio.owner.set_path_cut(booking.address, true);
-    trio.book_until_answered().await;
+    let fleet = ThreeVmFleet::start(&[&booking]).await;
+    fleet.owner.set_path_cut(booking.address, true);
+    fleet.book_until_answered().await;
     release.send_replace(false);
     let before = booking.received().len();
-    let mut connection = client::Connection::open(trio.owner.caller_address()).await;
-    let pending = connection.begin(book());
+    let mut connection = client::Connection::open(fleet.owner.caller_address()).await;
+    let pending = connection.begin(booking_request());
     let received = async {
         while booking.received().len() == before {
             tokio::task::yield_now().await;
--- a/crates/pistachiotrackd/tests/whole_answers.rs
+++ b/crates/pistachiotrackd/tests/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are cut short, and requests that may have run.
+//! Truncated answers, and requests that may have run.
 
 mod testenv;
 
@@ -26,11 +26,11 @@
     stream.write_all(text.as_bytes()).await.unwrap();
 }
 
-/// A clerk sees half a roster and takes it for the whole. The endpoint dies
-/// after the first part of an answer; its system closes the connection; the
-/// fleet ends the answer to the caller as if it were complete.
+/// Guards against a truncated answer that the caller takes for a complete one. The endpoint
+/// crashes after the first part of an answer and its system closes the connection; the fleet
+/// must not end the answer to the caller normally.
 #[tokio::test]
-async fn a_cut_body_is_an_error_for_the_caller() {
+async fn a_truncated_body_is_an_error_for_the_caller() {
     let heads = [
         "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf a roster",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -51,9 +51,8 @@
     }
 }
 
-/// An answer stops in the middle and the caller waits for good. The endpoint
-/// hangs after the first part; its connection stays open; nothing ends the
-/// exchange.
+/// Guards against a caller that waits for ever for the rest of an answer. The endpoint hangs
+/// after the first part, and its connection stays open.
 #[tokio::test]
 async fn a_stalled_body_is_an_error_for_the_caller() {
     let search = Endpoint::serve(|mut stream| async move {
@@ -68,9 +67,9 @@
     search.wait_closed(1).await;
 }
 
-/// A clerk sees half a roster and takes it for the whole. The endpoint hangs in
-/// the middle of an answer without a length; the fleet gives the answer up and
-/// ends it as if it were complete, and no length tells the caller otherwise.
+/// Guards against a truncated answer that the caller takes for a complete one. The endpoint
+/// hangs in the middle of an answer without a length; the fleet times out and must not end
+/// the answer normally, because no length shows the caller that a part is missing.
 #[tokio::test]
 async fn a_stalled_body_without_length_is_an_error_for_the_caller() {
     let search = Endpoint::serve(|mut stream| async move {
@@ -86,10 +85,10 @@
     search.wait_closed(1).await;
 }
 
-/// A booking is doubled. The endpoint takes it, closes the connection without
-/// an answer, and the fleet sends it again although the first may have run.
+/// Guards against a booking that runs twice. The endpoint receives it and closes the
+/// connection without an answer; the booking may have run and must not be sent again.
 #[tokio::test]
-async fn a_booking_without_an_answer_is_sent_once_and_called_unknown() {
+async fn a_booking_without_an_answer_is_sent_once_and_reported_as_unknown() {
     let heads = Arc::new(AtomicU32::new(0));
     let count = Arc::clone(&heads);
     let booking = Endpoint::serve(move |mut stream| {
@@ -105,26 +104,25 @@
     let request = client::request(Method::POST, "/bookings", "");
     let refused = client::send(deployment.address(), request).await.unwrap();
     assert_eq!(client::field(&refused, header::OUTCOME), Some("unknown"));
-    // The second connection is the look whether the endpoint still takes any.
+    // The second connection is the check whether the endpoint still accepts any.
     booking.wait_closed(2).await;
     assert_eq!((heads.load(Ordering::SeqCst), booking.connections()), (1, 2));
 }
 
-/// A caller is told that its booking may have run, and does not dare to send
+/// Guards against a booking that is reported as possibly run, so that the caller can't send
 /// it again. The endpoint's port is closed, so no byte can have been sent.
 #[tokio::test]
-async fn a_booking_that_no_endpoint_could_get_was_not_run() {
+async fn a_booking_that_could_not_be_sent_is_reported_as_not_run() {
     let deployment = Deployment::start(&[], &[]).await;
     let request = client::request(Method::POST, "/bookings", "slot 7");
     let refused = client::send(deployment.address(), request).await.unwrap();
     assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
 }
 
-/// An endpoint works on for a caller that has hung up, and its slot is lost
-/// for others. The caller breaks off before the answer begins; nothing tells
-/// the endpoint.
+/// Guards against an endpoint that keeps working, and keeps its slot, for a caller that has
+/// disconnected. The caller closes its connection before the answer begins.
 #[tokio::test]
-async fn a_caller_that_breaks_off_cancels_its_request() {
+async fn a_caller_that_disconnects_cancels_its_request() {
     let search = Endpoint::serve(|mut stream| async move {
         read_head(&mut stream).await;
         read_to_end(&mut stream).await;
@@ -146,9 +144,9 @@
     client::wait_for(admin, "/endpoints", in_flight(0)).await;
 }
 
-/// A booking reaches its endpoint when too little time is left to answer it.
-/// The endpoint's queue of connections is full; the connection opens at the
-/// second try of the VM's system, after the moment until which it may be sent.
+/// Guards against a booking that reaches its endpoint when too little time is left to answer
+/// it. The endpoint's accept queue is full; the connection opens at the second SYN of the VM's
+/// system, after the latest moment at which the booking may be sent.
 #[tokio::test]
 async fn a_booking_whose_connection_opens_too_late_is_not_sent() {
     let socket = TcpSocket::new_v4().unwrap();
@@ -157,23 +155,24 @@
     let address = listener.local_addr().unwrap();
     let limits = json!({"connect_timeout_ms": 5_000});
     let deployment = Deployment::start_with_limits(&[], &[address], limits).await;
-    let book = || client::request(Method::POST, "/bookings", "");
+    let booking_request = || client::request(Method::POST, "/bookings", "");
     let booked = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
     for _ in 0..3 {
-        let caller = tokio::spawn(client::send(deployment.address(), book()));
+        let caller = tokio::spawn(client::send(deployment.address(), booking_request()));
         let (mut stream, _) = listener.accept().await.unwrap();
         read_head(&mut stream).await;
-        // The usual time to answer is what a late booking must have left.
+        // A booking is only sent with at least the usual answer time left.
         tokio::time::sleep(Duration::from_millis(600)).await;
         write(&mut stream, booked).await;
         caller.await.unwrap().unwrap();
     }
     let mut fillers = Vec::new();
-    let patience = Duration::from_millis(200);
-    while let Ok(filler) = tokio::time::timeout(patience, TcpStream::connect(address)).await {
+    let connect_timeout = Duration::from_millis(200);
+    while let Ok(filler) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await
+    {
         fillers.push(filler.unwrap());
     }
-    let late = client::with(book(), header::DEADLINE_MS, "1600");
+    let late = client::with(booking_request(), header::DEADLINE_MS, "1600");
     let caller = tokio::spawn(client::send(deployment.address(), late));
     let admin = deployment.daemon.admin_address();
     client::wait_for(admin, "/endpoints", |endpoints| {
