--- a/crates/pistachiotrackd/tests/control_faults.rs
+++ b/crates/pistachiotrackd/tests/control_faults.rs
@@ -15,7 +15,7 @@
 use testenv::{
     Deployment, client, config,
     endpoint::Endpoint,
-    fleet::{Vm, bounded, counter, publish_list, wait_until},
+    fleet::{Vm, bounded, counter, publish_vm_list, wait_until},
     platform::Platform,
 };
 use tokio::{
@@ -125,9 +125,9 @@
                 assert!(answer.status() != 500, "{round} {path} {answer:?}");
             }
             let request = client::request(Method::POST, "/slots", Vec::arbitrary(&mut source));
-            let request = client::with(request, "pistachiotrack-hop", "vm-07");
+            let request = client::with_header(request, "pistachiotrack-hop", "vm-07");
             let noise = String::arbitrary(&mut source).replace(|c: char| !c.is_ascii_graphic(), "");
-            let request = client::with(request, "pistachiotrack-route", &noise);
+            let request = client::with_header(request, "pistachiotrack-route", &noise);
             let answer = client::send(peer, request).await.unwrap();
             assert!(answer.status().is_client_error() || answer.status() == 503, "{answer:?}");
             let mut stream = TcpStream::connect(peer).await.unwrap();
@@ -154,9 +154,9 @@
         platform.publish_config(config(1, &[search.address], &[]));
         let first = Vm::start("vm-01", platform.address).await;
         let second = Vm::start("vm-02", platform.address).await;
-        let stranger = Vm::start_in("elsewhere", "vm-03", platform.address).await;
-        let lines = [first.listed(), second.listed(), stranger.listed()];
-        publish_list(&platform, 2, &lines);
+        let stranger = Vm::start_in_deployment("elsewhere", "vm-03", platform.address).await;
+        let lines = [first.vm_list_entry(), second.vm_list_entry(), stranger.vm_list_entry()];
+        publish_vm_list(&platform, 2, &lines);
         // The list gives a VM ten seconds to answer; then it counts as dead.
         wait_until(|| async {
             let members = client::admin(first.admin, "/members").await;
--- a/crates/pistachiotrackd/tests/fault_matrix/fault.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/fault.rs
@@ -138,11 +138,11 @@
                 let resume = world.vms[OWNER].pause();
                 tokio::spawn(resume_late(Arc::clone(world), resume));
             }
-            Fault::ConfigDown => world.platforms[OWNER].set_fault(PlatformFault::Away),
+            Fault::ConfigDown => world.platforms[OWNER].set_fault(PlatformFault::Unavailable),
             Fault::ConfigStale => {}
             Fault::ConfigOlder => {
                 world.publish(OWNER, 1, None);
-                world.platforms[OWNER].set_fault(PlatformFault::Older);
+                world.platforms[OWNER].set_fault(PlatformFault::AnswersStale);
             }
         }
     }
--- a/crates/pistachiotrackd/tests/fault_matrix/world.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/world.rs
@@ -81,7 +81,7 @@
             world.start_vm(index, number, entry_drain_ms).await;
         }
         let listed = (0..2).map(|index| {
-            testenv::listed(
+            testenv::vm_list_entry(
                 &format!("vm-{index}"),
                 world.peer_legs[index].address,
                 world.caller_legs[index].address,
--- a/crates/pistachiotrackd/tests/fleet.rs
+++ b/crates/pistachiotrackd/tests/fleet.rs
@@ -19,7 +19,7 @@
 use testenv::{
     BOOKING, client, config,
     endpoint::Endpoint,
-    fleet::{Fleet, Vm, absent_platform, bounded, publish_list, wait_until},
+    fleet::{Fleet, Vm, bounded, publish_vm_list, unavailable_platform, wait_until},
     platform::Platform,
 };
 use tokio::task::JoinHandle;
@@ -44,15 +44,15 @@
         platform.publish_config(config(1, &[search.address], &[]));
         let first = Vm::start("vm-01", platform.address).await;
         client::wait_until_serving(first.admin).await;
-        let second = Vm::start("vm-02", absent_platform().await).await;
+        let second = Vm::start("vm-02", unavailable_platform().await).await;
 
         let refused = client::send(second.caller, client::get("/slots")).await.unwrap();
         assert_eq!(refused.status(), 503);
-        assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
-        assert_eq!(client::field(&refused, header::REASON), Some("no-config"));
+        assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
+        assert_eq!(client::header_text(&refused, header::REASON), Some("no-config"));
         assert!(search.received().is_empty());
 
-        publish_list(&platform, 2, &[first.listed(), second.listed()]);
+        publish_vm_list(&platform, 2, &[first.vm_list_entry(), second.vm_list_entry()]);
         client::wait_until_serving(second.admin).await;
         let found = client::send(second.caller, client::get("/slots")).await.unwrap();
         assert_eq!(found.body(), "free slots");
@@ -125,7 +125,7 @@
             let answer = client::send(vm.caller, client::get("/slots")).await.unwrap();
             assert_eq!(answer.body(), "free slots");
             let owner_name = fleet.vms[owner].name.as_str();
-            assert_eq!(client::field(&answer, header::OWNER), Some(owner_name));
+            assert_eq!(client::header_text(&answer, header::OWNER), Some(owner_name));
             assert_eq!(vm.counter("forwarded").await, u64::from(index != owner));
         }
         for (index, vm) in fleet.vms.iter().enumerate() {
@@ -279,10 +279,10 @@
         let ended = old.run();
         let new = Vm::start(&old.name, fleet.platform.address).await;
         fleet.vms.push(new);
-        fleet.publish_list(3);
+        fleet.publish_vm_list(3);
         ended.await.unwrap();
         let admins = fleet.admins();
-        wait_until(|| testenv::fleet::agrees(&admins)).await;
+        wait_until(|| testenv::fleet::has_converged(&admins)).await;
         for vm in &fleet.vms {
             assert!(!vm.entries(testenv::SEARCH).await.contains(&old.caller), "{}", vm.name);
         }
--- a/crates/pistachiotrackd/tests/forward.rs
+++ b/crates/pistachiotrackd/tests/forward.rs
@@ -12,7 +12,7 @@
 use testenv::{
     client, config,
     endpoint::{Endpoint, read_head},
-    path::Path,
+    network_path::NetworkPath,
     platform::Platform,
     process::DaemonProcess,
 };
@@ -54,7 +54,7 @@
             DaemonProcess::start_with(VMS[0], platform.address, first).await,
             DaemonProcess::start_with(VMS[1], platform.address, second).await,
         ];
-        let list: Vec<Value> = (0..2).map(|index| vms[index].listed(VMS[index])).collect();
+        let list: Vec<Value> = (0..2).map(|index| vms[index].vm_list_entry(VMS[index])).collect();
         platform.publish_vms(json!({"version": 2, "vms": list}));
         for vm in &vms {
             client::wait_for(vm.admin_address, "/status", |status| {
@@ -121,8 +121,8 @@
     for _ in 0..3 {
         let booked = fleet.send(entry, booking_request()).await.unwrap();
         assert_eq!(booked.body(), "booked");
-        assert_eq!(client::field(&booked, header::OWNER), Some(VMS[owner]));
-        assert_eq!(client::field(&booked, header::ENDPOINT), Some("booking-0"));
+        assert_eq!(client::header_text(&booked, header::OWNER), Some(VMS[owner]));
+        assert_eq!(client::header_text(&booked, header::ENDPOINT), Some("booking-0"));
     }
     let received = booking.received();
     assert_eq!(received.len(), 3);
@@ -145,12 +145,12 @@
     let (owner, other) = fleet.owner("booking").await;
     let route = json!({"shard": {"service": "booking", "index": 0}, "customer": testenv::CUSTOMER,
                        "class": "standard", "idempotent": false, "hedge": false});
-    let request = client::with(booking_request(), header::HOP, VMS[owner]);
-    let request = client::with(request, header::ROUTE, &route.to_string());
-    let request = client::with(request, header::DEADLINE_MS, "3000");
+    let request = client::with_header(booking_request(), header::HOP, VMS[owner]);
+    let request = client::with_header(request, header::ROUTE, &route.to_string());
+    let request = client::with_header(request, header::DEADLINE_MS, "3000");
     let booked = client::send(fleet.vms[other].peer_address, request).await.unwrap();
     assert_eq!(booked.body(), "booked");
-    assert_eq!(client::field(&booked, header::OWNER), Some(VMS[other]));
+    assert_eq!(client::header_text(&booked, header::OWNER), Some(VMS[other]));
     assert_eq!(booking.received().len(), 1);
 }
 
@@ -166,7 +166,7 @@
     fleet.vms[owner].kill().await;
     let booked = fleet.send(entry, booking_request()).await.unwrap();
     assert_eq!(booked.body(), "booked");
-    assert_eq!(client::field(&booked, header::OWNER), Some(VMS[entry]));
+    assert_eq!(client::header_text(&booked, header::OWNER), Some(VMS[entry]));
     assert_eq!(booking.received().len(), 2);
 }
 
@@ -182,7 +182,7 @@
     booking.wait_received(1).await;
     fleet.vms[owner].kill().await;
     let refused = caller.await.unwrap().unwrap();
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("unknown"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("unknown"));
     assert_eq!(booking.received().len(), 1);
 }
 
@@ -246,7 +246,7 @@
 async fn a_lookup_on_a_silent_connection_between_vms_is_answered() {
     let search = Endpoint::answering("free slots").await;
     let booking = Endpoint::answering("booked").await;
-    let paths = [Path::open().await, Path::open().await];
+    let paths = [NetworkPath::open().await, NetworkPath::open().await];
     let settings = paths.each_ref().map(|path| {
         json!({"peer_address": path.vm_address, "advertised_peer_address": path.address,
                "limits": {"lively_ms": 600_000, "idle_ms": 600_000}})
@@ -255,12 +255,12 @@
     let (owner, entry) = fleet.owner("slot-search").await;
     for _ in 0..3 {
         let found = fleet.send(entry, client::get("/slots")).await.unwrap();
-        assert_eq!(client::field(&found, header::OWNER), Some(VMS[owner]));
+        assert_eq!(client::header_text(&found, header::OWNER), Some(VMS[owner]));
     }
-    paths[owner].forget();
+    paths[owner].drop_open_connections();
     let found = fleet.send(entry, client::get("/slots")).await.unwrap();
     assert_eq!(found.body(), "free slots");
-    assert_eq!(client::field(&found, header::OWNER), Some(VMS[owner]));
+    assert_eq!(client::header_text(&found, header::OWNER), Some(VMS[owner]));
     client::wait_for(fleet.vms[entry].admin_address, "/status", |status| {
         let counters = status["counters"].as_array().unwrap();
         counters.contains(&json!({"name": "forwarded_again", "value": 1}))
@@ -282,7 +282,7 @@
     config["services"][0]["endpoints"][0]["slots"] = json!(1);
     let fleet = TwoVmFleet::start_with_config(config, [json!({}), json!({})]).await;
     let (owner, entry) = fleet.owner("slot-search").await;
-    let lookup = client::with(client::get("/slots"), header::DEADLINE_MS, "2000");
+    let lookup = client::with_header(client::get("/slots"), header::DEADLINE_MS, "2000");
     let answer = tokio::spawn(client::send(fleet.vms[entry].caller_address, lookup));
     while search.received().is_empty() {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
@@ -295,7 +295,7 @@
     for other in others {
         other.await.unwrap().unwrap();
     }
-    assert_ne!(client::field(&answer, header::OUTCOME), Some("not-run"), "{answer:?}");
+    assert_ne!(client::header_text(&answer, header::OUTCOME), Some("not-run"), "{answer:?}");
 }
 
 /// Guards against a lookup that is refused as not run while an endpoint works on it. The
@@ -306,7 +306,7 @@
 async fn a_lookup_served_by_the_entry_vm_is_not_reported_as_not_run() {
     let (search, release) = blocking_endpoint().await;
     let booking = Endpoint::answering("booked").await;
-    let paths = [Path::open().await, Path::open().await];
+    let paths = [NetworkPath::open().await, NetworkPath::open().await];
     let settings = paths.each_ref().map(
         |path| json!({"peer_address": path.vm_address, "advertised_peer_address": path.address}),
     );
@@ -314,7 +314,7 @@
     config["services"][0]["endpoints"][0]["slots"] = json!(LOOKUPS);
     let fleet = TwoVmFleet::start_with_config(config, settings).await;
     let (owner, entry) = fleet.owner("slot-search").await;
-    let lookup = || client::with(client::get("/slots"), header::DEADLINE_MS, "3000");
+    let lookup = || client::with_header(client::get("/slots"), header::DEADLINE_MS, "3000");
     let address = fleet.vms[entry].caller_address;
     let answers: Vec<_> =
         (0..LOOKUPS).map(|_| tokio::spawn(client::send(address, lookup()))).collect();
@@ -324,7 +324,7 @@
     paths[owner].cut();
     for answer in answers {
         let answer = answer.await.unwrap().unwrap();
-        assert_eq!(client::field(&answer, header::OUTCOME), Some("unknown"), "{answer:?}");
+        assert_eq!(client::header_text(&answer, header::OUTCOME), Some("unknown"), "{answer:?}");
     }
     release.send_replace(true);
 }
@@ -339,9 +339,9 @@
             .await;
     let (owner, entry) = fleet.owner("booking").await;
     let refused = fleet.send(entry, booking_request()).await.unwrap();
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
-    assert_eq!(client::field(&refused, header::REASON), Some("no-endpoint"));
-    let id = client::field(&refused, header::REQUEST_ID).unwrap();
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
+    assert_eq!(client::header_text(&refused, header::REASON), Some("no-endpoint"));
+    let id = client::header_text(&refused, header::REQUEST_ID).unwrap();
     let refusal = ["event=refused".to_owned(), format!(" request={id} ")];
     let decided_by = format!(" decided_by={} ", VMS[owner]);
     let [event, request] = refusal.each_ref().map(String::as_str);
@@ -359,12 +359,12 @@
     let fleet = TwoVmFleet::start(&search, &booking).await;
     let (owner, entry) = fleet.owner("booking").await;
     fleet.vms[owner].signal("STOP").await;
-    let late = client::with(booking_request(), header::DEADLINE_MS, "400");
+    let late = client::with_header(booking_request(), header::DEADLINE_MS, "400");
     let late = tokio::spawn(client::send(fleet.vms[entry].caller_address, late));
     tokio::time::sleep(std::time::Duration::from_millis(800)).await;
     fleet.vms[owner].signal("CONT").await;
     let refused = late.await.unwrap().unwrap();
-    assert!(client::field(&refused, header::OUTCOME).is_some(), "{refused:?}");
+    assert!(client::header_text(&refused, header::OUTCOME).is_some(), "{refused:?}");
     // An answer to a later booking shows that the owner has read the late one.
     let address = fleet.vms[owner].caller_address;
     assert_eq!(client::send(address, booking_request()).await.unwrap().body(), "booked");
@@ -378,7 +378,7 @@
 async fn the_state_of_a_shard_served_for_its_owner_is_dropped_when_unused() {
     let search = Endpoint::answering("free slots").await;
     let booking = Endpoint::answering("booked").await;
-    let paths = [Path::open().await, Path::open().await];
+    let paths = [NetworkPath::open().await, NetworkPath::open().await];
     let settings = paths.each_ref().map(|path| {
         json!({"peer_address": path.vm_address, "advertised_peer_address": path.address,
                "limits": {"careful_idle_ms": 2_000}})
@@ -388,7 +388,7 @@
     paths[owner].cut();
     let found = fleet.send(entry, client::get("/slots")).await.unwrap();
     assert_eq!(found.body(), "free slots");
-    assert_eq!(client::field(&found, header::OWNER), Some(VMS[entry]));
+    assert_eq!(client::header_text(&found, header::OWNER), Some(VMS[entry]));
     let serves_for_owner = |endpoints: &Value| {
         let endpoints = endpoints.as_array().unwrap();
         endpoints.iter().any(|one| one["service"] == "slot-search" && one["mode"] == "careful")
@@ -410,7 +410,7 @@
         response
     })
     .await;
-    let paths = [Path::open().await, Path::open().await];
+    let paths = [NetworkPath::open().await, NetworkPath::open().await];
     let settings = paths.each_ref().map(
         |path| json!({"peer_address": path.vm_address, "advertised_peer_address": path.address}),
     );
--- a/crates/pistachiotrackd/tests/gzip.rs
+++ b/crates/pistachiotrackd/tests/gzip.rs
@@ -74,7 +74,7 @@
     platform.publish_config(config(2, &[search.address], &[]));
     testenv::client::wait_for(admin, "/status", in_force(2)).await;
 
-    platform.set_coding(Coding::Bomb);
+    platform.set_coding(Coding::GzipBomb);
     platform.publish_config(config(3, &[search.address], &[]));
     // Reads are counted as they are sent; the second one follows the bomb.
     let sent = platform.reads();
--- a/crates/pistachiotrackd/tests/life_cycle.rs
+++ b/crates/pistachiotrackd/tests/life_cycle.rs
@@ -55,8 +55,8 @@
     let platform = Platform::start().await;
     let daemon = Daemon::start(settings("vm-01", platform.address, json!({}))).await.unwrap();
     let refused = client::send(daemon.caller_address(), client::get("/slots")).await.unwrap();
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
-    assert_eq!(client::field(&refused, header::REASON), Some("no-config"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
+    assert_eq!(client::header_text(&refused, header::REASON), Some("no-config"));
 }
 
 /// All VMs restart, and a caller that knows them asks one before it has read the
--- a/crates/pistachiotrackd/tests/limits.rs
+++ b/crates/pistachiotrackd/tests/limits.rs
@@ -39,8 +39,9 @@
 async fn too_many_headers_are_refused() {
     let deployment = Deployment::start_with_limits(&[], &[], json!({"header_count": 8})).await;
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    let request =
-        names.iter().fold(client::get("/slots"), |request, name| client::with(request, name, "1"));
+    let request = names
+        .iter()
+        .fold(client::get("/slots"), |request, name| client::with_header(request, name, "1"));
     let answer = client::send(deployment.address(), request).await.unwrap();
     assert_eq!(answer.status(), StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
 }
@@ -53,7 +54,7 @@
     let request = client::request(Method::POST, "/bookings", "eleven byte");
     let answer = client::send(deployment.address(), request).await.unwrap();
     assert_eq!(answer.status(), StatusCode::PAYLOAD_TOO_LARGE);
-    assert_eq!(client::field(&answer, header::OUTCOME), Some("not-run"));
+    assert_eq!(client::header_text(&answer, header::OUTCOME), Some("not-run"));
     assert!(booking.received().is_empty());
 }
 
@@ -84,13 +85,13 @@
     for (name, value) in
         [("connection", "x-secret"), ("x-secret", "1"), ("te", "trailers"), ("x-asked", "kept")]
     {
-        request = client::with(request, name, value);
+        request = client::with_header(request, name, value);
     }
-    request = client::with(request, header::HOP, "vm-99");
+    request = client::with_header(request, header::HOP, "vm-99");
     let answer = client::send(deployment.address(), request).await.unwrap();
-    assert_eq!(client::field(&answer, "x-answer"), Some("kept"));
-    assert_eq!(client::field(&answer, "keep-alive"), None);
-    assert_eq!(client::field(&answer, header::OUTCOME), None);
+    assert_eq!(client::header_text(&answer, "x-answer"), Some("kept"));
+    assert_eq!(client::header_text(&answer, "keep-alive"), None);
+    assert_eq!(client::header_text(&answer, header::OUTCOME), None);
     let received = search.received();
     let fields = received[0].headers();
     assert_eq!(fields["x-asked"], "kept");
@@ -106,7 +107,7 @@
     request.headers_mut().remove(header::CUSTOMER);
     let answer = client::send(deployment.address(), request).await.unwrap();
     assert_eq!(answer.status(), StatusCode::BAD_REQUEST);
-    assert_eq!(client::field(&answer, header::OUTCOME), Some("not-run"));
+    assert_eq!(client::header_text(&answer, header::OUTCOME), Some("not-run"));
 }
 
 /// An endpoint's slot is lost for good. A caller asks for a large answer and
--- a/crates/pistachiotrackd/tests/process.rs
+++ b/crates/pistachiotrackd/tests/process.rs
@@ -17,8 +17,8 @@
 use testenv::{
     Deployment, client, config,
     endpoint::Endpoint,
-    fleet::{Vm, agrees, bounded, listed, owns, publish_list, wait_until},
-    host::{free_address, own_host},
+    fleet::{Vm, bounded, has_converged, owns, publish_vm_list, vm_list_entry, wait_until},
+    host::{free_address, unique_loopback_host},
     platform::Platform,
 };
 use tokio::sync::watch;
@@ -37,7 +37,7 @@
 impl Process {
     fn start(test: &str, platform: SocketAddr) -> Process {
         let [caller, peer, admin] = {
-            let host = own_host();
+            let host = unique_loopback_host();
             [host; 3].map(free_address)
         };
         let settings = json!({
@@ -184,12 +184,12 @@
         let admin = deployment.daemon.admin_address();
         let mut kept = client::Connection::open(deployment.address()).await;
         let answer = kept.send(client::get("/slots")).await.unwrap();
-        assert_eq!(client::field(&answer, "connection"), None);
+        assert_eq!(client::header_text(&answer, "connection"), None);
         let leaving = deployment.daemon.leave();
         client::wait_for(admin, "/status", |status| status["state"] == "leaving").await;
         let answer = kept.send(client::get("/slots")).await.unwrap();
         assert_eq!(answer.body(), "free slots");
-        assert_eq!(client::field(&answer, "connection"), Some("close"));
+        assert_eq!(client::header_text(&answer, "connection"), Some("close"));
         drop(leaving);
     })
     .await;
@@ -216,7 +216,7 @@
             running.push(tokio::spawn(client::send(process.caller, booking(body))));
         }
         wait_until(|| async { run_bookings(&endpoint).len() == 2 }).await;
-        let waiting = client::with(booking("late"), header::DEADLINE_MS, "1000");
+        let waiting = client::with_header(booking("late"), header::DEADLINE_MS, "1000");
         let waiting = tokio::spawn(client::send(process.caller, waiting));
         client::wait_for(process.admin, "/status", |status| {
             testenv::fleet::counter(status, "requests") == 3
@@ -228,8 +228,8 @@
         wait_until_taken(&others).await;
         process.signal("-CONT");
         let late = waiting.await.unwrap().unwrap();
-        assert_eq!(client::field(&late, header::OUTCOME), Some("not-run"), "{late:?}");
-        wait_until(|| agrees(&admins)).await;
+        assert_eq!(client::header_text(&late, header::OUTCOME), Some("not-run"), "{late:?}");
+        wait_until(|| has_converged(&admins)).await;
         assert!(!run_bookings(&endpoint).contains(&Bytes::from("late")));
         for running in running {
             running.abort();
@@ -255,7 +255,7 @@
         wait_until_taken(&others).await;
         process.signal("-CONT");
         let admins = [process.admin, others[0].admin, others[1].admin];
-        wait_until(|| agrees(&admins)).await;
+        wait_until(|| has_converged(&admins)).await;
         // Lines are written by a thread of their own.
         wait_until(|| async { process.has_logged("event=shard_lost shard=booking/0") }).await;
     })
@@ -267,12 +267,16 @@
 async fn owning_with_others(process: &Process, platform: &Platform) -> [Vm; 2] {
     let others =
         [Vm::start("vm-01", platform.address).await, Vm::start("vm-02", platform.address).await];
-    let process_line = listed("vm-09", process.peer, process.caller);
-    publish_list(platform, 2, &[process_line, others[0].listed(), others[1].listed()]);
+    let process_line = vm_list_entry("vm-09", process.peer, process.caller);
+    publish_vm_list(
+        platform,
+        2,
+        &[process_line, others[0].vm_list_entry(), others[1].vm_list_entry()],
+    );
     let admins = [process.admin, others[0].admin, others[1].admin];
     // The process's name wins the shard by its hash once it has settled.
     client::wait_for(process.admin, "/status", |status| owns(status, BOOKING_SHARD)).await;
-    wait_until(|| agrees(&admins)).await;
+    wait_until(|| has_converged(&admins)).await;
     // Between VMs that are all new a shard goes back at once, so that nothing is
     // to be given up; answers live for their full time when they have settled.
     for caller in [process.caller, others[0].caller, others[1].caller] {
--- a/crates/pistachiotrackd/tests/quarantine.rs
+++ b/crates/pistachiotrackd/tests/quarantine.rs
@@ -9,9 +9,9 @@
 use serde_json::json;
 use testenv::{
     client,
-    crashing::{CRASHING, Runs, WORK, start_endpoints, start_mending},
+    crashing::{CRASHING_PATH, Runs, WORK_TIME, start_endpoints, start_endpoints_crashing_until},
     endpoint::{Endpoint, read_head},
-    fleet::{Vm, bounded, repeat, start_dispatchers},
+    fleet::{Vm, bounded, send_periodically, start_dispatchers},
 };
 
 const VMS: usize = 3;
@@ -35,10 +35,12 @@
         let endpoints = start_endpoints(ENDPOINTS, &runs).await;
         let (_platform, vms) = start_dispatchers(VMS, &endpoints).await;
         let until = Instant::now() + PROPAGATION_TIME + Duration::from_secs(4);
-        let (_, others) =
-            tokio::join!(repeat(&vms, CRASHING, until), repeat(&vms, "/slots/other", until));
+        let (_, others) = tokio::join!(
+            send_periodically(&vms, CRASHING_PATH, until),
+            send_periodically(&vms, "/slots/other", until)
+        );
         let runs = runs.lock().unwrap().clone();
-        let propagated_at = runs[CRASHES_TO_QUARANTINE - 1] + WORK + PROPAGATION_TIME;
+        let propagated_at = runs[CRASHES_TO_QUARANTINE - 1] + WORK_TIME + PROPAGATION_TIME;
         let later = runs.iter().filter(|run| **run > propagated_at).count();
         assert!(later <= MAX_LATER_RUNS, "sent {later} times more, {} in all", runs.len());
         let failed = others.iter().filter(|(sent, status)| *sent > propagated_at && *status != 200);
@@ -58,7 +60,7 @@
             endpoints.push(resetting.await.address);
         }
         let (_platform, vms) = start_dispatchers(VMS, &endpoints).await;
-        repeat(&vms, "/slots/other", Instant::now() + Duration::from_secs(2)).await;
+        send_periodically(&vms, "/slots/other", Instant::now() + Duration::from_secs(2)).await;
         for vm in &vms {
             assert_eq!(quarantine_records(vm).await, json!([]));
         }
@@ -70,10 +72,13 @@
 async fn a_request_that_no_longer_crashes_endpoints_is_served_again() {
     bounded(async {
         let runs = Runs::default();
-        let endpoints = start_mending(CRASHES_TO_QUARANTINE, &runs, CRASHES_TO_QUARANTINE).await;
+        let endpoints =
+            start_endpoints_crashing_until(CRASHES_TO_QUARANTINE, &runs, CRASHES_TO_QUARANTINE)
+                .await;
         let (_platform, vms) = start_dispatchers(VMS, &endpoints).await;
         let trial = Duration::from_millis(QuarantineSettings::default().first_trial_ms);
-        let answers = repeat(&vms, CRASHING, Instant::now() + trial + PROPAGATION_TIME).await;
+        let answers =
+            send_periodically(&vms, CRASHING_PATH, Instant::now() + trial + PROPAGATION_TIME).await;
         let refused = answers.iter().filter(|(_, status)| *status == 503).count();
         let (_, last) = answers.iter().max().unwrap();
         assert!(refused > 0 && *last == 200, "{refused} refused, last answer {last}");
@@ -86,9 +91,9 @@
 
 /// Sends a request with the VM's address as its host; returns the reason if it is refused.
 async fn refusal_reason(vm: &Vm, path: &str) -> Option<String> {
-    let request = client::with(client::get(path), HOST.as_str(), &vm.caller.to_string());
+    let request = client::with_header(client::get(path), HOST.as_str(), &vm.caller.to_string());
     let answer = client::send(vm.caller, request).await.ok()?;
-    client::field(&answer, header::REASON).map(str::to_owned)
+    client::header_text(&answer, header::REASON).map(str::to_owned)
 }
 
 #[tokio::test]
@@ -98,10 +103,10 @@
         let endpoints = start_endpoints(ENDPOINTS, &runs).await;
         let (_platform, vms) = start_dispatchers(VMS, &endpoints).await;
         let held = Some(Reason::CrashesEndpoints.as_str().to_owned());
-        while refusal_reason(&vms[0], CRASHING).await != held {}
+        while refusal_reason(&vms[0], CRASHING_PATH).await != held {}
         tokio::time::sleep(PROPAGATION_TIME).await;
         for vm in &vms {
-            assert_eq!(refusal_reason(vm, CRASHING).await, held, "at {}", vm.name);
+            assert_eq!(refusal_reason(vm, CRASHING_PATH).await, held, "at {}", vm.name);
         }
     })
     .await;
--- a/crates/pistachiotrackd/tests/rate_limit.rs
+++ b/crates/pistachiotrackd/tests/rate_limit.rs
@@ -12,7 +12,7 @@
 use pistachiotrack_core::header;
 use testenv::{
     endpoint::Endpoint,
-    fleet::{bounded, repeat, start_dispatchers},
+    fleet::{bounded, send_periodically, start_dispatchers},
 };
 
 /// Requests per second that the endpoint accepts from all VMs together.
@@ -63,7 +63,7 @@
         let addresses = endpoints.each_ref().map(|endpoint| endpoint.address);
         let (_platform, vms) = start_dispatchers(3, &addresses).await;
         let until = Instant::now() + PROPAGATION_TIME + WINDOW * 2;
-        let answers = repeat(&vms, "/slots/free", until).await;
+        let answers = send_periodically(&vms, "/slots/free", until).await;
         let limited = limited.lock().unwrap().clone();
         let highest_count = busiest_window(&limited, limited[0] + PROPAGATION_TIME);
         let allowed = LIMIT_PER_SECOND * WINDOW.as_secs_f64() * TOLERANCE.0 + TOLERANCE.1;
--- a/crates/pistachiotrackd/tests/refusals.rs
+++ b/crates/pistachiotrackd/tests/refusals.rs
@@ -14,9 +14,9 @@
 use serde_json::{Value, json};
 use testenv::{
     client, config,
-    crashing::{CRASHING, Runs, start_endpoints},
+    crashing::{CRASHING_PATH, Runs, start_endpoints},
     endpoint::{Endpoint, read_head},
-    fleet::absent_platform,
+    fleet::unavailable_platform,
     platform::Platform,
     process::DaemonProcess,
 };
@@ -27,7 +27,7 @@
 
 const VM: &str = "vm-01";
 /// Time that an endpoint takes to answer a lookup.
-const WORK: Duration = Duration::from_millis(200);
+const WORK_TIME: Duration = Duration::from_millis(200);
 
 /// A daemon that refused a request, and its answer.
 struct Refusal {
@@ -41,7 +41,7 @@
 }
 
 fn lookup_request(deadline_ms: &str) -> Request<Full<Bytes>> {
-    client::with(client::get("/slots"), header::DEADLINE_MS, deadline_ms)
+    client::with_header(client::get("/slots"), header::DEADLINE_MS, deadline_ms)
 }
 
 async fn start(config: Value) -> (Platform, DaemonProcess) {
@@ -71,7 +71,7 @@
             *count += 1;
         });
         async move {
-            tokio::time::sleep(WORK).await;
+            tokio::time::sleep(WORK_TIME).await;
             if number >= first {
                 released.wait_for(|released| *released).await.unwrap();
             }
@@ -120,7 +120,7 @@
 
 async fn refuse_without_config() -> Refusal {
     let limits = json!({"limits": {"first_config_wait_ms": 0}});
-    let vm = DaemonProcess::start_with(VM, absent_platform().await, limits).await;
+    let vm = DaemonProcess::start_with(VM, unavailable_platform().await, limits).await;
     let answer = client::send(vm.caller_address, client::get("/slots")).await.unwrap();
     Refusal { vm, answer, _platform: None }
 }
@@ -136,7 +136,7 @@
 async fn refuse_duplicate() -> Refusal {
     let booking = closing_endpoint().await;
     let (platform, vm) = start(config(1, &[], &[booking.address])).await;
-    let keyed = || client::with(booking_request(), header::IDEMPOTENCY_KEY, "booking-7");
+    let keyed = || client::with_header(booking_request(), header::IDEMPOTENCY_KEY, "booking-7");
     client::send(vm.caller_address, keyed()).await.unwrap();
     let answer = client::send(vm.caller_address, keyed()).await.unwrap();
     Refusal { vm, answer, _platform: Some(platform) }
@@ -145,7 +145,7 @@
 async fn refuse_after_pause() -> Refusal {
     let (platform, vm) = start(config(1, &[], &[])).await;
     vm.signal("STOP").await;
-    let late = client::with(booking_request(), header::DEADLINE_MS, "300");
+    let late = client::with_header(booking_request(), header::DEADLINE_MS, "300");
     let late = tokio::spawn(client::send(vm.caller_address, late));
     tokio::time::sleep(Duration::from_secs(1)).await;
     vm.signal("CONT").await;
@@ -159,8 +159,8 @@
     let (platform, vm) = start(config(1, &search, &[])).await;
     let start = Instant::now();
     loop {
-        let answer = client::send(vm.caller_address, client::get(CRASHING)).await.unwrap();
-        let reason = client::field(&answer, header::REASON);
+        let answer = client::send(vm.caller_address, client::get(CRASHING_PATH)).await.unwrap();
+        let reason = client::header_text(&answer, header::REASON);
         let is_quarantined = reason == Some(Reason::CrashesEndpoints.as_str());
         if is_quarantined || start.elapsed() > client::HANG_LIMIT {
             return Refusal { vm, answer, _platform: Some(platform) };
@@ -184,7 +184,7 @@
             refuse_with(config(1, &[], &[booking.address]), booking_request()).await
         }
         Reason::NoRecord => {
-            let repeat = client::with(booking_request(), header::REPEAT, "true");
+            let repeat = client::with_header(booking_request(), header::REPEAT, "true");
             refuse_with(config(1, &[], &[]), repeat).await
         }
         Reason::Duplicate => refuse_duplicate().await,
@@ -206,9 +206,13 @@
     }
     while let Some(refusal) = refusals.join_next().await {
         let (reason, Refusal { vm, answer, .. }) = refusal.unwrap();
-        assert_eq!(client::field(&answer, header::REASON), Some(reason.as_str()), "{answer:?}");
-        let id = client::field(&answer, header::REQUEST_ID).unwrap();
-        let execution = client::field(&answer, header::OUTCOME).unwrap();
+        assert_eq!(
+            client::header_text(&answer, header::REASON),
+            Some(reason.as_str()),
+            "{answer:?}"
+        );
+        let id = client::header_text(&answer, header::REQUEST_ID).unwrap();
+        let execution = client::header_text(&answer, header::OUTCOME).unwrap();
         let parts = [
             "event=refused".to_owned(),
             format!(" request={id} "),
@@ -228,7 +232,7 @@
     let booking = closing_endpoint().await;
     let config = config(1, &[], &[booking.address]);
     let Refusal { vm, answer, .. } = refuse_with(config, booking_request()).await;
-    let id = client::field(&answer, header::REQUEST_ID).unwrap();
+    let id = client::header_text(&answer, header::REQUEST_ID).unwrap();
     vm.wait_for_line(&["event=refused", &format!(" request={id} "), " sent=booking-0/unknown/"])
         .await;
 }
--- a/crates/pistachiotrackd/tests/repeat.rs
+++ b/crates/pistachiotrackd/tests/repeat.rs
@@ -22,8 +22,8 @@
 
 fn keyed_booking(repeat: bool) -> Request<Full<Bytes>> {
     let request = client::request(Method::POST, "/bookings", "slot 7");
-    let request = client::with(request, header::IDEMPOTENCY_KEY, "clerk-4-slot-7");
-    if repeat { client::with(request, header::REPEAT, "true") } else { request }
+    let request = client::with_header(request, header::IDEMPOTENCY_KEY, "clerk-4-slot-7");
+    if repeat { client::with_header(request, header::REPEAT, "true") } else { request }
 }
 
 /// Guards against a booking that runs twice. The caller lost the first answer and sends the
@@ -150,7 +150,7 @@
         assert_eq!(lookups.1.await.unwrap().unwrap().body(), "free");
     }
     silence.send_replace(true);
-    let late = client::with(client::get("/slots"), header::DEADLINE_MS, "200");
+    let late = client::with_header(client::get("/slots"), header::DEADLINE_MS, "200");
     client::send(deployment.address(), late).await.unwrap();
     search.wait_closed(2).await;
     assert_eq!(lookup().await.unwrap().unwrap().body(), "free");
@@ -177,7 +177,7 @@
     let running: Vec<_> =
         (0..2).map(|_| tokio::spawn(client::send(vm.caller_address, booking_request()))).collect();
     booking.wait_received(2).await;
-    let late = client::with(booking_request(), header::DEADLINE_MS, "300");
+    let late = client::with_header(booking_request(), header::DEADLINE_MS, "300");
     let waiting = tokio::spawn(client::send(vm.caller_address, late));
     client::wait_for(vm.admin_address, "/status", |status| {
         let counters = status["counters"].as_array().unwrap();
@@ -189,7 +189,7 @@
     release.send_replace(true);
     vm.signal("CONT").await;
     let refused = waiting.await.unwrap().unwrap();
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
     for answer in running {
         assert_eq!(answer.await.unwrap().unwrap().body(), "booked");
     }
@@ -208,7 +208,7 @@
     client::wait_until_serving(vm.admin_address).await;
     let booking_request = |deadline_ms| {
         let request = client::request(Method::POST, "/bookings", "slot 7");
-        client::with(request, header::DEADLINE_MS, deadline_ms)
+        client::with_header(request, header::DEADLINE_MS, deadline_ms)
     };
     let mut pooled = client::Connection::open(vm.caller_address).await;
     assert_eq!(pooled.send(booking_request("20000")).await.unwrap().body(), "booked");
@@ -222,8 +222,8 @@
     vm.signal("CONT").await;
     for late in [late, late_on_pooled] {
         let refused = late.await.unwrap().unwrap();
-        assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
-        assert_eq!(client::field(&refused, header::REASON), Some("paused"));
+        assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
+        assert_eq!(client::header_text(&refused, header::REASON), Some("paused"));
     }
     assert_eq!(in_time.await.unwrap().unwrap().body(), "booked");
     assert_eq!(booking.received().len(), 2);
--- a/crates/pistachiotrackd/tests/serve.rs
+++ b/crates/pistachiotrackd/tests/serve.rs
@@ -15,9 +15,9 @@
     let found = client::send(deployment.address(), client::get("/slots?day=3")).await.unwrap();
     assert_eq!(found.status(), 200);
     assert_eq!(found.body(), "free slots");
-    assert_eq!(client::field(&found, header::ENDPOINT), Some("slot-search-0"));
-    assert_eq!(client::field(&found, header::OWNER), Some("vm-01"));
-    assert_eq!(client::field(&found, header::OUTCOME), None);
+    assert_eq!(client::header_text(&found, header::ENDPOINT), Some("slot-search-0"));
+    assert_eq!(client::header_text(&found, header::OWNER), Some("vm-01"));
+    assert_eq!(client::header_text(&found, header::OUTCOME), None);
 
     let request = client::request(Method::POST, "/bookings", "slot 7");
     let booked = client::send(deployment.address(), request).await.unwrap();
@@ -51,9 +51,9 @@
     let deployment = Deployment::start(&[search.address], &[]).await;
     let refused = client::send(deployment.address(), client::get("/closed")).await.unwrap();
     assert_eq!(refused.status(), 403);
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
-    assert_eq!(client::field(&refused, header::REASON), Some("rule"));
-    assert_eq!(client::field(&refused, header::RETRY_AFTER_MS), Some("250"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
+    assert_eq!(client::header_text(&refused, header::REASON), Some("rule"));
+    assert_eq!(client::header_text(&refused, header::RETRY_AFTER_MS), Some("250"));
     assert!(search.received().is_empty());
 }
 
--- a/crates/pistachiotrackd/tests/standbys.rs
+++ b/crates/pistachiotrackd/tests/standbys.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use testenv::{
     client, config,
-    fleet::{Vm, agrees, bounded, publish_list, wait_until},
+    fleet::{Vm, bounded, has_converged, publish_vm_list, wait_until},
     platform::{Platform, PlatformFault},
     settings,
 };
@@ -42,17 +42,17 @@
             vms.push(start(index, &platform).await);
             platforms.push(platform);
         }
-        let lines: Vec<_> = vms.iter().map(Vm::listed).collect();
-        platforms.iter().for_each(|platform| publish_list(platform, 2, &lines));
+        let lines: Vec<_> = vms.iter().map(Vm::vm_list_entry).collect();
+        platforms.iter().for_each(|platform| publish_vm_list(platform, 2, &lines));
         let admins: Vec<_> = vms.iter().map(|vm| vm.admin).collect();
-        wait_until(|| agrees(&admins)).await;
+        wait_until(|| has_converged(&admins)).await;
         let mut watching = watched(&platforms).await;
         while watching.iter().filter(|is_watched| **is_watched).count() != 2 {
             watching = watched(&platforms).await;
         }
         for (platform, is_watched) in platforms.iter().zip(watching) {
             match is_watched {
-                true => platform.set_fault(PlatformFault::Away),
+                true => platform.set_fault(PlatformFault::Unavailable),
                 false => platform.publish_config(config(2, &[], &[])),
             }
         }
--- a/crates/pistachiotrackd/tests/testenv/client.rs
+++ b/crates/pistachiotrackd/tests/testenv/client.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! An HTTP client as callers use it.
 
 use std::{
     net::SocketAddr,
@@ -31,13 +31,13 @@
         .unwrap()
 }
 
-/// Returns a lookup of the tests' customer.
+/// Returns a GET request of the tests' customer.
 pub(crate) fn get(path: &str) -> Request<Full<Bytes>> {
     request(Method::GET, path, "")
 }
 
 /// Returns a request with one more header.
-pub(crate) fn with(
+pub(crate) fn with_header(
     mut request: Request<Full<Bytes>>,
     name: &'static str,
     value: &str,
@@ -46,7 +46,7 @@
     request
 }
 
-/// A connection of a caller.
+/// A caller's connection.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
@@ -63,7 +63,7 @@
         Connection { sender, driver }
     }
 
-    /// Sends a request and returns the answer when it has begun.
+    /// Sends a request and returns the answer once its head has arrived.
     pub(crate) async fn begin(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -72,7 +72,7 @@
             self.sender.ready().await?;
             self.sender.send_request(request).await
         };
-        tokio::time::timeout(HANG_LIMIT, answer).await.expect("an answer begins")
+        tokio::time::timeout(HANG_LIMIT, answer).await.expect("an answer should begin in time")
     }
 
     /// Sends a request and returns the whole answer.
@@ -83,7 +83,7 @@
         whole(self.begin(request).await?).await
     }
 
-    /// Breaks the connection off.
+    /// Closes the connection without waiting for requests in flight.
     pub(crate) fn abort(self) {
         self.driver.abort();
     }
@@ -92,12 +92,13 @@
 /// Reads the rest of an answer.
 pub(crate) async fn whole(response: Response<Incoming>) -> hyper::Result<Response<Bytes>> {
     let (parts, body) = response.into_parts();
-    let body = tokio::time::timeout(HANG_LIMIT, body.collect()).await.expect("a body ends");
+    let body =
+        tokio::time::timeout(HANG_LIMIT, body.collect()).await.expect("a body should end in time");
     let body = body?.to_bytes();
     Ok(Response::from_parts(parts, body))
 }
 
-/// Sends a request on a connection of its own and returns the whole answer.
+/// Sends a request on a new connection and returns the whole answer.
 pub(crate) async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -105,25 +106,25 @@
     Connection::open(address).await.send(request).await
 }
 
-/// Returns a header of an answer as text.
-pub(crate) fn field<'a>(response: &'a Response<Bytes>, name: &str) -> Option<&'a str> {
+/// Returns the value of a header of an answer.
+pub(crate) fn header_text<'a>(response: &'a Response<Bytes>, name: &str) -> Option<&'a str> {
     response.headers().get(name).map(|value| value.to_str().unwrap())
 }
 
-/// Returns what the admin port answers to `path`.
+/// Returns the admin port's JSON answer to `path`.
 pub(crate) async fn admin(address: SocketAddr, path: &str) -> Value {
     let response = send(address, get(path)).await.unwrap();
     serde_json::from_slice(response.body()).unwrap()
 }
 
-/// Time between two looks at a condition.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time after which a condition that does not come true fails the test instead
-/// of holding it up for good.
+/// Time after which a condition that isn't met fails the test, so that the test
+/// can't hang.
 pub(crate) const HANG_LIMIT: Duration = Duration::from_secs(20);
 
-/// Waits until what the admin port answers to `path` fulfils `condition`.
+/// Waits until the admin port's answer to `path` meets `condition`.
 pub(crate) async fn wait_for(address: SocketAddr, path: &str, condition: impl Fn(&Value) -> bool) {
     let start = Instant::now();
     loop {
@@ -131,8 +132,8 @@
         if condition(&value) {
             return;
         }
-        assert!(start.elapsed() < HANG_LIMIT, "{path} stays at {value}");
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        assert!(start.elapsed() < HANG_LIMIT, "{path} still answers {value}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/pistachiotrackd/tests/testenv/crashing.rs
+++ b/crates/pistachiotrackd/tests/testenv/crashing.rs
@@ -1,4 +1,4 @@
-//! Fakes of endpoints that crash under one request, and take no connections for a while.
+//! Fake endpoints that crash when they run one request, and then refuse connections for a while.
 
 use std::{
     net::SocketAddr,
@@ -15,23 +15,23 @@
 
 use super::endpoint::read_request_line;
 
-/// Request under which endpoints crash.
-pub(crate) const CRASHING: &str = "/slots/crash";
-/// Time for which an endpoint works on a request, or until it crashes.
-pub(crate) const WORK: Duration = Duration::from_millis(20);
-/// Time until a crashed endpoint takes connections again.
-const DOWN: Duration = Duration::from_millis(700);
+/// Path of the request that crashes endpoints.
+pub(crate) const CRASHING_PATH: &str = "/slots/crash";
+/// Time from the arrival of a request until the endpoint answers or crashes.
+pub(crate) const WORK_TIME: Duration = Duration::from_millis(20);
+/// Time until a crashed endpoint accepts connections again.
+const DOWNTIME: Duration = Duration::from_millis(700);
 
-/// Moments at which endpoints began to run the request under which they crash.
+/// Times at which endpoints began to run the request that crashes them.
 pub(crate) type Runs = Arc<Mutex<Vec<Instant>>>;
 
-/// Starts endpoints that crash under [`CRASHING`] and answer all else.
+/// Starts endpoints that crash when they run [`CRASHING_PATH`] and answer all other requests.
 pub(crate) async fn start_endpoints(count: usize, runs: &Runs) -> Vec<SocketAddr> {
-    start_mending(count, runs, usize::MAX).await
+    start_endpoints_crashing_until(count, runs, usize::MAX).await
 }
 
-/// Starts endpoints that crash under [`CRASHING`] until there were so many `runs`.
-pub(crate) async fn start_mending(
+/// Starts endpoints that crash when they run [`CRASHING_PATH`], for the first `crashing_runs` runs.
+pub(crate) async fn start_endpoints_crashing_until(
     count: usize,
     runs: &Runs,
     crashing_runs: usize,
@@ -49,7 +49,7 @@
     tokio::spawn(async move {
         loop {
             serve_until_crash(listener, &runs, crashing_runs).await;
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(DOWNTIME).await;
             listener = TcpListener::bind(address).await.unwrap();
         }
     });
@@ -73,12 +73,12 @@
 
 async fn serve(mut stream: TcpStream, runs: Runs, crashing_runs: usize, crash: Arc<Notify>) {
     while let Some(line) = read_request_line(&mut stream).await {
-        let crashes = line.contains(CRASHING) && {
+        let crashes = line.contains(CRASHING_PATH) && {
             let mut runs = runs.lock().unwrap();
             runs.push(Instant::now());
             runs.len() <= crashing_runs
         };
-        tokio::time::sleep(WORK).await;
+        tokio::time::sleep(WORK_TIME).await;
         if crashes {
             crash.notify_one();
             return std::future::pending().await;
--- a/crates/pistachiotrackd/tests/testenv/endpoint.rs
+++ b/crates/pistachiotrackd/tests/testenv/endpoint.rs
@@ -1,4 +1,4 @@
-//! Fakes of endpoints: well-behaved ones over HTTP and sick ones over raw TCP.
+//! Fake endpoints: correct ones over HTTP and faulty ones over raw TCP.
 
 use std::{
     convert::Infallible,
@@ -22,12 +22,12 @@
 
 use super::client::HANG_LIMIT;
 
-/// A request as an endpoint received it, with its whole body.
+/// A request that an endpoint received, with its whole body.
 pub(crate) type Received = Request<Bytes>;
 
 /// A fake endpoint.
 pub(crate) struct Endpoint {
-    /// Address that it serves on.
+    /// Address that the endpoint listens on.
     pub(crate) address: SocketAddr,
     received: Arc<Mutex<Vec<Received>>>,
     connections: Arc<AtomicU32>,
@@ -66,7 +66,7 @@
         endpoint
     }
 
-    /// Starts an endpoint that does `behaviour` with every connection.
+    /// Starts an endpoint that calls `behaviour` with every connection.
     pub(crate) async fn serve<B, F>(behaviour: B) -> Endpoint
     where
         B: Fn(TcpStream) -> F + Send + 'static,
@@ -102,7 +102,7 @@
         let start = std::time::Instant::now();
         while self.received().len() < count {
             let received = self.received().len();
-            assert!(start.elapsed() < HANG_LIMIT, "{received} of {count} requests came");
+            assert!(start.elapsed() < HANG_LIMIT, "only {received} of {count} requests arrived");
             tokio::task::yield_now().await;
         }
     }
@@ -116,7 +116,10 @@
     pub(crate) async fn wait_closed(&self, count: u32) {
         let mut closed = self.closed.clone();
         let wait = closed.wait_for(|closed| *closed >= count);
-        tokio::time::timeout(HANG_LIMIT, wait).await.expect("a connection ends").unwrap();
+        tokio::time::timeout(HANG_LIMIT, wait)
+            .await
+            .expect("a connection should end in time")
+            .unwrap();
     }
 }
 
@@ -136,12 +139,12 @@
     Ok(handler(request).await)
 }
 
-/// Reads the head of a request from a raw connection; returns false at its end.
+/// Reads the head of a request from a raw connection; returns false if the connection ends.
 pub(crate) async fn read_head(stream: &mut TcpStream) -> bool {
     read_request_line(stream).await.is_some()
 }
 
-/// Reads until the other end closes.
+/// Reads until the peer closes the connection.
 pub(crate) async fn read_to_end(stream: &mut TcpStream) {
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest).await;
--- a/crates/pistachiotrackd/tests/testenv/fleet.rs
+++ b/crates/pistachiotrackd/tests/testenv/fleet.rs
@@ -1,4 +1,4 @@
-//! Several daemons in one process, each of which can be crashed.
+//! Several daemons in one process, which can be crashed independently.
 
 use std::{
     collections::BTreeMap,
@@ -17,15 +17,15 @@
 
 use super::{client, config, endpoint::Endpoint, platform::Platform, settings};
 
-/// Longest time that a whole test may take; only a hang gets near it.
+/// Time limit of a whole test; only a test that hangs reaches it.
 const TEST_LIMIT: Duration = Duration::from_secs(120);
 
-/// Runs a test and ends it when it hangs.
+/// Runs a test and fails it when it hangs.
 pub(crate) async fn bounded<T>(test: impl Future<Output = T>) -> T {
-    tokio::time::timeout(TEST_LIMIT, test).await.expect("the test hangs")
+    tokio::time::timeout(TEST_LIMIT, test).await.expect("the test should end in time")
 }
 
-/// A daemon on threads of its own, so that it can be crashed alone.
+/// A daemon on its own threads, so that it can be crashed independently.
 pub(crate) struct Vm {
     pub(crate) name: String,
     pub(crate) caller: SocketAddr,
@@ -38,17 +38,21 @@
 impl Vm {
     /// Starts a daemon that reads from `platform`.
     pub(crate) async fn start(name: &str, platform: SocketAddr) -> Vm {
-        Vm::start_in("timeliten", name, platform).await
+        Vm::start_in_deployment("timeliten", name, platform).await
     }
 
-    /// Starts a daemon of another deployment.
-    pub(crate) async fn start_in(deployment: &str, name: &str, platform: SocketAddr) -> Vm {
+    /// Starts a daemon of the given deployment.
+    pub(crate) async fn start_in_deployment(
+        deployment: &str,
+        name: &str,
+        platform: SocketAddr,
+    ) -> Vm {
         let mut settings = settings(name, platform, json!({}));
         settings.deployment = Name::from(deployment);
         Vm::start_with(settings).await
     }
 
-    /// Starts a daemon with settings of its own.
+    /// Starts a daemon with the given settings.
     pub(crate) async fn start_with(settings: Settings) -> Vm {
         let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
         let name = settings.vm.to_string();
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Has the daemon run until it stops by itself.
+    /// Runs the daemon until it stops by itself.
     pub(crate) fn run(&mut self) -> JoinHandle<()> {
         let daemon = self.daemon.take().unwrap();
         self.runtime.as_ref().unwrap().spawn(async { daemon.run_until_signal().await.unwrap() })
@@ -75,12 +79,12 @@
         self.runtime.as_ref().unwrap().spawn(daemon.stop())
     }
 
-    /// Ends the daemon at once: its sockets close and nobody is told.
+    /// Ends the daemon at once: its sockets close, and it notifies no peer.
     pub(crate) fn crash(&mut self) {
         self.runtime.take().unwrap().shutdown_background();
     }
 
-    /// Returns what the admin port shows of the daemon.
+    /// Returns the daemon's status from its admin port.
     pub(crate) async fn status(&self) -> Value {
         client::admin(self.admin, "/status").await
     }
@@ -90,12 +94,12 @@
         counter(&self.status().await, name)
     }
 
-    /// Returns the line of the platform's list for this VM.
-    pub(crate) fn listed(&self) -> Value {
-        listed(&self.name, self.peer, self.caller)
+    /// Returns this VM's entry in the platform's list of VMs.
+    pub(crate) fn vm_list_entry(&self) -> Value {
+        vm_list_entry(&self.name, self.peer, self.caller)
     }
 
-    /// Returns the addresses that the VM gives to callers of a service.
+    /// Returns the entry addresses that the VM returns to callers of a service.
     pub(crate) async fn entries(&self, service: &str) -> Vec<SocketAddr> {
         let path = format!("{}?service={service}", header::ENTRIES_PATH);
         let answer = client::admin(self.caller, &path).await;
@@ -112,17 +116,17 @@
     }
 }
 
-/// Returns a line of the platform's list.
-pub(crate) fn listed(name: &str, peer: SocketAddr, caller: SocketAddr) -> Value {
+/// Returns an entry of the platform's list of VMs.
+pub(crate) fn vm_list_entry(name: &str, peer: SocketAddr, caller: SocketAddr) -> Value {
     json!({"name": name, "data_centre": "oslo-1", "peer_address": peer, "caller_address": caller})
 }
 
 /// Publishes a list of VMs.
-pub(crate) fn publish_list(platform: &Platform, version: u64, lines: &[Value]) {
+pub(crate) fn publish_vm_list(platform: &Platform, version: u64, lines: &[Value]) {
     platform.publish_vms(json!({"version": version, "vms": lines}));
 }
 
-/// Returns a counter of a status.
+/// Returns the value of a counter in a status.
 pub(crate) fn counter(status: &Value, name: &str) -> u64 {
     let counters = status["counters"].as_array().unwrap();
     let counter = counters.iter().find(|counter| counter["name"] == name);
@@ -134,7 +138,7 @@
     status["shards"].as_array().unwrap().iter().any(|owned| owned == shard)
 }
 
-/// Waits until a condition over several VMs holds.
+/// Waits until a condition is met.
 pub(crate) async fn wait_until<F>(condition: impl Fn() -> F)
 where
     F: Future<Output = bool>,
@@ -144,9 +148,9 @@
     }
 }
 
-/// Returns whether the VMs at these admin ports all know each other and each
-/// shard has one owner among them.
-pub(crate) async fn agrees(admins: &[SocketAddr]) -> bool {
+/// Returns whether the VMs at these admin ports all list each other as alive and
+/// each shard has exactly one owner among them.
+pub(crate) async fn has_converged(admins: &[SocketAddr]) -> bool {
     let mut owners: BTreeMap<String, u32> = BTreeMap::new();
     for admin in admins {
         let status = client::admin(*admin, "/status").await;
@@ -163,7 +167,7 @@
     owners.len() == 2 && owners.values().all(|count| *count == 1)
 }
 
-/// A platform and a fleet that serves by the tests' configuration.
+/// A platform and a fleet that serves with a configuration of the tests.
 pub(crate) struct Fleet {
     pub(crate) platform: Platform,
     pub(crate) vms: Vec<Vm>,
@@ -179,16 +183,16 @@
             vms.push(Vm::start(&format!("vm-{index:02}"), platform.address).await);
         }
         let fleet = Fleet { platform, vms };
-        fleet.publish_list(2);
+        fleet.publish_vm_list(2);
         let admins = fleet.admins();
-        wait_until(|| agrees(&admins)).await;
+        wait_until(|| has_converged(&admins)).await;
         fleet
     }
 
     /// Publishes the list of the fleet's VMs.
-    pub(crate) fn publish_list(&self, version: u64) {
-        let lines: Vec<Value> = self.vms.iter().map(Vm::listed).collect();
-        publish_list(&self.platform, version, &lines);
+    pub(crate) fn publish_vm_list(&self, version: u64) {
+        let lines: Vec<Value> = self.vms.iter().map(Vm::vm_list_entry).collect();
+        publish_vm_list(&self.platform, version, &lines);
     }
 
     /// Returns the admin ports of all VMs.
@@ -196,7 +200,7 @@
         self.vms.iter().map(|vm| vm.admin).collect()
     }
 
-    /// Returns the number of the VM that owns a shard.
+    /// Returns the index of the VM that owns a shard.
     pub(crate) async fn owner(&self, shard: &str) -> usize {
         loop {
             for (index, vm) in self.vms.iter().enumerate() {
@@ -208,12 +212,12 @@
     }
 }
 
-/// Returns the address of a platform that is away: it ends each connection.
-pub(crate) async fn absent_platform() -> SocketAddr {
+/// Returns the address of an unavailable platform: it closes each connection.
+pub(crate) async fn unavailable_platform() -> SocketAddr {
     Endpoint::serve(|stream| async move { drop(stream) }).await.address
 }
 
-/// Starts VMs that dispatch for the tests' searches side by side.
+/// Starts VMs, two of which in each data centre are dispatchers of [`SEARCH`](super::SEARCH).
 pub(crate) async fn start_dispatchers(count: usize, search: &[SocketAddr]) -> (Platform, Vec<Vm>) {
     let mut config = config(1, search, &[]);
     config["services"][0]["dispatchers_per_data_centre"] = json!(2);
@@ -223,8 +227,8 @@
     for index in 0..count {
         vms.push(Vm::start(&format!("vm-{index:02}"), platform.address).await);
     }
-    let lines: Vec<_> = vms.iter().map(Vm::listed).collect();
-    publish_list(&platform, 2, &lines);
+    let lines: Vec<_> = vms.iter().map(Vm::vm_list_entry).collect();
+    publish_vm_list(&platform, 2, &lines);
     for vm in &vms {
         client::wait_until_serving(vm.admin).await;
         client::wait_for(vm.admin, "/members", |members| {
@@ -236,12 +240,16 @@
     (platform, vms)
 }
 
-/// Time between two requests of [`repeat`].
-const REPEAT_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between two requests of [`send_periodically`].
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends a request to the VMs by turns until `until`, answered or not; returns when each was
-/// sent and its status, 0 without an answer.
-pub(crate) async fn repeat(vms: &[Vm], path: &'static str, until: Instant) -> Vec<(Instant, u16)> {
+/// Sends a request to the VMs in turn until `until`, without waiting for answers. Returns
+/// for each request when it was sent and its status, which is 0 without an answer.
+pub(crate) async fn send_periodically(
+    vms: &[Vm],
+    path: &'static str,
+    until: Instant,
+) -> Vec<(Instant, u16)> {
     let mut answers = JoinSet::new();
     let mut turn = 0;
     while Instant::now() < until {
@@ -252,7 +260,7 @@
             (sent, status.map_or(0, |status| status.as_u16()))
         });
         turn += 1;
-        tokio::time::sleep(REPEAT_INTERVAL).await;
+        tokio::time::sleep(SEND_INTERVAL).await;
     }
     answers.join_all().await
 }
--- a/crates/pistachiotrackd/tests/testenv/mod.rs
+++ b/crates/pistachiotrackd/tests/testenv/mod.rs
@@ -1,14 +1,14 @@
-//! Fakes at the daemon's interfaces, all in the test's own process and on
-//! ports that the system chooses.
+//! Fakes of the systems that a daemon connects to, all in the test's own process
+//! and on ports that the system chooses.
 
-#![allow(dead_code, reason = "every test file uses a part of it")]
+#![allow(dead_code, reason = "every test file uses a part of this module")]
 
 pub(crate) mod client;
 pub(crate) mod crashing;
 pub(crate) mod endpoint;
 pub(crate) mod fleet;
 pub(crate) mod host;
-pub(crate) mod path;
+pub(crate) mod network_path;
 pub(crate) mod platform;
 pub(crate) mod process;
 
@@ -22,13 +22,13 @@
 
 use self::platform::Platform;
 
-/// Customer of every test.
+/// Customer that every test uses.
 pub(crate) const CUSTOMER: &str = "timeliten";
-/// Lifetime of an answer about addresses; a planned stop takes a little longer.
+/// Lifetime of an answer with entry addresses; a planned stop takes a little longer than it.
 pub(crate) const ENTRY_LIFETIME_MS: u64 = 500;
-/// Service whose requests may be repeated.
+/// Service with idempotent requests.
 pub(crate) const SEARCH: &str = "slot-search";
-/// Service whose requests must not be repeated.
+/// Service with requests that are not idempotent.
 pub(crate) const BOOKING: &str = "booking";
 
 /// Returns settings for a daemon named `vm` that reads from `platform`.
@@ -48,8 +48,8 @@
     Settings::parse(Path::new("test.json"), json.to_string().as_bytes()).unwrap()
 }
 
-/// Returns a configuration in which the first endpoints serve searches, which
-/// may be repeated, and the second ones bookings, which may not.
+/// Returns a configuration in which `search` are the endpoints of [`SEARCH`] and
+/// `booking` those of [`BOOKING`].
 pub(crate) fn config(version: u64, search: &[SocketAddr], booking: &[SocketAddr]) -> Value {
     json!({
         "version": version,
@@ -73,7 +73,7 @@
     })
 }
 
-/// Addresses, that nobody listens at, of endpoints that a test has no use for.
+/// Addresses without a listener, for endpoints that a test does not use.
 const UNUSED_SEARCH: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 const UNUSED_BOOKING: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 2);
 
@@ -105,7 +105,7 @@
         Deployment::start_with_limits(search, booking, json!({})).await
     }
 
-    /// Starts a platform and a daemon with limits of its own.
+    /// Starts a platform and a daemon with the given limits.
     pub(crate) async fn start_with_limits(
         search: &[SocketAddr],
         booking: &[SocketAddr],
@@ -124,8 +124,12 @@
     }
 }
 
-/// Returns a line of the platform's list of VMs.
-pub(crate) fn listed(vm: &str, peer_address: SocketAddr, caller_address: SocketAddr) -> Value {
+/// Returns an entry of the platform's list of VMs.
+pub(crate) fn vm_list_entry(
+    vm: &str,
+    peer_address: SocketAddr,
+    caller_address: SocketAddr,
+) -> Value {
     json!({"name": vm, "data_centre": "oslo-1", "peer_address": peer_address,
            "caller_address": caller_address})
 }
--- a/crates/pistachiotrackd/tests/testenv/path.rs
+++ b/crates/pistachiotrackd/tests/testenv/network_path.rs
@@ -1,4 +1,4 @@
-//! The network path to a VM, which can lose track of connections.
+//! A network path to a VM that can drop the state of connections, as a firewall or NAT does.
 
 use std::{
     net::SocketAddr,
@@ -14,36 +14,36 @@
     sync::watch,
 };
 
-use super::host::{free_address, own_host};
+use super::host::{free_address, unique_loopback_host};
 
 /// Largest datagram.
 const DATAGRAM_BYTES: usize = 65_536;
 
 /// A path to one VM: other VMs reach it at `address`.
-pub(crate) struct Path {
+pub(crate) struct NetworkPath {
     /// Address that other VMs use.
     pub(crate) address: SocketAddr,
-    /// Address that the VM has to listen on.
+    /// Address that the VM must listen on.
     pub(crate) vm_address: SocketAddr,
-    forgotten: watch::Sender<u32>,
+    dropped_up_to: watch::Sender<u32>,
     connections: Arc<AtomicU32>,
     cut: watch::Sender<bool>,
     held: watch::Sender<bool>,
 }
 
-impl Path {
-    /// Opens a path to a VM that is still to be started.
-    pub(crate) async fn open() -> Path {
-        let vm_address = free_address(own_host());
-        let listener = TcpListener::bind((own_host(), 0)).await.unwrap();
+impl NetworkPath {
+    /// Opens a path to a VM that is not started yet.
+    pub(crate) async fn open() -> NetworkPath {
+        let vm_address = free_address(unique_loopback_host());
+        let listener = TcpListener::bind((unique_loopback_host(), 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         let socket = UdpSocket::bind(address).await.unwrap();
-        tokio::spawn(relay_datagrams(socket, vm_address));
-        let (forgotten, _) = watch::channel(0);
+        tokio::spawn(forward_datagrams(socket, vm_address));
+        let (dropped_up_to, _) = watch::channel(0);
         let connections = Arc::new(AtomicU32::new(0));
         let (cut, is_cut) = watch::channel(false);
         let (held, is_held) = watch::channel(false);
-        let (known, count) = (forgotten.clone(), Arc::clone(&connections));
+        let (dropped, count) = (dropped_up_to.clone(), Arc::clone(&connections));
         tokio::spawn(async move {
             loop {
                 let (from, _) = listener.accept().await.unwrap();
@@ -51,26 +51,36 @@
                     continue;
                 }
                 let number = count.fetch_add(1, Ordering::SeqCst) + 1;
-                let (mut is_held, known) = (is_held.clone(), known.clone());
+                let (mut is_held, dropped) = (is_held.clone(), dropped.clone());
                 tokio::spawn(async move {
                     is_held.wait_for(|held| !*held).await.unwrap();
                     let Ok(to) = TcpStream::connect(vm_address).await else { return };
                     let (from_reader, from_writer) = from.into_split();
                     let (to_reader, to_writer) = to.into_split();
-                    tokio::spawn(relay(from_reader, to_writer, number, known.subscribe()));
-                    tokio::spawn(relay(to_reader, from_writer, number, known.subscribe()));
+                    tokio::spawn(forward_stream(
+                        from_reader,
+                        to_writer,
+                        number,
+                        dropped.subscribe(),
+                    ));
+                    tokio::spawn(forward_stream(
+                        to_reader,
+                        from_writer,
+                        number,
+                        dropped.subscribe(),
+                    ));
                 });
             }
         });
-        Path { address, vm_address, forgotten, connections, cut, held }
+        NetworkPath { address, vm_address, dropped_up_to, connections, cut, held }
     }
 
-    /// Lets only datagrams pass from now on; new connections break.
+    /// Closes new connections from now on; datagrams still pass.
     pub(crate) fn cut(&self) {
         self.cut.send_replace(true);
     }
 
-    /// Holds new connections up, or lets them pass again; datagrams pass.
+    /// Delays new connections until it is called with false; datagrams still pass.
     pub(crate) fn hold(&self, held: bool) {
         self.held.send_replace(held);
     }
@@ -80,42 +90,42 @@
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// Loses track of all connections that are open: what is written to them
-    /// vanishes, and neither end learns of it.
-    pub(crate) fn forget(&self) {
-        self.forgotten.send_replace(self.connections());
+    /// Drops the state of all open connections: data written to them is lost,
+    /// and neither end gets an error.
+    pub(crate) fn drop_open_connections(&self) {
+        self.dropped_up_to.send_replace(self.connections());
     }
 }
 
-async fn relay(
+async fn forward_stream(
     mut from: tcp::OwnedReadHalf,
     mut to: tcp::OwnedWriteHalf,
     number: u32,
-    forgotten: watch::Receiver<u32>,
+    dropped_up_to: watch::Receiver<u32>,
 ) {
     let mut bytes = vec![0; DATAGRAM_BYTES];
     while let Ok(count @ 1..) = from.read(&mut bytes).await {
-        if *forgotten.borrow() >= number {
+        if *dropped_up_to.borrow() >= number {
             continue;
         }
         if to.write_all(&bytes[..count]).await.is_err() {
             return;
         }
     }
-    if *forgotten.borrow() >= number {
-        // The other end must not see this one's end either.
+    if *dropped_up_to.borrow() >= number {
+        // The end of this half must not reach the peer either.
         std::future::pending::<()>().await;
     }
 }
 
-async fn relay_datagrams(socket: UdpSocket, vm_address: SocketAddr) {
+async fn forward_datagrams(socket: UdpSocket, vm_address: SocketAddr) {
     let mut bytes = vec![0; DATAGRAM_BYTES];
-    let mut other = None;
+    let mut peer = None;
     loop {
         let Ok((count, from)) = socket.recv_from(&mut bytes).await else { continue };
-        let to = if from == vm_address { other } else { Some(vm_address) };
+        let to = if from == vm_address { peer } else { Some(vm_address) };
         if from != vm_address {
-            other = Some(from);
+            peer = Some(from);
         }
         let Some(to) = to else { continue };
         // A datagram may be lost.
--- a/crates/pistachiotrackd/tests/testenv/platform.rs
+++ b/crates/pistachiotrackd/tests/testenv/platform.rs
@@ -27,7 +27,7 @@
 
 /// A fake platform.
 pub(crate) struct Platform {
-    /// Address that it serves on.
+    /// Address that the platform listens on.
     pub(crate) address: SocketAddr,
     config: watch::Sender<Value>,
     vms: watch::Sender<Value>,
@@ -36,34 +36,34 @@
     config_reads: Arc<AtomicU64>,
 }
 
-/// What is wrong with a fake platform.
+/// Fault of a fake platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum PlatformFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It refuses every read.
-    Away,
-    /// It answers with what it has at once, however old that is.
-    Older,
+    /// Every read is refused.
+    Unavailable,
+    /// Every read is answered at once with the present value, also if that is older than asked.
+    AnswersStale,
 }
 
-/// How a fake platform writes its values to a reader that takes gzip.
+/// Content coding in which a fake platform sends values to clients that accept gzip.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Coding {
-    /// As they are.
+    /// Not compressed.
     #[default]
     Plain,
-    /// Compressed.
+    /// Compressed with gzip.
     Gzip,
-    /// Compressed, with 16 MB of blanks after the value.
-    Bomb,
+    /// Compressed with gzip, with 16 MiB of blanks after the value.
+    GzipBomb,
 }
 
 const BOMB_BYTES: usize = 16 << 20;
 
-/// Time after which a platform that answers at once does so.
-const OLDER_PAUSE: Duration = Duration::from_millis(50);
+/// Delay of an answer of a platform with [`PlatformFault::AnswersStale`].
+const STALE_ANSWER_DELAY: Duration = Duration::from_millis(50);
 
 impl Platform {
     /// Starts a platform without a configuration and with an empty list of VMs.
@@ -94,7 +94,7 @@
                     };
                     let (fault, coding) = (fault.clone(), coding.clone());
                     async move {
-                        let takes_gzip = request
+                        let accepts_gzip = request
                             .headers()
                             .get(ACCEPT_ENCODING)
                             .is_some_and(|coding| coding == "gzip");
@@ -102,8 +102,8 @@
                             Some(value) => {
                                 let answer = answer(request, value, fault).await;
                                 let coding = *coding.borrow();
-                                let coding = if takes_gzip { coding } else { Coding::Plain };
-                                Ok::<_, Infallible>(coded(answer, coding))
+                                let coding = if accepts_gzip { coding } else { Coding::Plain };
+                                Ok::<_, Infallible>(encoded_answer(answer, coding))
                             }
                             None => Ok(not_found()),
                         }
@@ -120,7 +120,7 @@
         self.config.send_replace(config);
     }
 
-    /// Makes something go wrong, or mends it.
+    /// Sets the fault of the platform.
     pub(crate) fn set_fault(&self, fault: PlatformFault) {
         self.fault.send_replace(fault);
     }
@@ -130,7 +130,7 @@
         self.config_reads.load(Ordering::Relaxed)
     }
 
-    /// Sets how values are written from now on.
+    /// Sets the content coding of values from now on.
     pub(crate) fn set_coding(&self, coding: Coding) {
         self.coding.send_replace(coding);
     }
@@ -141,12 +141,12 @@
     }
 }
 
-fn coded(answer: Response<String>, coding: Coding) -> Response<Full<Bytes>> {
+fn encoded_answer(answer: Response<String>, coding: Coding) -> Response<Full<Bytes>> {
     let (mut head, value) = answer.into_parts();
     if value.is_empty() || coding == Coding::Plain {
         return Response::from_parts(head, Full::from(value));
     }
-    let blanks = if coding == Coding::Bomb { BOMB_BYTES } else { 0 };
+    let blanks = if coding == Coding::GzipBomb { BOMB_BYTES } else { 0 };
     let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(value.as_bytes()).unwrap();
     std::io::copy(&mut std::io::repeat(b' ').take(blanks as u64), &mut encoder).unwrap();
@@ -165,8 +165,8 @@
     mut value: watch::Receiver<Value>,
     mut fault: watch::Receiver<PlatformFault>,
 ) -> Response<String> {
-    let after = number(&request, "after=");
-    let wait = Duration::from_millis(number(&request, "wait_ms=").unwrap_or(0));
+    let after = query_number(&request, "after=");
+    let wait = Duration::from_millis(query_number(&request, "wait_ms=").unwrap_or(0));
     let newer = |value: &Value| value["version"].as_u64().is_some_and(|v| Some(v) > after);
     let mut response = Response::new(String::new());
     let found = tokio::select! {
@@ -178,8 +178,8 @@
     };
     let fault = *fault.borrow();
     match (fault, found) {
-        (PlatformFault::Older, _) => {
-            tokio::time::sleep(OLDER_PAUSE).await;
+        (PlatformFault::AnswersStale, _) => {
+            tokio::time::sleep(STALE_ANSWER_DELAY).await;
             *response.body_mut() = value.borrow().to_string();
         }
         (PlatformFault::None, Some(value)) => *response.body_mut() = value,
@@ -191,7 +191,7 @@
     response
 }
 
-fn number(request: &Request<Incoming>, name: &str) -> Option<u64> {
+fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     query.split('&').find_map(|pair| pair.strip_prefix(name))?.parse().ok()
 }
--- a/crates/pistachiotrackd/tests/testenv/process.rs
+++ b/crates/pistachiotrackd/tests/testenv/process.rs
@@ -1,4 +1,4 @@
-//! A daemon in a process of its own, which a test can pause and kill.
+//! A daemon in a separate process, which a test can pause and kill.
 
 use std::{
     net::SocketAddr,
@@ -15,7 +15,7 @@
 
 use super::client::HANG_LIMIT;
 
-/// A daemon in a process of its own; killed when dropped.
+/// A daemon in a separate process; killed when dropped.
 pub(crate) struct DaemonProcess {
     /// Address that callers connect to.
     pub(crate) caller_address: SocketAddr,
@@ -33,22 +33,22 @@
         DaemonProcess::start_with(vm, platform, json!({})).await
     }
 
-    /// Starts a daemon with settings of its own besides the usual ones.
+    /// Starts a daemon with additional settings, which replace the usual ones.
     pub(crate) async fn start_with(
         vm: &str,
         platform: SocketAddr,
-        further: Value,
+        overrides: Value,
     ) -> DaemonProcess {
         let mut settings = json!({
             "vm": vm, "data_centre": "oslo-1", "deployment": "timeliten",
             "caller_address": "127.0.0.1:0", "peer_address": "127.0.0.1:0",
             "admin_address": "127.0.0.1:0", "platform_address": platform, "expected_vms": 4,
             "entry_drain_ms": 0});
-        let further = further.as_object().unwrap().clone();
-        settings.as_object_mut().unwrap().extend(further);
+        let overrides = overrides.as_object().unwrap().clone();
+        settings.as_object_mut().unwrap().extend(overrides);
         let mut child = spawn(&settings).await;
         let log = Arc::<Mutex<Vec<String>>>::default();
-        tokio::spawn(keep_lines(child.stderr.take().unwrap(), Arc::clone(&log)));
+        tokio::spawn(collect_lines(child.stderr.take().unwrap(), Arc::clone(&log)));
         let started = wait_for_line(&log, &["event=started"]).await;
         DaemonProcess {
             caller_address: address(&started, "caller_address="),
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Waits until the log has a line with all of `parts`, and returns it.
+    /// Waits until the log has a line that contains all of `parts`, and returns it.
     pub(crate) async fn wait_for_line(&self, parts: &[&str]) -> String {
         wait_for_line(&self.log, parts).await
     }
 
-    /// Returns the line of the platform's list of VMs for this daemon.
-    pub(crate) fn listed(&self, vm: &str) -> Value {
-        super::listed(vm, self.peer_address, self.caller_address)
+    /// Returns this daemon's entry in the platform's list of VMs.
+    pub(crate) fn vm_list_entry(&self, vm: &str) -> Value {
+        super::vm_list_entry(vm, self.peer_address, self.caller_address)
     }
 
-    /// Kills the daemon at once, as a VM's failure does.
+    /// Kills the daemon at once, as when its VM fails.
     pub(crate) async fn kill(&mut self) {
         self.child.kill().await.unwrap();
     }
@@ -81,14 +81,14 @@
         assert!(status.success());
     }
 
-    /// Waits for the daemon's end and returns its exit code.
+    /// Waits until the daemon exits and returns its exit code.
     pub(crate) async fn exit_code(&mut self) -> Option<i32> {
         let ended = tokio::time::timeout(HANG_LIMIT, self.child.wait()).await;
-        ended.expect("the daemon ends").unwrap().code()
+        ended.expect("the daemon should exit in time").unwrap().code()
     }
 }
 
-async fn keep_lines(output: ChildStderr, log: Arc<Mutex<Vec<String>>>) {
+async fn collect_lines(output: ChildStderr, log: Arc<Mutex<Vec<String>>>) {
     let mut lines = BufReader::new(output).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         log.lock().unwrap().push(line);
--- a/crates/pistachiotrackd/tests/via.rs
+++ b/crates/pistachiotrackd/tests/via.rs
@@ -14,10 +14,9 @@
 use testenv::{
     client, config,
     endpoint::{Endpoint, read_head},
-    listed,
     platform::Platform,
     process::DaemonProcess,
-    settings,
+    settings, vm_list_entry,
 };
 
 /// Name of the VM that owns the bookings among these three.
@@ -38,11 +37,11 @@
         let addresses: Vec<_> = booking.iter().map(|endpoint| endpoint.address).collect();
         platform.publish_config(config(1, &[], &addresses));
         let owner = Daemon::start(settings(OWNER, platform.address, json!({}))).await.unwrap();
-        let mut list = vec![listed(OWNER, owner.peer_address(), owner.caller_address())];
+        let mut list = vec![vm_list_entry(OWNER, owner.peer_address(), owner.caller_address())];
         let mut others = Vec::new();
         for name in OTHERS {
             let other = DaemonProcess::start(name, platform.address).await;
-            list.push(other.listed(name));
+            list.push(other.vm_list_entry(name));
             others.push(other);
         }
         platform.publish_vms(json!({"version": 2, "vms": list}));
@@ -70,7 +69,7 @@
         let start = std::time::Instant::now();
         loop {
             let response = self.send(booking_request()).await;
-            match client::field(&response, header::OUTCOME) {
+            match client::header_text(&response, header::OUTCOME) {
                 None => return response,
                 outcome => assert_eq!(outcome, Some("not-run")),
             }
@@ -98,8 +97,8 @@
         let booked = fleet.book_until_answered().await;
         answered += 1;
         assert_eq!(booked.body(), "booked");
-        assert_eq!(client::field(&booked, header::ENDPOINT), Some("booking-0"));
-        assert_eq!(client::field(&booked, header::OWNER), Some(OWNER));
+        assert_eq!(client::header_text(&booked, header::ENDPOINT), Some("booking-0"));
+        assert_eq!(client::header_text(&booked, header::OWNER), Some(OWNER));
         assert!(!booked.headers().contains_key(header::VIA_END));
     }
     assert_eq!(booking.received().len(), answered);
@@ -145,7 +144,7 @@
         other.kill().await;
     }
     let refused = caller.await.unwrap().unwrap();
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("unknown"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("unknown"));
     assert_eq!(booking.received().len(), before + 1);
 }
 
@@ -171,7 +170,7 @@
     fleet.book_until_answered().await;
     sender.send_replace(true);
     let refused = fleet.send(booking_request()).await;
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("unknown"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("unknown"));
 }
 
 /// Guards against a truncated answer that the caller takes for a complete one. The endpoint
@@ -191,7 +190,7 @@
         match client::send(fleet.owner.caller_address(), booking_request()).await {
             Err(_) => return,
             Ok(refused) => {
-                assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
+                assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
             }
         }
         assert!(start.elapsed() < client::HANG_LIMIT, "every booking is refused");
--- a/crates/pistachiotrackd/tests/whole_answers.rs
+++ b/crates/pistachiotrackd/tests/whole_answers.rs
@@ -103,7 +103,7 @@
     let deployment = Deployment::start(&[], &[booking.address]).await;
     let request = client::request(Method::POST, "/bookings", "");
     let refused = client::send(deployment.address(), request).await.unwrap();
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("unknown"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("unknown"));
     // The second connection is the check whether the endpoint still accepts any.
     booking.wait_closed(2).await;
     assert_eq!((heads.load(Ordering::SeqCst), booking.connections()), (1, 2));
@@ -116,7 +116,7 @@
     let deployment = Deployment::start(&[], &[]).await;
     let request = client::request(Method::POST, "/bookings", "slot 7");
     let refused = client::send(deployment.address(), request).await.unwrap();
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
 }
 
 /// Guards against an endpoint that keeps working, and keeps its slot, for a caller that has
@@ -172,7 +172,7 @@
     {
         fillers.push(filler.unwrap());
     }
-    let late = client::with(booking_request(), header::DEADLINE_MS, "1600");
+    let late = client::with_header(booking_request(), header::DEADLINE_MS, "1600");
     let caller = tokio::spawn(client::send(deployment.address(), late));
     let admin = deployment.daemon.admin_address();
     client::wait_for(admin, "/endpoints", |endpoints| {
@@ -190,6 +190,6 @@
         }
     });
     let refused = caller.await.unwrap().unwrap();
-    assert_eq!(client::field(&refused, header::OUTCOME), Some("not-run"));
+    assert_eq!(client::header_text(&refused, header::OUTCOME), Some("not-run"));
     assert!(!received.is_finished());
 }
