--- a/crates/pistachiotrackd/tests/fault_matrix.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix.rs
@@ -1,5 +1,5 @@
-//! The fault matrix: every fault at every step, over the whole path from the
-//! caller to the endpoint. `docs/FAULT-MATRIX.md` explains rows and columns.
+//! The fault matrix: every fault at every step of a request, on the whole path
+//! from the caller to the endpoint. `docs/FAULT-MATRIX.md` explains rows and columns.
 
 mod testenv;
 
@@ -10,25 +10,25 @@
 
 use futures_util::{StreamExt, stream};
 use matrix::{
-    caller::Tally,
+    caller::OutcomeCounts,
     cell::{self, Cell},
-    endpoint::Sickness,
+    endpoint::EndpointFault,
     fault::{FAULTS, Fault},
     step::{STEPS, Step},
 };
 use quickcheck::{Arbitrary, Gen};
 
-/// Cells that run at the same time.
-const CELLS_AT_ONCE: usize = 36;
-/// Pairs of faults.
-const PAIRS: usize = 20;
-/// Seed of the choice of pairs.
+/// Maximum number of cells that run at the same time.
+const MAX_CONCURRENT_CELLS: usize = 36;
+/// Number of cells with a pair of faults.
+const PAIR_CELLS: usize = 20;
+/// Seed of the random choice of pairs.
 const SEED: u64 = 20_261_202;
 
-/// Returns why a cell has no meaning of its own.
-fn without_meaning(fault: Fault, step: Step) -> Option<&'static str> {
+/// Returns why a cell is skipped, or `None` if it is run.
+fn skip_reason(fault: Fault, step: Step) -> Option<&'static str> {
     match (fault, step) {
-        (Fault::Sick(Sickness::Draining), Step::EndpointDrain) => {
+        (Fault::Endpoint(EndpointFault::Draining), Step::EndpointDrain) => {
             Some("the step is the fault itself")
         }
         (Fault::OwnerCrash, Step::HandOver) => {
@@ -45,14 +45,14 @@
         .map(|(index, (faults, step))| async move {
             tokio::spawn(cell::run(first + index as u16, faults, step)).await.unwrap()
         })
-        .buffer_unordered(CELLS_AT_ONCE);
+        .buffer_unordered(MAX_CONCURRENT_CELLS);
     runtime.block_on(cells.collect())
 }
 
-fn assert_unbroken(cells: &[Cell]) {
+fn assert_no_violations(cells: &[Cell]) {
     let mut text = String::new();
-    for cell in cells.iter().filter(|cell| !cell.breaches.is_empty()) {
-        writeln!(text, "{}:\n    {}", cell.name(), cell.breaches.join("\n    ")).unwrap();
+    for cell in cells.iter().filter(|cell| !cell.violations.is_empty()) {
+        writeln!(text, "{}:\n    {}", cell.name(), cell.violations.join("\n    ")).unwrap();
     }
     assert!(text.is_empty(), "\n{text}");
 }
@@ -70,26 +70,28 @@
         println!();
     }
     for (fault, step) in all_cells() {
-        if let Some(reason) = without_meaning(fault, step) {
+        if let Some(reason) = skip_reason(fault, step) {
             println!("none: {} / {}: {reason}", fault.name(), step.name());
         }
     }
 }
 
-/// Prints what callers got, which shows that the faults strike.
+/// Prints the counts of callers' outcomes, which show that the faults take effect.
 fn print_outcomes(cells: &[Cell]) {
     println!("| fault | well | failed | not-run | unknown | broken | nothing |");
     println!("|---|---|---|---|---|---|---|");
     for (name, fault) in FAULTS {
-        let of_row = || cells.iter().filter(|cell| cell.faults[0] == fault);
-        let sum = |count: fn(&Tally) -> usize| of_row().map(|cell| count(&cell.tally)).sum();
+        let cells_of_row = || cells.iter().filter(|cell| cell.faults[0] == fault);
+        let sum = |count: fn(&OutcomeCounts) -> usize| {
+            cells_of_row().map(|cell| count(&cell.counts)).sum()
+        };
         let counts: [usize; 6] = [
-            sum(|tally| tally.well),
-            sum(|tally| tally.failed),
-            sum(|tally| tally.not_run),
-            sum(|tally| tally.unknown),
-            sum(|tally| tally.broken),
-            sum(|tally| tally.nothing),
+            sum(|counts| counts.succeeded),
+            sum(|counts| counts.failed),
+            sum(|counts| counts.not_run),
+            sum(|counts| counts.unknown),
+            sum(|counts| counts.broken),
+            sum(|counts| counts.timed_out),
         ];
         println!("| {name} | {} |", counts.map(|count| count.to_string()).join(" | "));
     }
@@ -99,35 +101,36 @@
     FAULTS.iter().flat_map(|(_, fault)| STEPS.iter().map(|(_, step)| (*fault, *step)))
 }
 
-/// Any of seven promises is broken for a caller: no answer or refusal in time,
-/// another's or half an answer, a false `not-run`, a doubled booking, work to a
-/// leaving endpoint, a request cut by a planned stop, an older configuration.
-/// One fault strikes at one step of requests in flight; afterwards it is mended.
+/// Guards the seven invariants: every request gets an answer or a refusal in time (1);
+/// an answer is complete and belongs to its request (2); `not-run` is true (3); no booking
+/// runs twice (4); a draining endpoint gets no new requests (5); a planned stop cuts off no
+/// request (6); no VM goes back to an older configuration (7). Each cell injects one fault
+/// at one step of requests in flight and removes it afterwards.
 #[test]
 fn every_fault_at_every_step_keeps_the_invariants() {
-    let cells = all_cells().filter(|(fault, step)| without_meaning(*fault, *step).is_none());
+    let cells = all_cells().filter(|(fault, step)| skip_reason(*fault, *step).is_none());
     let cells = run(cells.map(|(fault, step)| (vec![fault], step)).collect(), 0);
     print_table(&cells);
     print_outcomes(&cells);
-    assert_unbroken(&cells);
+    assert_no_violations(&cells);
 }
 
-/// The same with two faults at once, since any of them may come together.
+/// Guards the same invariants with two faults at the same time, for a random choice of pairs.
 #[test]
 fn pairs_of_faults_keep_the_invariants() {
     let mut random = Gen::from_size_and_seed(10, SEED);
     let mut cells: Vec<(Vec<Fault>, Step)> = Vec::new();
-    while cells.len() < PAIRS {
+    while cells.len() < PAIR_CELLS {
         let mut draw = |count: usize| usize::arbitrary(&mut random) % count;
         let pair = [FAULTS[draw(FAULTS.len())].1, FAULTS[draw(FAULTS.len())].1];
         let step = STEPS[draw(STEPS.len())].1;
-        let known = cells.iter().any(|(faults, at)| faults[..] == pair && *at == step);
-        let meaning = pair.iter().all(|fault| without_meaning(*fault, step).is_none());
-        if pair[0] != pair[1] && meaning && !known {
+        let is_drawn = cells.iter().any(|(faults, at)| faults[..] == pair && *at == step);
+        let is_valid = pair.iter().all(|fault| skip_reason(*fault, step).is_none());
+        if pair[0] != pair[1] && is_valid && !is_drawn {
             cells.push((pair.to_vec(), step));
         }
     }
     let cells = run(cells, 1_000);
     cells.iter().for_each(|cell| println!("{}: {}", cell.name(), cell.mark()));
-    assert_unbroken(&cells);
+    assert_no_violations(&cells);
 }
--- a/crates/pistachiotrackd/tests/fault_matrix/caller.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request and says what became of it.
+//! A caller that sends one request and returns its outcome.
 
 use std::{convert::Infallible, net::SocketAddr, time::Duration};
 
@@ -11,84 +11,87 @@
 use serde_json::Value;
 use tokio::{net::TcpStream, sync::watch};
 
-use super::ID;
+use super::ID_HEADER;
 use crate::testenv::CUSTOMER;
 
 /// Deadline of every request.
 pub(crate) const DEADLINE_MS: u64 = 1_500;
 
-/// What a request is.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
+pub(crate) enum RequestKind {
     /// Idempotent.
     Lookup,
     /// Not idempotent.
     Booking,
-    /// Not idempotent, with a key, sent again by the rules for callers.
+    /// Not idempotent, with an idempotency key; sent again as the rules for callers require.
     KeyedBooking,
 }
 
-/// What a caller got.
+/// Outcome of a request for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Outcome {
-    /// No connection; nothing was sent.
+pub(crate) enum CallerOutcome {
+    /// The connection failed; nothing was sent.
     NotConnected,
-    /// The endpoint's own answer.
+    /// An endpoint answered.
     Answered { status: u16, body: Bytes },
-    /// A refusal.
+    /// The fleet refused the request.
     Refused { outcome: String, reason: String },
-    /// The connection or the body broke off.
+    /// The connection or the body ended early.
     Broken,
-    /// Nothing at all for as long as the caller waits.
-    Nothing,
+    /// No outcome before the caller's timeout.
+    TimedOut,
 }
 
 /// A request to send.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
-    /// Its identity, the same for all sendings.
+    /// ID of the request, the same each time it is sent.
     pub(crate) id: String,
-    /// Identity of this sending.
-    pub(crate) sending: String,
-    /// What it is.
-    pub(crate) kind: Kind,
-    /// Whether it is marked as sent before.
+    /// ID of this sending of the request.
+    pub(crate) send_id: String,
+    /// Kind of the request.
+    pub(crate) kind: RequestKind,
+    /// Whether it is marked as a repetition.
     pub(crate) repeat: bool,
     /// Address of the VM.
     pub(crate) address: SocketAddr,
-    /// Time for which the caller waits for anything.
-    pub(crate) patience: Duration,
-    /// Holds the second half of a large body back while it is true.
-    pub(crate) half: Option<watch::Receiver<bool>>,
+    /// Time after which the caller gives up.
+    pub(crate) timeout: Duration,
+    /// If set, the body is large and its second half is held back while the value is true.
+    pub(crate) hold_second_half: Option<watch::Receiver<bool>>,
 }
 
-/// A request and what became of it.
+/// A request that was sent, and its outcome.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct SentRequest {
     /// The request.
     pub(crate) call: Call,
-    /// What became of it.
-    pub(crate) outcome: Outcome,
+    /// Outcome for the caller.
+    pub(crate) outcome: CallerOutcome,
 }
 
-impl Sent {
-    /// Returns whether the endpoint's answer came and says that all is well.
-    pub(crate) fn is_well(&self) -> bool {
-        matches!(self.outcome, Outcome::Answered { status: 200, .. })
+impl SentRequest {
+    /// Returns whether an endpoint answered with status 200.
+    pub(crate) fn is_success(&self) -> bool {
+        matches!(self.outcome, CallerOutcome::Answered { status: 200, .. })
     }
 }
 
 /// Sends a request.
-pub(crate) async fn send(call: Call) -> Sent {
-    let outcome =
-        tokio::time::timeout(call.patience, exchange(&call)).await.unwrap_or(Outcome::Nothing);
-    Sent { call, outcome }
+pub(crate) async fn send(call: Call) -> SentRequest {
+    let outcome = tokio::time::timeout(call.timeout, exchange(&call))
+        .await
+        .unwrap_or(CallerOutcome::TimedOut);
+    SentRequest { call, outcome }
 }
 
-async fn exchange(call: &Call) -> Outcome {
-    let Ok(stream) = TcpStream::connect(call.address).await else { return Outcome::NotConnected };
+async fn exchange(call: &Call) -> CallerOutcome {
+    let Ok(stream) = TcpStream::connect(call.address).await else {
+        return CallerOutcome::NotConnected;
+    };
     let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else {
-        return Outcome::NotConnected;
+        return CallerOutcome::NotConnected;
     };
     let driver = tokio::spawn(connection);
     let outcome = match sender.send_request(request(call)).await {
@@ -96,30 +99,30 @@
             let (parts, body) = response.into_parts();
             let text = |name| parts.headers.get(name).map(|v| v.to_str().unwrap().to_owned());
             match (text(header::OUTCOME), body.collect().await) {
-                (_, Err(_)) => Outcome::Broken,
+                (_, Err(_)) => CallerOutcome::Broken,
                 (Some(outcome), _) => {
                     let reason = text(header::REASON).unwrap_or_default();
-                    Outcome::Refused { outcome, reason }
+                    CallerOutcome::Refused { outcome, reason }
                 }
                 (None, Ok(body)) => {
-                    Outcome::Answered { status: parts.status.as_u16(), body: body.to_bytes() }
+                    CallerOutcome::Answered { status: parts.status.as_u16(), body: body.to_bytes() }
                 }
             }
         }
-        Err(_) => Outcome::Broken,
+        Err(_) => CallerOutcome::Broken,
     };
     driver.abort();
     outcome
 }
 
 fn request(call: &Call) -> Request<UnsyncBoxBody<Bytes, Infallible>> {
-    let path = if call.kind == Kind::Lookup { "/slots" } else { "/bookings" };
+    let path = if call.kind == RequestKind::Lookup { "/slots" } else { "/bookings" };
     let mut request = Request::post(path)
         .header("host", "fleet")
         .header(header::CUSTOMER, CUSTOMER)
         .header(header::DEADLINE_MS, DEADLINE_MS)
-        .header(ID, &call.sending);
-    if call.kind == Kind::KeyedBooking {
+        .header(ID_HEADER, &call.send_id);
+    if call.kind == RequestKind::KeyedBooking {
         request = request.header(header::IDEMPOTENCY_KEY, &call.id);
     }
     if call.repeat {
@@ -129,46 +132,46 @@
 }
 
 fn body(call: &Call) -> UnsyncBoxBody<Bytes, Infallible> {
-    let Some(mut half) = call.half.clone() else {
+    let Some(mut held) = call.hold_second_half.clone() else {
         return Full::from(super::payload(&call.id)).boxed_unsync();
     };
     let part = Bytes::from(vec![b'.'; 128 * 1024]);
     let rest = part.clone();
     let second = stream::once(async move {
-        let _ = half.wait_for(|held| !held).await;
+        let _ = held.wait_for(|held| !held).await;
         Ok(Frame::data(rest))
     });
     let parts = stream::iter([Ok(Frame::data(part))]).chain(second);
     BodyExt::boxed_unsync(StreamBody::new(parts.boxed()))
 }
 
-/// What callers got, counted.
+/// Counts of callers' outcomes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tally {
-    /// Well answered by an endpoint.
-    pub(crate) well: usize,
-    /// Failed by an endpoint.
+pub(crate) struct OutcomeCounts {
+    /// Answered by an endpoint with status 200.
+    pub(crate) succeeded: usize,
+    /// Answered by an endpoint with another status.
     pub(crate) failed: usize,
     /// Refused as not run.
     pub(crate) not_run: usize,
-    /// Refused as unknown.
+    /// Refused with an unknown outcome.
     pub(crate) unknown: usize,
-    /// Broken off, or no connection.
+    /// Ended early, or no connection.
     pub(crate) broken: usize,
-    /// Nothing for as long as the caller waited.
-    pub(crate) nothing: usize,
+    /// No outcome before the caller's timeout.
+    pub(crate) timed_out: usize,
 }
 
-impl Tally {
+impl OutcomeCounts {
     /// Counts an outcome.
-    pub(crate) fn add(&mut self, outcome: &Outcome) {
+    pub(crate) fn add(&mut self, outcome: &CallerOutcome) {
         let count = match outcome {
-            Outcome::Answered { status: 200, .. } => &mut self.well,
-            Outcome::Answered { .. } => &mut self.failed,
-            Outcome::Refused { outcome, .. } if outcome == "not-run" => &mut self.not_run,
-            Outcome::Refused { .. } => &mut self.unknown,
-            Outcome::NotConnected | Outcome::Broken => &mut self.broken,
-            Outcome::Nothing => &mut self.nothing,
+            CallerOutcome::Answered { status: 200, .. } => &mut self.succeeded,
+            CallerOutcome::Answered { .. } => &mut self.failed,
+            CallerOutcome::Refused { outcome, .. } if outcome == "not-run" => &mut self.not_run,
+            CallerOutcome::Refused { .. } => &mut self.unknown,
+            CallerOutcome::NotConnected | CallerOutcome::Broken => &mut self.broken,
+            CallerOutcome::TimedOut => &mut self.timed_out,
         };
         *count += 1;
     }
--- a/crates/pistachiotrackd/tests/fault_matrix/cell.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/cell.rs
@@ -1,4 +1,4 @@
-//! One cell of the matrix: a fleet, a step, the faults that strike at it.
+//! One cell of the matrix: a fleet, a step, and the faults that are injected at it.
 
 use std::{
     sync::{Arc, Mutex},
@@ -9,24 +9,24 @@
 use tokio::task::JoinHandle;
 
 use super::{
-    caller::{Kind, Tally},
+    caller::{OutcomeCounts, RequestKind},
     fault::{self, Fault},
     oracle,
     step::Step,
-    world::{self, World},
+    testbed::{self, Testbed},
 };
 use crate::testenv::client::HANG_LIMIT;
 
-/// A cell that was run.
+/// Result of a cell.
 pub(crate) struct Cell {
-    /// The faults.
+    /// The injected faults.
     pub(crate) faults: Vec<Fault>,
-    /// The step at which they struck.
+    /// The step at which they were injected.
     pub(crate) step: Step,
-    /// The breaches of the invariants.
-    pub(crate) breaches: Vec<String>,
-    /// What callers got.
-    pub(crate) tally: Tally,
+    /// Violations of the invariants.
+    pub(crate) violations: Vec<String>,
+    /// Counts of callers' outcomes.
+    pub(crate) counts: OutcomeCounts,
 }
 
 impl Cell {
@@ -35,9 +35,9 @@
         name(&self.faults, self.step)
     }
 
-    /// Returns the verdict in a word.
+    /// Returns the result as the table shows it.
     pub(crate) fn mark(&self) -> &'static str {
-        if self.breaches.is_empty() { "ok" } else { "BROKEN" }
+        if self.violations.is_empty() { "ok" } else { "BROKEN" }
     }
 }
 
@@ -48,68 +48,78 @@
 
 /// Runs a cell.
 pub(crate) async fn run(number: u16, faults: Vec<Fault>, step: Step) -> Cell {
-    let mut tally = Tally::default();
-    let breaches = breaches(number, &faults, step, &mut tally).await;
-    Cell { faults, step, breaches, tally }
+    let mut counts = OutcomeCounts::default();
+    let violations = violations(number, &faults, step, &mut counts).await;
+    Cell { faults, step, violations, counts }
 }
 
-async fn breaches(number: u16, faults: &[Fault], step: Step, tally: &mut Tally) -> Vec<String> {
-    let world = Arc::new(World::start(&name(faults, step), number, step.entry_drain_ms()).await);
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let watches: Vec<JoinHandle<()>> =
-        (0..2).map(|vm| tokio::spawn(watch(Arc::clone(&world), vm, Arc::clone(&seen)))).collect();
-    let mut struck = step.strike(&world, faults).await;
-    let mut breaches = Vec::new();
-    for vm in world.present() {
-        if !world.until_well(vm, Kind::Lookup).await {
-            breaches.push(format!("1 vm {vm} has nowhere real to go while the fault lasts"));
+async fn violations(
+    number: u16,
+    faults: &[Fault],
+    step: Step,
+    counts: &mut OutcomeCounts,
+) -> Vec<String> {
+    let testbed =
+        Arc::new(Testbed::start(&name(faults, step), number, step.entry_drain_ms()).await);
+    let status_violations = Arc::new(Mutex::new(Vec::new()));
+    let watchers: Vec<JoinHandle<()>> = (0..2)
+        .map(|vm| tokio::spawn(watch_vm(Arc::clone(&testbed), vm, Arc::clone(&status_violations))))
+        .collect();
+    let mut record = step.run(&testbed, faults).await;
+    let mut violations = Vec::new();
+    for vm in testbed.running_vms() {
+        if !testbed.send_until_success(vm, RequestKind::Lookup).await {
+            violations.push(format!("1 vm {vm} gets no lookup answered during the fault"));
         }
     }
-    if faults.len() == 1 && faults[0].is_of_config() {
-        let without = world.until_in_force(struck.version).await;
-        breaches.extend(without.iter().map(|vm| format!("7 vm {vm} lacks the configuration")));
+    if faults.len() == 1 && faults[0].is_config_fault() {
+        let missing = testbed.wait_for_config(record.version).await;
+        violations.extend(
+            missing.iter().map(|vm| format!("7 vm {vm} does not activate the configuration")),
+        );
     }
-    struck.mended_at = Some(Instant::now());
-    fault::disarm(&world);
-    if let Some(stopping) = struck.stopping.take()
+    record.faults_removed_at = Some(Instant::now());
+    fault::remove_faults(&testbed);
+    if let Some(stopping) = record.stopping.take()
         && !faults.contains(&Fault::OwnerCrash)
         && tokio::time::timeout(HANG_LIMIT, stopping).await.is_err()
     {
-        breaches.push("6 the VM does not stop".to_owned());
+        violations.push("6 the VM does not stop".to_owned());
     }
-    for vm in world.present() {
-        for kind in [Kind::Lookup, Kind::Booking] {
-            if !world.until_well(vm, kind).await {
-                breaches.push(format!("1 vm {vm} answers no {kind:?} after the fault"));
+    for vm in testbed.running_vms() {
+        for kind in [RequestKind::Lookup, RequestKind::Booking] {
+            if !testbed.send_until_success(vm, kind).await {
+                violations.push(format!("1 vm {vm} gets no {kind:?} answered after the fault"));
             }
         }
     }
-    let without = world.until_in_force(struck.version).await;
-    breaches.extend(without.iter().map(|vm| format!("7 vm {vm} lacks the configuration")));
-    watches.iter().for_each(JoinHandle::abort);
-    world.sent.lock().unwrap().iter().for_each(|sent| tally.add(&sent.outcome));
-    breaches.extend(oracle::judge(&world, faults, &struck));
-    breaches.append(&mut seen.lock().unwrap());
-    breaches.sort();
-    breaches.dedup();
-    breaches
+    let missing = testbed.wait_for_config(record.version).await;
+    violations
+        .extend(missing.iter().map(|vm| format!("7 vm {vm} does not activate the configuration")));
+    watchers.iter().for_each(JoinHandle::abort);
+    testbed.sent.lock().unwrap().iter().for_each(|sent| counts.add(&sent.outcome));
+    violations.extend(oracle::violations(&testbed, faults, &record));
+    violations.append(&mut status_violations.lock().unwrap());
+    violations.sort();
+    violations.dedup();
+    violations
 }
 
-/// Looks at a VM for as long as the cell runs: its configuration never goes
-/// back (7) and its services are never below their floor (1).
-async fn watch(world: Arc<World>, vm: usize, breaches: Arc<Mutex<Vec<String>>>) {
+/// Checks a VM for as long as the cell runs: its configuration version never
+/// decreases (7) and its services are never below their floor (1).
+async fn watch_vm(testbed: Arc<Testbed>, vm: usize, violations: Arc<Mutex<Vec<String>>>) {
     let mut newest = 0;
     loop {
-        if let Some(status) = world::admin(&world.vms[vm], "/status").await {
+        if let Some(status) = testbed::admin(&testbed.vms[vm], "/status").await {
             let version = status["config_version"].as_u64().unwrap_or(0);
             if version < newest {
-                let breach = format!("7 vm {vm} went back from {newest} to {version}");
-                breaches.lock().unwrap().push(breach);
+                let violation = format!("7 vm {vm} went back from version {newest} to {version}");
+                violations.lock().unwrap().push(violation);
             }
             newest = newest.max(version);
         }
-        if let Some(endpoints) = world::admin(&world.vms[vm], "/endpoints").await {
-            breaches.lock().unwrap().extend(below_floor(vm, &endpoints));
+        if let Some(endpoints) = testbed::admin(&testbed.vms[vm], "/endpoints").await {
+            violations.lock().unwrap().extend(below_floor(vm, &endpoints));
         }
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     }
@@ -117,15 +127,15 @@
 
 fn below_floor(vm: usize, endpoints: &Value) -> Vec<String> {
     let lines = endpoints.as_array().cloned().unwrap_or_default();
-    let out = |state: &Value| ["ejected", "trial"].iter().any(|out| state == out);
-    let of = |service: &str| -> Vec<Value> {
+    let is_out = |state: &Value| ["ejected", "trial"].iter().any(|out| state == out);
+    let states_of = |service: &str| -> Vec<Value> {
         let lines = lines.iter().filter(|line| line["service"] == service);
         lines.map(|line| line["state"].clone()).filter(|state| state != "draining").collect()
     };
     let services = [crate::testenv::SEARCH, crate::testenv::BOOKING];
     let below = services.into_iter().filter(|service| {
-        let states = of(service);
-        !states.is_empty() && states.iter().all(out)
+        let states = states_of(service);
+        !states.is_empty() && states.iter().all(is_out)
     });
     below.map(|service| format!("1 vm {vm}: {service} is below its floor: {endpoints}")).collect()
 }
--- a/crates/pistachiotrackd/tests/fault_matrix/endpoint.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/endpoint.rs
@@ -1,5 +1,5 @@
-//! A fake endpoint that can be sick in every way of the matrix and writes down
-//! what it saw and what it ran.
+//! A fake endpoint that can have every endpoint fault of the matrix and records
+//! the requests that it received and ran.
 
 use std::{
     collections::HashMap,
@@ -23,102 +23,102 @@
 use pistachiotrack_core::header;
 use tokio::{net::TcpListener, sync::watch};
 
-use super::{AGAIN, ID};
+use super::{ID_HEADER, REPEAT_SUFFIX};
 
-/// How an endpoint is sick.
+/// Fault of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Sickness {
-    /// It is well.
+pub(crate) enum EndpointFault {
+    /// No fault.
     #[default]
-    Well,
-    /// Health checks are answered, work fails.
+    None,
+    /// Health checks succeed, requests fail.
     Gray,
-    /// Every answer takes long.
-    Straggles,
+    /// Every answer is slow.
+    Slow,
     /// Nothing is answered.
-    Hangs,
-    /// Every second second it is gray.
-    Flaps,
-    /// It says that it is leaving.
+    Hanging,
+    /// Requests fail during every second interval of [`FLAP_MS`].
+    Flapping,
+    /// It announces that it is draining.
     Draining,
-    /// The first answers take long.
-    Cold,
-    /// All work is refused unrun.
-    Sheds,
-    /// Its load report is wild.
-    Lies,
-    /// Answers come after the deadline.
+    /// The first answers are slow.
+    ColdStart,
+    /// Every request is shed without being run.
+    Shedding,
+    /// It reports a load that is far too high.
+    WrongLoad,
+    /// Answers arrive after the deadline.
     Late,
-    /// Work is run, then its connection breaks without an answer.
-    BreaksOff,
-    /// Answers end before their announced length.
-    CutsShort,
+    /// A request is run, then its connection closes without an answer.
+    ClosesWithoutAnswer,
+    /// Answers end before they are complete.
+    TruncatesAnswers,
 }
 
-/// Where requests are held up.
+/// Point at which endpoints hold requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Hold {
-    /// Nowhere.
+    /// Requests are not held.
     #[default]
     Nowhere,
     /// Before the answer begins.
     BeforeAnswer,
     /// In the middle of the answer.
     HalfAnswered,
-    /// Before the work is refused unrun.
+    /// Before the request is shed.
     BeforeShed,
 }
 
-/// What happened to a request at one endpoint.
+/// A request that an endpoint received.
 #[derive(Clone, Debug)]
-pub(crate) struct Sight {
-    /// The request.
+pub(crate) struct ReceivedRequest {
+    /// ID of the request.
     pub(crate) id: String,
-    /// The sending of the request.
-    pub(crate) sending: String,
-    /// Moment at which its head arrived.
-    pub(crate) at: Instant,
+    /// ID of this sending of the request.
+    pub(crate) send_id: String,
+    /// Time at which its head arrived.
+    pub(crate) received_at: Instant,
     /// Whether it was run.
     pub(crate) ran: bool,
-    /// Whether it was refused unrun.
+    /// Whether it was shed without being run.
     pub(crate) shed: bool,
 }
 
-/// Longer than any deadline of the tests.
-const TOO_LATE: Duration = Duration::from_millis(2_500);
-const STRAGGLE: Duration = Duration::from_millis(300);
-const FLAP: u128 = 200;
+/// Delay of late answers, which is longer than any deadline of the tests.
+const LATE_DELAY: Duration = Duration::from_millis(2_500);
+const SLOW_DELAY: Duration = Duration::from_millis(300);
+const FLAP_MS: u128 = 200;
 const COLD_ANSWERS: usize = 4;
 
 /// A fake endpoint.
 #[derive(Clone)]
 pub(crate) struct Endpoint {
-    /// Address that it serves on.
+    /// Address that the endpoint listens on.
     pub(crate) address: SocketAddr,
     state: Arc<State>,
 }
 
 struct State {
-    sickness: Mutex<Vec<Sickness>>,
+    faults: Mutex<Vec<EndpointFault>>,
     hold: watch::Sender<Hold>,
-    sights: Mutex<Vec<Sight>>,
-    reached: watch::Sender<usize>,
+    received: Mutex<Vec<ReceivedRequest>>,
+    held_count: watch::Sender<usize>,
     started: Instant,
-    warm: Mutex<usize>,
+    cold_answers: Mutex<usize>,
 }
 
 impl Endpoint {
-    /// Starts a well endpoint.
+    /// Starts an endpoint without faults.
     pub(crate) async fn start() -> Endpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let state = Arc::new(State {
-            sickness: Mutex::default(),
+            faults: Mutex::default(),
             hold: watch::Sender::default(),
-            sights: Mutex::default(),
-            reached: watch::Sender::default(),
+            received: Mutex::default(),
+            held_count: watch::Sender::default(),
             started: Instant::now(),
-            warm: Mutex::default(),
+            cold_answers: Mutex::default(),
         });
         let endpoint = Endpoint { address, state: Arc::clone(&state) };
         tokio::spawn(async move {
@@ -132,69 +132,77 @@
         endpoint
     }
 
-    /// Makes the endpoint sick besides what it is already.
-    pub(crate) fn fall_sick(&self, sickness: Sickness) {
-        self.state.sickness.lock().unwrap().push(sickness);
+    /// Adds a fault to those that the endpoint already has.
+    pub(crate) fn add_fault(&self, fault: EndpointFault) {
+        self.state.faults.lock().unwrap().push(fault);
     }
 
-    /// Heals the endpoint.
-    pub(crate) fn heal(&self) {
-        self.state.sickness.lock().unwrap().clear();
+    /// Removes all faults.
+    pub(crate) fn clear_faults(&self) {
+        self.state.faults.lock().unwrap().clear();
     }
 
-    /// Holds requests up.
+    /// Sets the point at which requests are held.
     pub(crate) fn hold(&self, hold: Hold) {
         self.state.hold.send_replace(hold);
     }
 
-    /// Counts the requests that reached the place where they are held up.
-    pub(crate) fn reached(&self) -> usize {
-        *self.state.reached.borrow()
+    /// Returns the number of requests that were held so far.
+    pub(crate) fn held_count(&self) -> usize {
+        *self.state.held_count.borrow()
     }
 
-    /// Returns what happened to every request so far.
-    pub(crate) fn sights(&self) -> Vec<Sight> {
-        self.state.sights.lock().unwrap().clone()
+    /// Returns the requests received so far.
+    pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
+        self.state.received.lock().unwrap().clone()
     }
 }
 
 impl State {
-    fn is(&self, sickness: Sickness) -> bool {
-        self.sickness.lock().unwrap().contains(&sickness)
+    fn has_fault(&self, fault: EndpointFault) -> bool {
+        self.faults.lock().unwrap().contains(&fault)
     }
 
-    fn see(&self, id: &str, sending: &str) -> usize {
-        let mut sights = self.sights.lock().unwrap();
-        let (id, sending) = (id.to_owned(), sending.to_owned());
-        sights.push(Sight { id, sending, at: Instant::now(), ran: false, shed: false });
-        sights.len() - 1
+    fn record_received(&self, id: &str, send_id: &str) -> usize {
+        let mut received = self.received.lock().unwrap();
+        let (id, send_id) = (id.to_owned(), send_id.to_owned());
+        received.push(ReceivedRequest {
+            id,
+            send_id,
+            received_at: Instant::now(),
+            ran: false,
+            shed: false,
+        });
+        received.len() - 1
     }
 
     fn delay(&self) -> Duration {
         let mut delay = Duration::ZERO;
-        if self.is(Sickness::Straggles) {
-            delay += STRAGGLE;
+        if self.has_fault(EndpointFault::Slow) {
+            delay += SLOW_DELAY;
         }
-        let mut warm = self.warm.lock().unwrap();
-        if self.is(Sickness::Cold) && *warm < COLD_ANSWERS {
-            *warm += 1;
-            delay += 2 * STRAGGLE;
+        let mut cold_answers = self.cold_answers.lock().unwrap();
+        if self.has_fault(EndpointFault::ColdStart) && *cold_answers < COLD_ANSWERS {
+            *cold_answers += 1;
+            delay += 2 * SLOW_DELAY;
         }
-        if self.is(Sickness::Late) {
-            delay += TOO_LATE;
+        if self.has_fault(EndpointFault::Late) {
+            delay += LATE_DELAY;
         }
         delay
     }
 
     fn fails(&self) -> bool {
-        let flapped = (self.started.elapsed().as_millis() / FLAP).is_multiple_of(2);
-        self.is(Sickness::Gray) || (self.is(Sickness::Flaps) && flapped)
+        let is_in_failing_interval =
+            (self.started.elapsed().as_millis() / FLAP_MS).is_multiple_of(2);
+        self.has_fault(EndpointFault::Gray)
+            || (self.has_fault(EndpointFault::Flapping) && is_in_failing_interval)
     }
 
-    async fn held(&self, hold: Hold) {
+    async fn wait_while_held(&self, hold: Hold) {
         let mut receiver = self.hold.subscribe();
         if *receiver.borrow_and_update() == hold {
-            self.reached.send_modify(|reached| *reached += 1);
+            self.held_count.send_modify(|held_count| *held_count += 1);
             let _ = receiver.wait_for(|now| *now != hold).await;
         }
     }
@@ -204,85 +212,86 @@
 type Answer = Response<StreamBody<Parts>>;
 
 async fn answer(state: Arc<State>, request: Request<Incoming>) -> Result<Answer, Error> {
-    if state.is(Sickness::Hangs) {
+    if state.has_fault(EndpointFault::Hanging) {
         std::future::pending::<()>().await;
     }
-    let Some(sending) = request.headers().get(ID).map(|id| id.to_str().unwrap().to_owned()) else {
-        return Ok(head(&state, 200, whole(Bytes::from_static(b"well"))));
+    let Some(send_id) = request.headers().get(ID_HEADER).map(|id| id.to_str().unwrap().to_owned())
+    else {
+        return Ok(response(&state, 200, whole_body(Bytes::from_static(b"well"))));
     };
-    let id = sending.trim_end_matches(AGAIN);
-    let sight = state.see(id, &sending);
+    let id = send_id.trim_end_matches(REPEAT_SUFFIX);
+    let index = state.record_received(id, &send_id);
     if request.into_body().collect().await.is_err() {
-        return Ok(head(&state, 400, whole(Bytes::new())));
+        return Ok(response(&state, 400, whole_body(Bytes::new())));
     }
     let to_shed = *state.hold.borrow() == Hold::BeforeShed;
-    state.held(Hold::BeforeShed).await;
-    if to_shed || state.is(Sickness::Sheds) {
-        state.sights.lock().unwrap()[sight].shed = true;
-        let mut answer = head(&state, 503, whole(Bytes::new()));
+    state.wait_while_held(Hold::BeforeShed).await;
+    if to_shed || state.has_fault(EndpointFault::Shedding) {
+        state.received.lock().unwrap()[index].shed = true;
+        let mut answer = response(&state, 503, whole_body(Bytes::new()));
         answer.headers_mut().insert(header::NOT_RUN, "true".parse().unwrap());
         return Ok(answer);
     }
-    state.sights.lock().unwrap()[sight].ran = true;
-    state.held(Hold::BeforeAnswer).await;
+    state.received.lock().unwrap()[index].ran = true;
+    state.wait_while_held(Hold::BeforeAnswer).await;
     tokio::time::sleep(state.delay()).await;
-    if state.is(Sickness::Hangs) {
+    if state.has_fault(EndpointFault::Hanging) {
         std::future::pending::<()>().await;
     }
-    if state.is(Sickness::BreaksOff) {
-        return Err(Error::other("breaks off"));
+    if state.has_fault(EndpointFault::ClosesWithoutAnswer) {
+        return Err(Error::other("closes without an answer"));
     }
     if state.fails() {
-        return Ok(head(&state, 500, whole(Bytes::from(super::failure(id)))));
+        return Ok(response(&state, 500, whole_body(Bytes::from(super::failure_body(id)))));
     }
     let body = Bytes::from(super::payload(id));
     let length = body.len();
-    let mut answer = head(&state, 200, halves(Arc::clone(&state), body));
-    // Every second answer is chunked.
-    if sight.is_multiple_of(2) {
+    let mut answer = response(&state, 200, body_in_halves(Arc::clone(&state), body));
+    // Every second answer is chunked, so that both framings are tested.
+    if index.is_multiple_of(2) {
         answer.headers_mut().insert("content-length", length.into());
     }
     Ok(answer)
 }
 
-fn whole(body: Bytes) -> Parts {
+fn whole_body(body: Bytes) -> Parts {
     stream::iter([Ok(Frame::data(body))]).boxed()
 }
 
-/// Returns a body in two parts between which it may be held up or cut.
-fn halves(state: Arc<State>, body: Bytes) -> Parts {
+/// Returns a body in two parts; it can be held or truncated between them.
+fn body_in_halves(state: Arc<State>, body: Bytes) -> Parts {
     let (first, second) = (body.slice(..body.len() / 2), body.slice(body.len() / 2..));
     let rest = stream::once(async move {
-        state.held(Hold::HalfAnswered).await;
-        if state.is(Sickness::Hangs) {
+        state.wait_while_held(Hold::HalfAnswered).await;
+        if state.has_fault(EndpointFault::Hanging) {
             std::future::pending::<()>().await;
         }
         tokio::time::sleep(state.delay()).await;
-        match state.is(Sickness::CutsShort) {
-            true => Err(Error::other("cut short")),
+        match state.has_fault(EndpointFault::TruncatesAnswers) {
+            true => Err(Error::other("truncated")),
             false => Ok(Frame::data(second)),
         }
     });
     stream::iter([Ok(Frame::data(first))]).chain(rest).boxed()
 }
 
-fn head(state: &State, status: u16, body: Parts) -> Answer {
+fn response(state: &State, status: u16, body: Parts) -> Answer {
     let mut answer = Response::new(StreamBody::new(body));
     *answer.status_mut() = status.try_into().unwrap();
     let headers = answer.headers_mut();
-    if state.is(Sickness::Draining) {
+    if state.has_fault(EndpointFault::Draining) {
         headers.insert(header::DRAINING, "true".parse().unwrap());
     }
-    let load = if state.is(Sickness::Lies) { "4000000000" } else { "1" };
+    let load = if state.has_fault(EndpointFault::WrongLoad) { "4000000000" } else { "1" };
     headers.insert(header::LOAD, load.parse().unwrap());
     answer
 }
 
-/// Returns how often each request was run, over all endpoints.
-pub(crate) fn runs(endpoints: &[Endpoint]) -> HashMap<String, usize> {
+/// Returns how many times each request was run, over all endpoints.
+pub(crate) fn run_counts(endpoints: &[Endpoint]) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
-    for sight in endpoints.iter().flat_map(Endpoint::sights).filter(|sight| sight.ran) {
-        *runs.entry(sight.id).or_default() += 1;
+    for request in endpoints.iter().flat_map(Endpoint::received).filter(|request| request.ran) {
+        *runs.entry(request.id).or_default() += 1;
     }
     runs
 }
--- a/crates/pistachiotrackd/tests/fault_matrix/fault.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/fault.rs
@@ -1,4 +1,4 @@
-//! The rows of the matrix: what goes wrong, and how it is armed.
+//! The rows of the matrix: the faults and how they are injected.
 
 use std::{
     sync::{Arc, atomic::Ordering, mpsc::Sender},
@@ -6,18 +6,18 @@
 };
 
 use super::{
-    endpoint::Sickness,
-    world::{LOOK_INTERVAL, SHORT_PATIENCE, World},
+    endpoint::EndpointFault,
+    testbed::{POLL_INTERVAL, SHORT_TIMEOUT, Testbed},
 };
 use crate::testenv::platform::PlatformFault;
 
 /// A row of the matrix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    Sick(Sickness),
-    CallerLegSilent,
-    PeerLegSilent,
-    EndpointLegSilent,
+    Endpoint(EndpointFault),
+    CallerLinkSilent,
+    PeerLinkSilent,
+    EndpointLinkSilent,
     CutToEndpoint,
     CutFromEndpoint,
     CutToOwner,
@@ -30,22 +30,22 @@
     ConfigOlder,
 }
 
-/// All rows with their names.
+/// All faults with the names of their rows.
 pub(crate) const FAULTS: [(&str, Fault); 24] = [
-    ("gray endpoint", Fault::Sick(Sickness::Gray)),
-    ("straggler", Fault::Sick(Sickness::Straggles)),
-    ("hang", Fault::Sick(Sickness::Hangs)),
-    ("flapping", Fault::Sick(Sickness::Flaps)),
-    ("endpoint draining", Fault::Sick(Sickness::Draining)),
-    ("cold start", Fault::Sick(Sickness::Cold)),
-    ("shedding", Fault::Sick(Sickness::Sheds)),
-    ("lying load report", Fault::Sick(Sickness::Lies)),
-    ("answers late", Fault::Sick(Sickness::Late)),
-    ("answers cut short", Fault::Sick(Sickness::CutsShort)),
-    ("answers broken off", Fault::Sick(Sickness::BreaksOff)),
-    ("silent caller-VM", Fault::CallerLegSilent),
-    ("silent VM-VM", Fault::PeerLegSilent),
-    ("silent VM-endpoint", Fault::EndpointLegSilent),
+    ("gray endpoint", Fault::Endpoint(EndpointFault::Gray)),
+    ("straggler", Fault::Endpoint(EndpointFault::Slow)),
+    ("hang", Fault::Endpoint(EndpointFault::Hanging)),
+    ("flapping", Fault::Endpoint(EndpointFault::Flapping)),
+    ("endpoint draining", Fault::Endpoint(EndpointFault::Draining)),
+    ("cold start", Fault::Endpoint(EndpointFault::ColdStart)),
+    ("shedding", Fault::Endpoint(EndpointFault::Shedding)),
+    ("lying load report", Fault::Endpoint(EndpointFault::WrongLoad)),
+    ("answers late", Fault::Endpoint(EndpointFault::Late)),
+    ("answers cut short", Fault::Endpoint(EndpointFault::TruncatesAnswers)),
+    ("answers broken off", Fault::Endpoint(EndpointFault::ClosesWithoutAnswer)),
+    ("silent caller-VM", Fault::CallerLinkSilent),
+    ("silent VM-VM", Fault::PeerLinkSilent),
+    ("silent VM-endpoint", Fault::EndpointLinkSilent),
     ("cut VM to endpoint", Fault::CutToEndpoint),
     ("cut endpoint to VM", Fault::CutFromEndpoint),
     ("cut VM to owner", Fault::CutToOwner),
@@ -61,9 +61,9 @@
 /// Longest pause of a VM.
 const PAUSE_LIMIT: Duration = Duration::from_secs(4);
 
-/// The VM that owns the bookings.
+/// Index of the VM that owns the bookings.
 pub(crate) const OWNER: usize = 0;
-const OTHER: usize = 1;
+const OTHER_VM: usize = 1;
 
 impl Fault {
     /// Returns the name of the row.
@@ -71,103 +71,116 @@
         FAULTS.iter().find(|(_, fault)| *fault == self).map_or("?", |(name, _)| name)
     }
 
-    /// Returns whether the owner's platform is what is at fault.
-    pub(crate) fn is_of_config(self) -> bool {
+    /// Returns whether the fault is one of the owner's platform.
+    pub(crate) fn is_config_fault(self) -> bool {
         matches!(self, Fault::ConfigDown | Fault::ConfigStale | Fault::ConfigOlder)
     }
 
-    /// Returns whether callers may be cut off or left without an answer by the
-    /// fault itself, whatever the VMs do.
+    /// Returns whether the fault itself may close callers' connections or leave
+    /// callers without an answer, whatever the VMs do.
     pub(crate) fn cuts_callers(self) -> bool {
-        matches!(self, Fault::CallerLegSilent | Fault::OwnerCrash)
+        matches!(self, Fault::CallerLinkSilent | Fault::OwnerCrash)
     }
 
-    /// Returns whether an answer that has begun may be cut by the fault itself.
+    /// Returns whether the fault itself may truncate an answer that has begun.
     pub(crate) fn cuts_answers(self) -> bool {
-        use Sickness::{CutsShort, Hangs, Late};
-        let sick = matches!(self, Fault::Sick(Hangs | Late | CutsShort));
-        sick || self.cuts_callers() || self.is_of_leg() || self == Fault::OwnerPause
+        use EndpointFault::{Hanging, Late, TruncatesAnswers};
+        let is_endpoint_fault = matches!(self, Fault::Endpoint(Hanging | Late | TruncatesAnswers));
+        is_endpoint_fault
+            || self.cuts_callers()
+            || self.is_link_fault()
+            || self == Fault::OwnerPause
     }
 
-    fn is_of_leg(self) -> bool {
+    fn is_link_fault(self) -> bool {
         use Fault::{
-            CutFromEndpoint, CutFromOwner, CutToEndpoint, CutToOwner, EndpointLegSilent, Partition,
-            PeerLegSilent,
+            CutFromEndpoint, CutFromOwner, CutToEndpoint, CutToOwner, EndpointLinkSilent,
+            Partition, PeerLinkSilent,
         };
-        let of_endpoint = matches!(self, EndpointLegSilent | CutToEndpoint | CutFromEndpoint);
-        of_endpoint || matches!(self, PeerLegSilent | CutToOwner | CutFromOwner | Partition)
+        let at_endpoint = matches!(self, EndpointLinkSilent | CutToEndpoint | CutFromEndpoint);
+        at_endpoint || matches!(self, PeerLinkSilent | CutToOwner | CutFromOwner | Partition)
     }
 
-    /// Lets the fault strike.
-    pub(crate) fn arm(self, world: &Arc<World>) {
+    /// Injects the fault.
+    pub(crate) fn inject(self, testbed: &Arc<Testbed>) {
         match self {
-            Fault::Sick(sickness) => {
-                world.sick().iter().for_each(|index| world.endpoints[*index].fall_sick(sickness));
+            Fault::Endpoint(fault) => {
+                testbed
+                    .faulty_endpoints()
+                    .iter()
+                    .for_each(|index| testbed.endpoints[*index].add_fault(fault));
             }
-            Fault::CallerLegSilent => {
-                *world.patience.lock().unwrap() = SHORT_PATIENCE;
-                world.caller_legs.iter().for_each(|leg| leg.switches.silence_open());
+            Fault::CallerLinkSilent => {
+                *testbed.timeout.lock().unwrap() = SHORT_TIMEOUT;
+                testbed.caller_links.iter().for_each(|link| link.faults.silence_open());
             }
-            Fault::PeerLegSilent => {
-                world.peer_legs.iter().for_each(|leg| leg.switches.silence_open());
+            Fault::PeerLinkSilent => {
+                testbed.peer_links.iter().for_each(|link| link.faults.silence_open());
             }
-            Fault::EndpointLegSilent => {
-                world.endpoint_legs.iter().for_each(|leg| leg.switches.silence_open());
+            Fault::EndpointLinkSilent => {
+                testbed.endpoint_links.iter().for_each(|link| link.faults.silence_open());
             }
             Fault::CutToEndpoint => {
-                for index in world.sick() {
-                    world.endpoint_legs[index].switches.drop_forth.store(true, Ordering::SeqCst);
+                for index in testbed.faulty_endpoints() {
+                    testbed.endpoint_links[index]
+                        .faults
+                        .drop_to_target
+                        .store(true, Ordering::SeqCst);
                 }
             }
             Fault::CutFromEndpoint => {
-                for index in world.sick() {
-                    world.endpoint_legs[index].switches.drop_back.store(true, Ordering::SeqCst);
+                for index in testbed.faulty_endpoints() {
+                    testbed.endpoint_links[index]
+                        .faults
+                        .drop_from_target
+                        .store(true, Ordering::SeqCst);
                 }
             }
-            Fault::CutToOwner => cut(world, OTHER, OWNER),
-            Fault::CutFromOwner => cut(world, OWNER, OTHER),
+            Fault::CutToOwner => cut(testbed, OTHER_VM, OWNER),
+            Fault::CutFromOwner => cut(testbed, OWNER, OTHER_VM),
             Fault::Partition => {
-                cut(world, OWNER, OTHER);
-                cut(world, OTHER, OWNER);
+                cut(testbed, OWNER, OTHER_VM);
+                cut(testbed, OTHER_VM, OWNER);
             }
             Fault::OwnerCrash => {
-                world.gone.lock().unwrap().push(OWNER);
-                world.vms[OWNER].crash();
+                testbed.stopped_vms.lock().unwrap().push(OWNER);
+                testbed.vms[OWNER].crash();
             }
             Fault::OwnerPause => {
-                let resume = world.vms[OWNER].pause();
-                tokio::spawn(resume_late(Arc::clone(world), resume));
+                let resume = testbed.vms[OWNER].pause();
+                tokio::spawn(resume_when_dead(Arc::clone(testbed), resume));
             }
-            Fault::ConfigDown => world.platforms[OWNER].set_fault(PlatformFault::Unavailable),
+            Fault::ConfigDown => testbed.platforms[OWNER].set_fault(PlatformFault::Unavailable),
             Fault::ConfigStale => {}
             Fault::ConfigOlder => {
-                world.publish(OWNER, 1, None);
-                world.platforms[OWNER].set_fault(PlatformFault::AnswersStale);
+                testbed.publish(OWNER, 1, None);
+                testbed.platforms[OWNER].set_fault(PlatformFault::AnswersStale);
             }
         }
     }
 }
 
-/// Lets a paused VM go on when the other one has given it up, or after a while,
-/// with requests in flight at it and old facts in its memory.
-async fn resume_late(world: Arc<World>, resume: Sender<()>) {
+/// Resumes a paused VM when the other one considers it dead, or after
+/// [`PAUSE_LIMIT`]. It then has requests in flight and outdated state.
+async fn resume_when_dead(testbed: Arc<Testbed>, resume: Sender<()>) {
     let start = Instant::now();
-    while start.elapsed() < PAUSE_LIMIT && !world.is_given_up(OTHER).await {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+    while start.elapsed() < PAUSE_LIMIT && !testbed.considers_peer_dead(OTHER_VM).await {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     drop(resume);
 }
 
-/// Drops everything that one VM sends to the other one.
-fn cut(world: &World, from: usize, to: usize) {
-    world.peer_legs[to].switches.drop_forth.store(true, Ordering::SeqCst);
-    world.peer_legs[from].switches.drop_back.store(true, Ordering::SeqCst);
+/// Drops all data that one VM sends to the other one.
+fn cut(testbed: &Testbed, from: usize, to: usize) {
+    testbed.peer_links[to].faults.drop_to_target.store(true, Ordering::SeqCst);
+    testbed.peer_links[from].faults.drop_from_target.store(true, Ordering::SeqCst);
 }
 
-/// Mends all that can be mended.
-pub(crate) fn disarm(world: &World) {
-    world.endpoints.iter().for_each(|endpoint| endpoint.heal());
-    let legs = world.endpoint_legs.iter().chain(&world.peer_legs).chain(&world.caller_legs);
-    legs.for_each(|leg| leg.switches.pass());
-    world.platforms.iter().for_each(|platform| platform.set_fault(PlatformFault::None));
+/// Removes all faults that can be removed.
+pub(crate) fn remove_faults(testbed: &Testbed) {
+    testbed.endpoints.iter().for_each(|endpoint| endpoint.clear_faults());
+    let links =
+        testbed.endpoint_links.iter().chain(&testbed.peer_links).chain(&testbed.caller_links);
+    links.for_each(|link| link.faults.pass());
+    testbed.platforms.iter().for_each(|platform| platform.set_fault(PlatformFault::None));
 }
--- a/crates/pistachiotrackd/tests/fault_matrix/step.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/step.rs
@@ -1,4 +1,4 @@
-//! The columns of the matrix: the step at which a fault strikes.
+//! The columns of the matrix: the step at which faults are injected.
 
 use std::{
     sync::Arc,
@@ -8,10 +8,10 @@
 use tokio::sync::{oneshot, watch};
 
 use super::{
-    caller::Sent,
-    endpoint::{Hold, Sickness},
+    caller::SentRequest,
+    endpoint::{EndpointFault, Hold},
     fault::{Fault, OWNER},
-    world::World,
+    testbed::Testbed,
 };
 
 /// A column of the matrix.
@@ -28,7 +28,7 @@
     Shutdown,
 }
 
-/// All columns with their names.
+/// All steps with the names of their columns.
 pub(crate) const STEPS: [(&str, Step); 9] = [
     ("before send", Step::BeforeSend),
     ("half sent", Step::HalfSent),
@@ -41,21 +41,21 @@
     ("VM shutdown", Step::Shutdown),
 ];
 
-/// Time after which an endpoint that leaves must get no new work.
-const LEAVING_LIMIT: Duration = Duration::from_secs(4);
+/// Time after which a draining endpoint must get no new requests.
+const DRAIN_LIMIT: Duration = Duration::from_secs(4);
 
-/// What a step leaves to the oracle.
+/// Records of a step that the oracle checks.
 #[derive(Default)]
-pub(crate) struct Struck {
-    /// Requests that were in flight when a VM was asked to stop.
-    pub(crate) in_flight: Vec<Sent>,
-    /// Version that must come into force.
+pub(crate) struct StepRecord {
+    /// Requests that were in flight when a VM began to stop.
+    pub(crate) in_flight: Vec<SentRequest>,
+    /// Configuration version that must become active.
     pub(crate) version: u64,
-    /// Moment from which the sick endpoints must get no new work.
-    pub(crate) left_at: Option<Instant>,
-    /// Moment at which the faults were mended.
-    pub(crate) mended_at: Option<Instant>,
-    /// Ends when the VM has stopped.
+    /// Time from which the draining endpoints must get no new requests.
+    pub(crate) no_requests_from: Option<Instant>,
+    /// Time at which the faults were removed.
+    pub(crate) faults_removed_at: Option<Instant>,
+    /// Completes when the VM has stopped.
     pub(crate) stopping: Option<oneshot::Receiver<()>>,
 }
 
@@ -65,99 +65,99 @@
         STEPS.iter().find(|(_, step)| *step == self).map_or("?", |(name, _)| name)
     }
 
-    /// Returns the time for which a VM asked to stop still serves callers.
+    /// Returns the time for which a stopping VM still accepts callers.
     pub(crate) fn entry_drain_ms(self) -> u64 {
         if self == Step::HandOver { 1_000 } else { 0 }
     }
 
-    /// Lets the faults strike at this step, with requests before and after.
-    pub(crate) async fn strike(self, world: &Arc<World>, faults: &[Fault]) -> Struck {
-        let mut struck = Struck { version: 2, ..Struck::default() };
-        // The connections that a fault may hit are open before it strikes.
-        world.finish(world.begin(None)).await;
+    /// Injects the faults at this step, and sends requests before and after.
+    pub(crate) async fn run(self, testbed: &Arc<Testbed>, faults: &[Fault]) -> StepRecord {
+        let mut record = StepRecord { version: 2, ..StepRecord::default() };
+        // Opens the connections that a fault may affect before it is injected.
+        testbed.finish_batch(testbed.begin_batch(None)).await;
         match self {
-            Step::BeforeSend => arm(world, faults),
-            Step::HalfSent => half_sent(world, faults).await,
-            Step::Waiting => held(world, faults, Hold::BeforeAnswer).await,
-            Step::HalfAnswered => held(world, faults, Hold::HalfAnswered).await,
-            Step::AtRetry => held(world, faults, Hold::BeforeShed).await,
+            Step::BeforeSend => inject_all(testbed, faults),
+            Step::HalfSent => inject_half_sent(testbed, faults).await,
+            Step::Waiting => inject_while_held(testbed, faults, Hold::BeforeAnswer).await,
+            Step::HalfAnswered => inject_while_held(testbed, faults, Hold::HalfAnswered).await,
+            Step::AtRetry => inject_while_held(testbed, faults, Hold::BeforeShed).await,
             Step::HandOver => {
-                struck.stopping = Some(stop_owner(world));
-                arm(world, faults);
+                record.stopping = Some(stop_owner(testbed));
+                inject_all(testbed, faults);
             }
             Step::ConfigChange => {
-                struck.version = 3;
-                publish(world, faults, None);
+                record.version = 3;
+                publish(testbed, faults, None);
             }
             Step::EndpointDrain => {
-                struck.version = 3;
-                for index in world.sick() {
-                    world.endpoints[index].fall_sick(Sickness::Draining);
+                record.version = 3;
+                for index in testbed.faulty_endpoints() {
+                    testbed.endpoints[index].add_fault(EndpointFault::Draining);
                 }
-                publish(world, faults, Some(0));
-                struck.left_at = Some(Instant::now() + LEAVING_LIMIT);
+                publish(testbed, faults, Some(0));
+                record.no_requests_from = Some(Instant::now() + DRAIN_LIMIT);
             }
-            Step::Shutdown => shutdown(world, faults, &mut struck).await,
+            Step::Shutdown => inject_at_shutdown(testbed, faults, &mut record).await,
         }
-        if faults.contains(&Fault::Sick(Sickness::Draining)) {
-            struck.left_at.get_or_insert(Instant::now() + LEAVING_LIMIT);
+        if faults.contains(&Fault::Endpoint(EndpointFault::Draining)) {
+            record.no_requests_from.get_or_insert(Instant::now() + DRAIN_LIMIT);
         }
-        world.finish(world.begin(None)).await;
-        while struck.left_at.is_some_and(|left_at| Instant::now() <= left_at) {
-            world.finish(world.begin(None)).await;
-            tokio::time::sleep(LEAVING_LIMIT / 10).await;
+        testbed.finish_batch(testbed.begin_batch(None)).await;
+        while record.no_requests_from.is_some_and(|from| Instant::now() <= from) {
+            testbed.finish_batch(testbed.begin_batch(None)).await;
+            tokio::time::sleep(DRAIN_LIMIT / 10).await;
         }
-        if struck.left_at.is_some() {
-            world.finish(world.begin(None)).await;
+        if record.no_requests_from.is_some() {
+            testbed.finish_batch(testbed.begin_batch(None)).await;
         }
-        struck
+        record
     }
 }
 
-fn arm(world: &Arc<World>, faults: &[Fault]) {
-    faults.iter().for_each(|fault| fault.arm(world));
+fn inject_all(testbed: &Arc<Testbed>, faults: &[Fault]) {
+    faults.iter().for_each(|fault| fault.inject(testbed));
 }
 
-async fn half_sent(world: &Arc<World>, faults: &[Fault]) {
+async fn inject_half_sent(testbed: &Arc<Testbed>, faults: &[Fault]) {
     let (held_back, receiver) = watch::channel(true);
-    let before = world.seen();
-    let batch = world.begin(Some(&receiver));
-    world.until_seen(&batch, before).await;
-    arm(world, faults);
+    let before = testbed.received_count();
+    let batch = testbed.begin_batch(Some(&receiver));
+    testbed.wait_until_received(&batch, before).await;
+    inject_all(testbed, faults);
     held_back.send_replace(false);
-    world.finish(batch).await;
+    testbed.finish_batch(batch).await;
 }
 
-async fn held(world: &Arc<World>, faults: &[Fault], hold: Hold) {
-    world.hold(hold);
-    let batch = world.begin(None);
-    world.until_held(&batch).await;
-    arm(world, faults);
-    world.hold(Hold::Nowhere);
-    world.finish(batch).await;
+async fn inject_while_held(testbed: &Arc<Testbed>, faults: &[Fault], hold: Hold) {
+    testbed.hold(hold);
+    let batch = testbed.begin_batch(None);
+    testbed.wait_until_held(&batch).await;
+    inject_all(testbed, faults);
+    testbed.hold(Hold::Nowhere);
+    testbed.finish_batch(batch).await;
 }
 
-fn stop_owner(world: &World) -> oneshot::Receiver<()> {
-    world.gone.lock().unwrap().push(OWNER);
-    world.vms[OWNER].stop()
+fn stop_owner(testbed: &Testbed) -> oneshot::Receiver<()> {
+    testbed.stopped_vms.lock().unwrap().push(OWNER);
+    testbed.vms[OWNER].stop()
 }
 
-/// Publishes a configuration while the faults strike: before them to one VM,
-/// after them to the other, whose platform may be what fails.
-fn publish(world: &Arc<World>, faults: &[Fault], leaving: Option<usize>) {
-    world.publish(1 - OWNER, 3, leaving);
-    arm(world, faults);
-    if !faults.iter().any(|fault| fault.is_of_config()) {
-        world.publish(OWNER, 3, leaving);
+/// Publishes a configuration around the injection of the faults: before it to one
+/// VM, after it to the other one, unless the platform of that VM is what fails.
+fn publish(testbed: &Arc<Testbed>, faults: &[Fault], leaving: Option<usize>) {
+    testbed.publish(1 - OWNER, 3, leaving);
+    inject_all(testbed, faults);
+    if !faults.iter().any(|fault| fault.is_config_fault()) {
+        testbed.publish(OWNER, 3, leaving);
     }
 }
 
-async fn shutdown(world: &Arc<World>, faults: &[Fault], struck: &mut Struck) {
-    world.hold(Hold::BeforeAnswer);
-    let batch = world.begin(None);
-    world.until_held(&batch).await;
-    arm(world, faults);
-    struck.stopping = Some(stop_owner(world));
-    world.hold(Hold::Nowhere);
-    struck.in_flight = world.finish(batch).await;
+async fn inject_at_shutdown(testbed: &Arc<Testbed>, faults: &[Fault], record: &mut StepRecord) {
+    testbed.hold(Hold::BeforeAnswer);
+    let batch = testbed.begin_batch(None);
+    testbed.wait_until_held(&batch).await;
+    inject_all(testbed, faults);
+    record.stopping = Some(stop_owner(testbed));
+    testbed.hold(Hold::Nowhere);
+    record.in_flight = testbed.finish_batch(batch).await;
 }
--- a/crates/pistachiotrackd/tests/fault_matrix/vm.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/vm.rs
@@ -1,4 +1,4 @@
-//! A daemon on a thread of its own, so that it can be crashed and paused like a
+//! A daemon on its own thread, so that it can be crashed and paused like a
 //! process.
 
 use std::net::SocketAddr;
@@ -6,16 +6,16 @@
 use pistachiotrackd::{daemon::Daemon, settings::Settings};
 use tokio::sync::{mpsc, oneshot};
 
-/// A daemon on a thread of its own; crashes when dropped.
+/// A daemon on its own thread; crashes when dropped.
 pub(crate) struct Vm {
     /// Address that callers connect to.
     pub(crate) caller_address: SocketAddr,
     /// Address of the admin port.
     pub(crate) admin_address: SocketAddr,
-    control: mpsc::UnboundedSender<Control>,
+    control: mpsc::UnboundedSender<Command>,
 }
 
-enum Control {
+enum Command {
     Stop(oneshot::Sender<()>),
     Pause(std::sync::mpsc::Receiver<()>),
     Crash,
@@ -24,37 +24,37 @@
 impl Vm {
     /// Starts a daemon.
     pub(crate) async fn start(settings: Settings) -> Vm {
-        let (control, orders) = mpsc::unbounded_channel();
+        let (control, commands) = mpsc::unbounded_channel();
         let (started, addresses) = oneshot::channel();
         std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-            runtime.block_on(run(settings, started, orders));
+            runtime.block_on(run(settings, started, commands));
             runtime.shutdown_background();
         });
-        let (caller_address, admin_address) = addresses.await.expect("the daemon starts");
+        let (caller_address, admin_address) = addresses.await.expect("the daemon should start");
         Vm { caller_address, admin_address, control }
     }
 
-    /// Asks the daemon to stop; the answer comes when it has stopped.
+    /// Begins to stop the daemon; the returned receiver completes when it has stopped.
     pub(crate) fn stop(&self) -> oneshot::Receiver<()> {
         let (stopped, receiver) = oneshot::channel();
-        let _ = self.control.send(Control::Stop(stopped));
+        let _ = self.control.send(Command::Stop(stopped));
         receiver
     }
 
-    /// Ends the daemon at once, as a VM's failure does.
+    /// Ends the daemon at once, as when its VM fails.
     pub(crate) fn crash(&self) {
-        let _ = self.control.send(Control::Crash);
+        let _ = self.control.send(Command::Crash);
     }
 
-    /// Pauses the daemon until what is returned is dropped.
+    /// Pauses the daemon until the returned sender is dropped.
     ///
-    /// The only thread of the daemon stands still in one piece, in the middle
-    /// of whatever its tasks were about to do, and goes on with old facts.
+    /// The only thread of the daemon blocks, so that all its tasks stop at
+    /// whatever point they are, and continue later with outdated state.
     pub(crate) fn pause(&self) -> std::sync::mpsc::Sender<()> {
         let (resume, resumed) = std::sync::mpsc::channel();
-        let _ = self.control.send(Control::Pause(resumed));
+        let _ = self.control.send(Command::Pause(resumed));
         resume
     }
 }
@@ -62,22 +62,22 @@
 async fn run(
     settings: Settings,
     started: oneshot::Sender<(SocketAddr, SocketAddr)>,
-    mut orders: mpsc::UnboundedReceiver<Control>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
 ) {
     let daemon = Daemon::start(settings).await.unwrap();
     let _ = started.send((daemon.caller_address(), daemon.admin_address()));
     let mut daemon = Some(daemon);
-    // The process ends when the daemon has stopped, whatever is still open.
+    // Returns when the daemon has stopped even if connections are open, as its process does.
     let (ended, mut end) = mpsc::channel(1);
     loop {
-        let order = tokio::select! {
-            order = orders.recv() => order,
+        let command = tokio::select! {
+            command = commands.recv() => command,
             _ = end.recv() => return,
         };
-        match order {
-            None | Some(Control::Crash) => return,
-            Some(Control::Pause(resumed)) => drop(resumed.recv()),
-            Some(Control::Stop(stopped)) => {
+        match command {
+            None | Some(Command::Crash) => return,
+            Some(Command::Pause(resumed)) => drop(resumed.recv()),
+            Some(Command::Stop(stopped)) => {
                 let Some(daemon) = daemon.take() else { continue };
                 let ended = ended.clone();
                 tokio::spawn(async move {
