--- a/crates/pistachiotrackd/tests/fault_matrix/endpoint.rs
+++ b/crates/pistachiotrackd/tests/fault_matrix/endpoint.rs
@@ -30,7 +30,7 @@
 pub(crate) enum EndpointFault {
     /// No fault.
     #[default]
-    None,
+    Healthy,
     /// Health checks succeed, requests fail.
     Gray,
     /// Every answer is slow.
--- a/crates/pistachiotrackd/tests/forward.rs
+++ b/crates/pistachiotrackd/tests/forward.rs
@@ -398,9 +398,9 @@
     client::wait_for(admin, "/endpoints", |endpoints| !serves_for_owner(endpoints)).await;
 }
 
-/// Guards against a booking that goes to an endpoint which the former owner had ejected.
-/// That owner stops; the other VM learns that it leaves and owns the service at once, while
-/// the hand-over is still in transit on a slow path.
+/// Guards against a booking that is answered 500 by an endpoint which the former owner had
+/// ejected. That owner stops; the other VM learns that it leaves and owns the service at
+/// once, while the hand-over is still in transit on a slow path.
 #[tokio::test]
 async fn the_successor_of_a_stopping_owner_takes_no_booking_before_the_hand_over() {
     let healthy = Endpoint::answering("booked").await;
--- a/crates/pistachiotrackd/tests/testenv/fleet.rs
+++ b/crates/pistachiotrackd/tests/testenv/fleet.rs
@@ -28,8 +28,11 @@
 /// A daemon on its own threads, so that it can be crashed independently.
 pub(crate) struct Vm {
     pub(crate) name: String,
+    /// Address that callers connect to.
     pub(crate) caller: SocketAddr,
+    /// Address that other VMs use.
     pub(crate) peer: SocketAddr,
+    /// Address of the admin port.
     pub(crate) admin: SocketAddr,
     daemon: Option<Daemon>,
     runtime: Option<Runtime>,
