--- a/crates/pistachiotrackd/tests/refusals.rs
+++ b/crates/pistachiotrackd/tests/refusals.rs
@@ -58,8 +58,8 @@
     Refusal { vm, answer, _platform: Some(platform) }
 }
 
-/// Starts an endpoint that answers the first lookups at once and the others only after it has
-/// been released.
+/// Starts an endpoint that answers the first lookups after [`WORK_TIME`] and the others only
+/// after it has been released.
 async fn endpoint_blocking_after(first: usize) -> (Endpoint, watch::Sender<bool>) {
     let (release, released) = watch::channel(false);
     let (count, _) = watch::channel(0);
