--- a/crates/pistachiotrack-standins/src/admin.rs
+++ b/crates/pistachiotrack-standins/src/admin.rs
@@ -16,24 +16,24 @@
 
 /// A client of admin ports.
 #[derive(Clone, Debug)]
-pub struct Admin {
+pub struct AdminClient {
     client: Client<HttpConnector, Empty<Bytes>>,
 }
 
-impl Default for Admin {
-    fn default() -> Admin {
-        Admin { client: Client::builder(TokioExecutor::new()).build_http() }
+impl Default for AdminClient {
+    fn default() -> AdminClient {
+        AdminClient { client: Client::builder(TokioExecutor::new()).build_http() }
     }
 }
 
-impl Admin {
+impl AdminClient {
     /// Asks for the status.
     ///
     /// # Errors
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn status(&self, address: SocketAddr) -> anyhow::Result<Status> {
-        self.ask(address, "/status").await
+        self.get(address, "/status").await
     }
 
     /// Asks for the endpoints of the shards that the VM owns.
@@ -42,7 +42,7 @@
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn endpoints(&self, address: SocketAddr) -> anyhow::Result<Vec<EndpointStatus>> {
-        self.ask(address, "/endpoints").await
+        self.get(address, "/endpoints").await
     }
 
     /// Asks for the members that the VM knows.
@@ -51,10 +51,10 @@
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn members(&self, address: SocketAddr) -> anyhow::Result<Vec<MemberStatus>> {
-        self.ask(address, "/members").await
+        self.get(address, "/members").await
     }
 
-    async fn ask<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> anyhow::Result<T> {
+    async fn get<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> anyhow::Result<T> {
         let uri = format!("http://{address}{path}").parse()?;
         let exchange = async {
             let answer = self.client.get(uri).await?;
--- a/crates/pistachiotrack-standins/src/caller.rs
+++ b/crates/pistachiotrack-standins/src/caller.rs
@@ -24,11 +24,11 @@
 
 use crate::work::{SERVICE_US, WORK_ID, WorkId, is_answer_to};
 
-/// Time allowed for an answer about entries.
+/// Time timeout for an answer about entries.
 const ENTRIES_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time that a caller goes on waiting after the deadline it gave.
-const GRACE: Duration = Duration::from_millis(1_500);
-/// Time allowed for opening a connection.
+const DEADLINE_GRACE: Duration = Duration::from_millis(1_500);
+/// Time timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A kind of request that a caller sends.
@@ -54,7 +54,7 @@
 
 /// What came of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// The whole answer to this request, with success.
     Ok,
     /// The endpoint's own failure.
@@ -87,35 +87,35 @@
     /// Time that the endpoint says it worked.
     pub service_us: Option<u64>,
     /// What came of it.
-    pub ending: Ending,
+    pub outcome: RequestOutcome,
     /// Reason of the refusal, or how the request was lost.
     pub reason: Option<Box<str>>,
     /// Identity of the request within the fleet, if it was refused.
-    pub request: Option<Box<str>>,
+    pub request_id: Option<Box<str>>,
 }
 
 /// What a caller learns from an exchange.
 #[derive(Debug)]
 pub(crate) struct Exchange {
-    pub(crate) ending: Ending,
+    pub(crate) outcome: RequestOutcome,
     service_us: Option<u64>,
     reason: Option<Box<str>>,
-    pub(crate) request: Option<Box<str>>,
+    pub(crate) request_id: Option<Box<str>>,
 }
 
-impl From<Ending> for Exchange {
-    fn from(ending: Ending) -> Exchange {
-        Exchange { ending, service_us: None, reason: None, request: None }
+impl From<RequestOutcome> for Exchange {
+    fn from(outcome: RequestOutcome) -> Exchange {
+        Exchange { outcome, service_us: None, reason: None, request_id: None }
     }
 }
 
 /// Reason of a lost request: nothing came until some time after the deadline.
 const NO_ANSWER: &str = "lost: no answer";
 /// Reason of a lost request: the connection ended before the answer did.
-const BROKEN_OFF: &str = "lost: broken off";
+const CONNECTION_CLOSED: &str = "lost: broken off";
 
 fn lost(reason: &str) -> Exchange {
-    Exchange { reason: Some(reason.into()), ..Ending::Lost.into() }
+    Exchange { reason: Some(reason.into()), ..RequestOutcome::Lost.into() }
 }
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
@@ -124,63 +124,69 @@
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: HttpClient,
-    known: Arc<Vec<SocketAddr>>,
-    entries: Arc<Mutex<FxHashMap<&'static str, Kept>>>,
-    choice: Choice,
+    seed_addresses: Arc<Vec<SocketAddr>>,
+    entries: Arc<Mutex<FxHashMap<&'static str, CachedEntries>>>,
+    selection: AddressSelection,
 }
 
 /// How a caller chooses the address that it sends to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Choice {
+enum AddressSelection {
     /// The entries that a VM gave it, the first one first.
     Steered,
     /// The same entries, but the last one first.
     Reversed,
-    /// One of the known addresses in turn, and no other.
-    One,
+    /// RoundRobin of the seed_addresses addresses in turn, and no other.
+    RoundRobin,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct CachedEntries {
     entries: Vec<Entry>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl Caller {
-    /// Creates a caller that asks the VMs at `known` for entries.
-    pub fn new(known: Vec<SocketAddr>) -> Caller {
-        let choice = Choice::Steered;
-        Caller { client: client(), known: Arc::new(known), entries: Arc::default(), choice }
+    /// Creates a caller that asks the VMs at `seed_addresses` for entries.
+    pub fn new(seed_addresses: Vec<SocketAddr>) -> Caller {
+        let selection = AddressSelection::Steered;
+        Caller {
+            client: client(),
+            seed_addresses: Arc::new(seed_addresses),
+            entries: Arc::default(),
+            selection,
+        }
     }
 
     /// Creates a caller that uses the entries from the last to the first, so that
     /// its work is forwarded.
-    pub fn unsteered(known: Vec<SocketAddr>) -> Caller {
-        Caller { choice: Choice::Reversed, ..Caller::new(known) }
+    pub fn unsteered(seed_addresses: Vec<SocketAddr>) -> Caller {
+        Caller { selection: AddressSelection::Reversed, ..Caller::new(seed_addresses) }
     }
 
     /// Creates a caller that connects to the endpoints at `addresses` itself,
     /// each in turn.
     pub fn direct(addresses: Vec<SocketAddr>) -> Caller {
-        Caller { choice: Choice::One, ..Caller::new(addresses) }
+        Caller { selection: AddressSelection::RoundRobin, ..Caller::new(addresses) }
     }
 
     /// Sends one piece of work and waits for what comes of it.
     pub async fn send(&self, operation: &Operation, id: WorkId) -> Sample {
         let sent = Instant::now();
-        let allowed = Duration::from_millis(operation.deadline_ms) + GRACE;
-        let exchange = tokio::time::timeout(allowed, self.exchange(operation, id)).await;
-        let Exchange { ending, service_us, reason, request } = exchange.unwrap_or(lost(NO_ANSWER));
+        let timeout = Duration::from_millis(operation.deadline_ms) + DEADLINE_GRACE;
+        let exchange = tokio::time::timeout(timeout, self.exchange(operation, id)).await;
+        let Exchange { outcome, service_us, reason, request_id } =
+            exchange.unwrap_or(lost(NO_ANSWER));
         Sample {
             id,
             non_idempotent: operation.non_idempotent,
-            steered: self.choice == Choice::Steered,
+            steered: self.selection == AddressSelection::Steered,
             sent,
             latency_us: sent.elapsed().as_micros() as u64,
             service_us,
-            ending,
+            outcome,
             reason,
-            request,
+            request_id,
         }
     }
 
@@ -189,27 +195,27 @@
             let uri = format!("http://{address}{}", operation.path);
             let Ok(request) = request(operation, id, uri, body(operation, id)) else { break };
             match self.client.request(request).await {
-                Ok(answer) => return judge(id, answer).await,
+                Ok(answer) => return classify_response(id, answer).await,
                 Err(error) if error.is_connect() => {}
-                Err(_) => return lost(BROKEN_OFF),
+                Err(_) => return lost(CONNECTION_CLOSED),
             }
         }
-        Ending::NoVm.into()
+        RequestOutcome::NoVm.into()
     }
 
     async fn addresses(&self, operation: &Operation, id: WorkId) -> Vec<SocketAddr> {
-        if self.choice == Choice::One {
-            return vec![self.known[id.0 as usize % self.known.len()]];
+        if self.selection == AddressSelection::RoundRobin {
+            return vec![self.seed_addresses[id.0 as usize % self.seed_addresses.len()]];
         }
-        if self.is_due(operation.service).await
-            && let Some(found) = self.ask(operation, id).await
+        if self.claim_refresh(operation.service).await
+            && let Some(found) = self.fetch_entries(operation, id).await
         {
             self.entries.lock().await.insert(operation.service, found);
         }
-        let kept = self.entries.lock().await;
-        let Some(kept) = kept.get(operation.service) else { return Vec::new() };
-        let mut addresses: Vec<_> = kept.entries.iter().map(|entry| entry.address).collect();
-        if self.choice == Choice::Reversed {
+        let cached = self.entries.lock().await;
+        let Some(cached) = cached.get(operation.service) else { return Vec::new() };
+        let mut addresses: Vec<_> = cached.entries.iter().map(|entry| entry.address).collect();
+        if self.selection == AddressSelection::Reversed {
             addresses.reverse();
         }
         addresses
@@ -217,33 +223,34 @@
 
     /// Returns whether this request has to ask for entries; the others go on
     /// with the old ones meanwhile.
-    async fn is_due(&self, service: &str) -> bool {
+    async fn claim_refresh(&self, service: &str) -> bool {
         let mut entries = self.entries.lock().await;
-        let Some(kept) = entries.get_mut(service) else { return true };
+        let Some(cached) = entries.get_mut(service) else { return true };
         let now = Instant::now();
-        if kept.until > now {
+        if cached.expires_at > now {
             return false;
         }
-        kept.until = now + ENTRIES_TIMEOUT;
+        cached.expires_at = now + ENTRIES_TIMEOUT;
         true
     }
 
-    async fn ask(&self, operation: &Operation, id: WorkId) -> Option<Kept> {
-        let start = id.0 as usize % self.known.len();
-        let (before, after) = self.known.split_at(start);
+    async fn fetch_entries(&self, operation: &Operation, id: WorkId) -> Option<CachedEntries> {
+        let start = id.0 as usize % self.seed_addresses.len();
+        let (before, after) = self.seed_addresses.split_at(start);
         for address in after.iter().chain(before) {
-            let answer = tokio::time::timeout(ENTRIES_TIMEOUT, self.ask_vm(operation, *address));
+            let answer =
+                tokio::time::timeout(ENTRIES_TIMEOUT, self.fetch_entries_from(operation, *address));
             if let Ok(Ok(answer)) = answer.await
                 && !answer.entries.is_empty()
             {
-                let until = Instant::now() + Duration::from_millis(answer.lifetime_ms);
-                return Some(Kept { entries: answer.entries, until });
+                let expires_at = Instant::now() + Duration::from_millis(answer.lifetime_ms);
+                return Some(CachedEntries { entries: answer.entries, expires_at });
             }
         }
         None
     }
 
-    async fn ask_vm(
+    async fn fetch_entries_from(
         &self,
         operation: &Operation,
         address: SocketAddr,
@@ -292,21 +299,22 @@
 }
 
 /// Reads an answer to its end and tells what it is worth to the caller.
-pub(crate) async fn judge(id: WorkId, answer: Response<Incoming>) -> Exchange {
+pub(crate) async fn classify_response(id: WorkId, answer: Response<Incoming>) -> Exchange {
     let refusal = text(&answer, header::OUTCOME).map(str::to_owned);
     let reason = text(&answer, header::REASON).map(Box::from);
-    let request = refusal.as_ref().and_then(|_| text(&answer, header::REQUEST_ID)).map(Box::from);
+    let request_id =
+        refusal.as_ref().and_then(|_| text(&answer, header::REQUEST_ID)).map(Box::from);
     let service_us = text(&answer, SERVICE_US).and_then(|value| value.parse().ok());
     let status = answer.status();
-    let Ok(body) = answer.into_body().collect().await else { return lost(BROKEN_OFF) };
-    let ending = match refusal.as_deref() {
-        Some("not-run") => Ending::RefusedNotRun,
-        Some(_) => Ending::Unknown,
-        None if !status.is_success() => Ending::Failed,
-        None if is_answer_to(id, &body.to_bytes()) => Ending::Ok,
-        None => Ending::WrongAnswer,
+    let Ok(body) = answer.into_body().collect().await else { return lost(CONNECTION_CLOSED) };
+    let outcome = match refusal.as_deref() {
+        Some("not-run") => RequestOutcome::RefusedNotRun,
+        Some(_) => RequestOutcome::Unknown,
+        None if !status.is_success() => RequestOutcome::Failed,
+        None if is_answer_to(id, &body.to_bytes()) => RequestOutcome::Ok,
+        None => RequestOutcome::WrongAnswer,
     };
-    Exchange { ending, service_us, reason, request }
+    Exchange { outcome, service_us, reason, request_id }
 }
 
 fn text<'a>(answer: &'a Response<Incoming>, name: &str) -> Option<&'a str> {
--- a/crates/pistachiotrack-standins/src/daemon.rs
+++ b/crates/pistachiotrack-standins/src/daemon.rs
@@ -150,7 +150,7 @@
     }
 
     /// Ends the process at once, without waiting for its end.
-    pub fn end_now(&self) {
+    pub fn start_kill(&self) {
         self.signal(libc::SIGKILL);
     }
 
--- a/crates/pistachiotrack-standins/src/demo.rs
+++ b/crates/pistachiotrack-standins/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: both deployments with their real sizes, a sick endpoint and a
+//! The demo: both deployments with their real sizes, a faulty endpoint and a
 //! planned stop in each, and what the callers saw of it.
 
 use std::{
@@ -10,12 +10,12 @@
 use crate::{
     caller::{Caller, Operation},
     daemon::DaemonBinary,
-    demo::report::{DeploymentReport, Report, Stop},
+    demo::report::{DeploymentReport, PlannedStop, Report},
     deployment::{Deployment, Kind},
-    ejection::EjectionWatch,
+    ejection::EjectionMonitor,
     fault::Faults,
     fleet::{Fleet, stop_gracefully},
-    load::{LoadSettings, WorkIds, drive},
+    load::{LoadSettings, WorkIds, generate_load},
     runtime,
     workload::operations,
 };
@@ -138,23 +138,23 @@
     callers.push(Caller::unsteered(fleet.caller_addresses()));
     let operations = operations(kind.work(), &deployment.config, settings.load);
     let load = LoadSettings { duration: settings.duration, ..load };
-    let watch = EjectionWatch::start(fleet.admin_addresses());
+    let watch = EjectionMonitor::start(fleet.admin_addresses());
     let start = Instant::now();
-    let (samples, disturbed) = tokio::join!(
-        drive(&callers, &operations, load),
-        disturb(&deployment, &mut fleet, settings.duration)
+    let (samples, injected) = tokio::join!(
+        generate_load(&callers, &operations, load),
+        inject_faults(&deployment, &mut fleet, settings.duration)
     );
-    let disturbed = disturbed?;
+    let injected = injected?;
     Ok(DeploymentReport::new(report::Run {
         deployment: &deployment,
         ready,
         direct,
         samples,
         ejections: watch.ejections(),
-        fault: disturbed.fault,
+        fault_at: injected.fault_at,
         start,
         end: start + settings.duration,
-        stop: disturbed.stop,
+        stop: injected.stop,
     }))
 }
 
@@ -176,27 +176,27 @@
             duration: load.duration / deployment.config.services.len() as u32,
             ..load.clone()
         };
-        samples.extend(drive(&[Caller::direct(addresses)], &own, load).await);
+        samples.extend(generate_load(&[Caller::direct(addresses)], &own, load).await);
     }
     samples
 }
 
 /// What was done to a deployment during the load.
-struct Disturbance {
-    fault: Instant,
-    stop: Stop,
+struct InjectedFaults {
+    fault_at: Instant,
+    stop: PlannedStop,
 }
 
 /// Makes one endpoint fail grayly after a quarter of the time and stops one VM
 /// after half of it.
-async fn disturb(
+async fn inject_faults(
     deployment: &Deployment,
     fleet: &mut Fleet,
     duration: Duration,
-) -> anyhow::Result<Disturbance> {
+) -> anyhow::Result<InjectedFaults> {
     tokio::time::sleep(duration / 4).await;
-    let fault = Instant::now();
-    deployment.endpoint(sick_endpoint(deployment.kind))?.set_faults(Faults::gray());
+    let fault_at = Instant::now();
+    deployment.endpoint(faulty_endpoint(deployment.kind))?.set_faults(Faults::gray());
     tokio::time::sleep(duration / 4).await;
     let vm = fleet.busiest().await?;
     let mut daemon = fleet.take(&vm)?;
@@ -207,11 +207,11 @@
     listed?;
     let (status, took) = ended?;
     let vm = vm.to_string();
-    Ok(Disturbance { fault, stop: Stop { vm, exit_code: status.code(), took } })
+    Ok(InjectedFaults { fault_at, stop: PlannedStop { vm, exit_code: status.code(), took } })
 }
 
-/// Returns the endpoint that is made sick.
-pub(crate) fn sick_endpoint(kind: Kind) -> &'static str {
+/// Returns the endpoint that is made faulty.
+pub(crate) fn faulty_endpoint(kind: Kind) -> &'static str {
     match kind {
         Kind::Tlmocnik => "availability-calendar-02",
         Kind::Timeliten => "slot-search-03",
--- a/crates/pistachiotrack-standins/src/demo/report.rs
+++ b/crates/pistachiotrack-standins/src/demo/report.rs
@@ -7,17 +7,17 @@
 
 use serde::Serialize;
 
-use super::sick_endpoint;
+use super::faulty_endpoint;
 use crate::{
     caller::Sample,
     deployment::Deployment,
     ejection::{Ejection, quiet_time, work_stopped_after},
-    summary::{Added, Counts},
+    summary::{AddedLatency, Counts},
 };
 
 /// A planned stop.
 #[derive(Clone, Debug)]
-pub(super) struct Stop {
+pub(super) struct PlannedStop {
     pub(super) vm: String,
     pub(super) exit_code: Option<i32>,
     pub(super) took: Duration,
@@ -30,10 +30,10 @@
     pub(super) direct: Vec<Sample>,
     pub(super) samples: Vec<Sample>,
     pub(super) ejections: Vec<Ejection>,
-    pub(super) fault: Instant,
+    pub(super) fault_at: Instant,
     pub(super) start: Instant,
     pub(super) end: Instant,
-    pub(super) stop: Stop,
+    pub(super) stop: PlannedStop,
 }
 
 /// What came of one deployment.
@@ -43,20 +43,20 @@
     ready_ms: u64,
     #[serde(flatten)]
     counts: Counts,
-    /// Time from the fault to the last work that the sick endpoint got.
+    /// Time from the fault to the last work that the faulty endpoint got.
     detect_ms: Option<u64>,
     /// Time from the fault until an admin port showed the ejection.
     ejection_seen_ms: Option<u64>,
     /// Ejections of endpoints that were well.
     false_ejections: u64,
-    /// Added by the fleet before the fault, to steered callers.
-    steady: Added,
+    /// AddedLatency by the fleet before the fault, to steered callers.
+    steady: AddedLatency,
     /// The same over the whole run.
-    added: Added,
+    added: AddedLatency,
     /// The same over the whole run, to callers that aren't steered.
-    unsteered: Added,
-    /// Added by a direct connection.
-    direct: Added,
+    unsteered: AddedLatency,
+    /// AddedLatency by a direct connection.
+    direct: AddedLatency,
     /// Work above an endpoint's slots at its worst moment, probes included.
     slot_overshoot: u32,
     shed: u64,
@@ -70,19 +70,19 @@
 impl DeploymentReport {
     pub(super) fn new(run: Run<'_>) -> DeploymentReport {
         let deployment = run.deployment;
-        let sick = sick_endpoint(deployment.kind);
-        let arrivals = deployment.arrivals_since(sick, run.start).unwrap_or_default();
+        let faulty = faulty_endpoint(deployment.kind);
+        let arrivals = deployment.arrivals_since(faulty, run.start).unwrap_or_default();
         let (before, after): (Vec<_>, Vec<_>) =
-            arrivals.into_iter().partition(|arrival| *arrival < run.fault);
-        let quiet = quiet_time(before.len(), run.fault - run.start);
+            arrivals.into_iter().partition(|arrival| *arrival < run.fault_at);
+        let quiet = quiet_time(before.len(), run.fault_at - run.start);
         let seen = run
             .ejections
             .iter()
-            .find(|ejection| ejection.endpoint.as_str() == sick && ejection.at >= run.fault);
+            .find(|ejection| ejection.endpoint.as_str() == faulty && ejection.at >= run.fault_at);
         let false_ejections = run
             .ejections
             .iter()
-            .filter(|ejection| ejection.endpoint.as_str() != sick || ejection.at < run.fault)
+            .filter(|ejection| ejection.endpoint.as_str() != faulty || ejection.at < run.fault_at)
             .count();
         let counts: Vec<_> =
             deployment.endpoints.iter().map(|endpoint| endpoint.counts()).collect();
@@ -90,14 +90,14 @@
         DeploymentReport {
             deployment: deployment.config.deployment.to_string(),
             ready_ms: millis(run.ready),
-            counts: Counts::of(&run.samples, &deployment.ledger),
-            detect_ms: work_stopped_after(&after, run.fault, run.end, quiet).map(millis),
-            ejection_seen_ms: seen.map(|ejection| millis(ejection.at - run.fault)),
+            counts: Counts::of(&run.samples, &deployment.execution_counter),
+            detect_ms: work_stopped_after(&after, run.fault_at, run.end, quiet).map(millis),
+            ejection_seen_ms: seen.map(|ejection| millis(ejection.at - run.fault_at)),
             false_ejections: false_ejections as u64,
-            steady: Added::of(steered().filter(|sample| sample.sent < run.fault)),
-            added: Added::of(steered()),
-            unsteered: Added::of(run.samples.iter().filter(|sample| !sample.steered)),
-            direct: Added::of(&run.direct),
+            steady: AddedLatency::of(steered().filter(|sample| sample.sent < run.fault_at)),
+            added: AddedLatency::of(steered()),
+            unsteered: AddedLatency::of(run.samples.iter().filter(|sample| !sample.steered)),
+            direct: AddedLatency::of(&run.direct),
             slot_overshoot: deployment.slot_overshoot(),
             shed: counts.iter().map(|counts| counts.shed).sum(),
             probes: counts.iter().map(|counts| counts.probes).sum(),
@@ -209,7 +209,7 @@
     writeln!(f)
 }
 
-fn added(added: Added) -> String {
+fn added(added: AddedLatency) -> String {
     format!("{:.2} / {:.2}", added.p50_ms, added.p99_ms)
 }
 
--- a/crates/pistachiotrack-standins/src/deployment.rs
+++ b/crates/pistachiotrack-standins/src/deployment.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     endpoint::{Endpoint, EndpointSettings},
-    ledger::Ledger,
+    execution_counter::ExecutionCounter,
     platform::Platform,
     workload::{SIGMA, ServiceWork, TIMELITEN, TLMOCNIK},
 };
@@ -65,7 +65,7 @@
     /// The endpoints, in the order of the configuration.
     pub endpoints: Vec<Endpoint>,
     /// What was really run.
-    pub ledger: Arc<Ledger>,
+    pub execution_counter: Arc<ExecutionCounter>,
 }
 
 impl Deployment {
@@ -76,7 +76,7 @@
     /// Returns an error if the example is not valid or a port can't be had.
     pub async fn start(kind: Kind, seed: u64) -> anyhow::Result<Deployment> {
         let mut config = kind.config()?;
-        let ledger = Arc::new(Ledger::default());
+        let execution_counter = Arc::new(ExecutionCounter::default());
         let mut endpoints = Vec::new();
         for service in &mut config.services {
             let median_ms = kind
@@ -94,14 +94,14 @@
                     seed: seed + endpoints.len() as u64,
                     ..EndpointSettings::default()
                 };
-                let running = Endpoint::start(settings, Arc::clone(&ledger)).await?;
+                let running = Endpoint::start(settings, Arc::clone(&execution_counter)).await?;
                 endpoint.address = running.address();
                 endpoints.push(running);
             }
         }
         let platform = Platform::start(&config.deployment).await?;
         platform.publish(&config)?;
-        Ok(Deployment { kind, config, platform, endpoints, ledger })
+        Ok(Deployment { kind, config, platform, endpoints, execution_counter })
     }
 
     /// Returns an endpoint by name.
--- a/crates/pistachiotrack-standins/src/ejection.rs
+++ b/crates/pistachiotrack-standins/src/ejection.rs
@@ -11,10 +11,10 @@
 use rustc_hash::FxHashMap;
 use tokio::task::JoinSet;
 
-use crate::admin::Admin;
+use crate::admin::AdminClient;
 
-/// Time between two looks at a daemon.
-pub const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two polls at a daemon.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// An ejection that was seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,27 +27,27 @@
 
 /// Looks at the admin ports until it is dropped.
 #[derive(Debug)]
-pub struct EjectionWatch {
-    seen: Arc<Mutex<Seen>>,
-    _looks: JoinSet<()>,
+pub struct EjectionMonitor {
+    seen: Arc<Mutex<Observations>>,
+    _polls: JoinSet<()>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
-    out: FxHashMap<SocketAddr, BTreeSet<Name>>,
+struct Observations {
+    ejected: FxHashMap<SocketAddr, BTreeSet<Name>>,
     ejections: Vec<Ejection>,
 }
 
-impl EjectionWatch {
-    /// Starts to look at the daemons with these admin addresses.
-    pub fn start(addresses: Vec<SocketAddr>) -> EjectionWatch {
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let admin = Admin::default();
-        let mut looks = JoinSet::new();
+impl EjectionMonitor {
+    /// Starts to poll at the daemons with these admin addresses.
+    pub fn start(addresses: Vec<SocketAddr>) -> EjectionMonitor {
+        let seen = Arc::new(Mutex::new(Observations::default()));
+        let admin = AdminClient::default();
+        let mut polls = JoinSet::new();
         for address in addresses {
-            looks.spawn(look(admin.clone(), address, Arc::clone(&seen)));
+            polls.spawn(poll(admin.clone(), address, Arc::clone(&seen)));
         }
-        EjectionWatch { seen, _looks: looks }
+        EjectionMonitor { seen, _polls: polls }
     }
 
     /// Returns the ejections seen so far.
@@ -56,9 +56,9 @@
     }
 }
 
-async fn look(admin: Admin, address: SocketAddr, seen: Arc<Mutex<Seen>>) {
+async fn poll(admin: AdminClient, address: SocketAddr, seen: Arc<Mutex<Observations>>) {
     loop {
-        let out = match admin.endpoints(address).await {
+        let ejected = match admin.endpoints(address).await {
             Ok(endpoints) => endpoints
                 .into_iter()
                 .filter(|endpoint| matches!(endpoint.state.as_str(), "ejected" | "trial"))
@@ -66,21 +66,21 @@
                 .collect(),
             Err(_) => BTreeSet::new(),
         };
-        lock(&seen).update(address, out, Instant::now());
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        lock(&seen).update(address, ejected, Instant::now());
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-impl Seen {
-    /// Notes what one daemon has out of rotation. An endpoint that another one
-    /// has out already was ejected once, not twice: its shard changed hands.
-    fn update(&mut self, address: SocketAddr, out: BTreeSet<Name>, at: Instant) {
-        for endpoint in &out {
-            if !self.out.values().any(|others| others.contains(endpoint)) {
+impl Observations {
+    /// Notes what one daemon has ejected of rotation. An endpoint that another one
+    /// has ejected already was ejected once, not twice: its shard changed hands.
+    fn update(&mut self, address: SocketAddr, ejected: BTreeSet<Name>, at: Instant) {
+        for endpoint in &ejected {
+            if !self.ejected.values().any(|others| others.contains(endpoint)) {
                 self.ejections.push(Ejection { endpoint: endpoint.clone(), at });
             }
         }
-        self.out.insert(address, out);
+        self.ejected.insert(address, ejected);
     }
 }
 
@@ -88,17 +88,17 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Shortest time without work after which an endpoint counts as out of
+/// Shortest time without work after which an endpoint counts as ejected of
 /// rotation.
-pub const QUIET: Duration = Duration::from_millis(500);
+pub const MIN_QUIET_TIME: Duration = Duration::from_millis(500);
 /// Usual gaps between two pieces of work that are no sign of it yet.
-const USUAL_GAPS: f64 = 20.0;
+const QUIET_GAP_FACTOR: f64 = 20.0;
 
-/// Returns the time without work that shows that an endpoint is out of
+/// Returns the time without work that shows that an endpoint is ejected of
 /// rotation, given how much work arrived in the time before.
 pub fn quiet_time(arrivals: usize, time: Duration) -> Duration {
-    let usual_gap = time.div_f64(arrivals.max(1) as f64);
-    usual_gap.mul_f64(USUAL_GAPS).max(QUIET)
+    let mean_gap = time.div_f64(arrivals.max(1) as f64);
+    mean_gap.mul_f64(QUIET_GAP_FACTOR).max(MIN_QUIET_TIME)
 }
 
 /// Returns how long after `fault` the last work arrived before the first quiet
--- a/crates/pistachiotrack-standins/src/endpoint.rs
+++ b/crates/pistachiotrack-standins/src/endpoint.rs
@@ -20,8 +20,8 @@
 };
 
 use crate::{
+    execution_counter::ExecutionCounter,
     fault::Faults,
-    ledger::Ledger,
     server::{Answer, Server, empty},
     work::{SERVICE_US, WORK_ID, WORKED_BY, WorkId, answer_body},
 };
@@ -77,14 +77,14 @@
 /// Query of a request that crashes the endpoint that runs it.
 pub const CRASH_QUERY: &str = "crash";
 /// Time for which a crashed endpoint takes no connections.
-pub const CRASH_DOWN: Duration = Duration::from_millis(1_500);
+pub const CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
 /// Pause before a crashed endpoint's address is tried again, if it can't be had.
 const REBIND_PAUSE: Duration = Duration::from_millis(100);
 
 /// A running endpoint.
 #[derive(Debug)]
 pub struct Endpoint {
-    shared: Arc<Shared>,
+    state: Arc<EndpointState>,
     address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -96,13 +96,13 @@
 }
 
 #[derive(Debug)]
-struct Shared {
+struct EndpointState {
     settings: EndpointSettings,
     slots: Semaphore,
-    held: AtomicU32,
+    in_flight: AtomicU32,
     faults: Mutex<Faults>,
     random: Mutex<Pcg64Mcg>,
-    ledger: Arc<Ledger>,
+    execution_counter: Arc<ExecutionCounter>,
     arrivals: Mutex<Vec<Instant>>,
     probes: AtomicU64,
     shed: AtomicU64,
@@ -123,14 +123,14 @@
     /// Returns an error if no port can be had.
     pub async fn start(
         settings: EndpointSettings,
-        ledger: Arc<Ledger>,
+        execution_counter: Arc<ExecutionCounter>,
     ) -> std::io::Result<Endpoint> {
-        let shared = Arc::new(Shared {
+        let state = Arc::new(EndpointState {
             slots: Semaphore::new(settings.slots as usize),
-            held: AtomicU32::new(0),
+            in_flight: AtomicU32::new(0),
             faults: Mutex::default(),
             random: Mutex::new(Pcg64Mcg::seed_from_u64(settings.seed)),
-            ledger,
+            execution_counter,
             arrivals: Mutex::default(),
             probes: AtomicU64::new(0),
             shed: AtomicU64::new(0),
@@ -142,10 +142,10 @@
             settings,
         });
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let server = Arc::clone(&shared).serve(any).await?;
+        let server = Arc::clone(&state).serve(any).await?;
         let address = server.address();
-        let task = tokio::spawn(Arc::clone(&shared).serve_through_crashes(server));
-        Ok(Endpoint { shared, address, task })
+        let task = tokio::spawn(Arc::clone(&state).serve_with_restarts(server));
+        Ok(Endpoint { state, address, task })
     }
 
     /// Returns the address that the endpoint serves on.
@@ -155,54 +155,54 @@
 
     /// Sets the requests a second that its answers name as its limit.
     pub fn set_rate_limit(&self, per_second: Option<f64>) {
-        *lock(&self.shared.rate_limit) = per_second;
+        *lock(&self.state.rate_limit) = per_second;
     }
 
     /// Returns the moments at which it began to run a request that crashes it.
     pub fn crash_runs(&self) -> Vec<Instant> {
-        lock(&self.shared.crash_runs).clone()
+        lock(&self.state.crash_runs).clone()
     }
 
     /// Returns the name of the endpoint.
     pub fn name(&self) -> &str {
-        &self.shared.settings.name
+        &self.state.settings.name
     }
 
     /// Replaces the faults.
     pub fn set_faults(&self, faults: Faults) {
-        *lock(&self.shared.faults) = faults;
+        *lock(&self.state.faults) = faults;
     }
 
     /// Returns what was counted so far.
     pub fn counts(&self) -> EndpointCounts {
         EndpointCounts {
-            arrivals: lock(&self.shared.arrivals).len() as u64,
-            probes: self.shared.probes.load(Ordering::Relaxed),
-            shed: self.shared.shed.load(Ordering::Relaxed),
-            cancelled: self.shared.cancelled.load(Ordering::Relaxed),
-            peak: self.shared.peak.load(Ordering::Relaxed),
+            arrivals: lock(&self.state.arrivals).len() as u64,
+            probes: self.state.probes.load(Ordering::Relaxed),
+            shed: self.state.shed.load(Ordering::Relaxed),
+            cancelled: self.state.cancelled.load(Ordering::Relaxed),
+            peak: self.state.peak.load(Ordering::Relaxed),
         }
     }
 
     /// Returns the moments after `since` at which work arrived.
     pub fn arrivals_since(&self, since: Instant) -> Vec<Instant> {
-        lock(&self.shared.arrivals).iter().copied().filter(|at| *at >= since).collect()
+        lock(&self.state.arrivals).iter().copied().filter(|at| *at >= since).collect()
     }
 }
 
-impl Shared {
+impl EndpointState {
     async fn serve(self: Arc<Self>, address: SocketAddr) -> std::io::Result<Server> {
         let handler = move |request, opened| Arc::clone(&self).answer(request, opened);
         Server::start_at(address, handler).await
     }
 
     /// Closes the port and all connections at each crash, and serves again after a while.
-    async fn serve_through_crashes(self: Arc<Self>, mut server: Server) {
+    async fn serve_with_restarts(self: Arc<Self>, mut server: Server) {
         let address = server.address();
         loop {
             self.crash.notified().await;
             drop(server);
-            tokio::time::sleep(CRASH_DOWN).await;
+            tokio::time::sleep(CRASH_DOWNTIME).await;
             server = loop {
                 match Arc::clone(&self).serve(address).await {
                     Ok(server) => break server,
@@ -214,24 +214,24 @@
 
     async fn answer(self: Arc<Self>, request: Request<Incoming>, opened: Instant) -> Answer {
         let arrived = Instant::now();
-        if self.faults(arrived).silences(opened) {
+        if self.faults(arrived).is_connection_silent(opened) {
             return std::future::pending().await;
         }
         let mut answer = match request.uri().path() {
             DEFAULT_PROBE_PATH => self.probe().await,
             _ => self.work(request, arrived).await,
         };
-        if self.faults(Instant::now()).silences(opened) {
+        if self.faults(Instant::now()).is_connection_silent(opened) {
             return std::future::pending().await;
         }
-        self.report(answer.headers_mut());
+        self.add_report_headers(answer.headers_mut());
         answer
     }
 
     async fn probe(&self) -> Answer {
         self.probes.fetch_add(1, Ordering::Relaxed);
-        let Some(held) = self.hold() else { return self.refuse() };
-        let Ok(_permit) = held.slot().await else { return empty(503) };
+        let Some(request_guard) = self.admit() else { return self.refuse() };
+        let Ok(_permit) = request_guard.slot().await else { return empty(503) };
         if self.faults(Instant::now()).hang {
             return std::future::pending().await;
         }
@@ -242,15 +242,15 @@
     async fn work(&self, request: Request<Incoming>, arrived: Instant) -> Answer {
         let Some(id) = work_id(request.headers()) else { return empty(400) };
         let crashes = request.uri().query() == Some(CRASH_QUERY);
-        let deadline = time_left(request.headers()).map(|left| arrived + left);
+        let deadline = remaining_time(request.headers()).map(|left| arrived + left);
         lock(&self.arrivals).push(arrived);
-        let cancelled = CancelCount::new(&self.cancelled);
-        let answer = self.work_in_time(id, request, deadline, crashes).await;
+        let cancelled = CancellationGuard::new(&self.cancelled);
+        let answer = self.work_until_deadline(id, request, deadline, crashes).await;
         cancelled.disarm();
         answer
     }
 
-    async fn work_in_time(
+    async fn work_until_deadline(
         &self,
         id: WorkId,
         request: Request<Incoming>,
@@ -260,16 +260,16 @@
         if self.faults(Instant::now()).shedding {
             return self.refuse();
         }
-        let Some(held) = self.hold() else { return self.refuse() };
+        let Some(request_guard) = self.admit() else { return self.refuse() };
         let permit = tokio::select! {
-            permit = held.slot() => permit,
-            () = passed(deadline) => return self.refuse(),
+            permit = request_guard.slot() => permit,
+            () = deadline_reached(deadline) => return self.refuse(),
         };
         let Ok(_permit) = permit else { return empty(503) };
         if http_body_util::BodyExt::collect(request.into_body()).await.is_err() {
             return empty(400);
         }
-        self.ledger.record(id);
+        self.execution_counter.record(id);
         if crashes {
             lock(&self.crash_runs).push(Instant::now());
             tokio::time::sleep(self.service_time(1.0)).await;
@@ -278,7 +278,7 @@
         }
         tokio::select! {
             answer = self.run(id) => answer,
-            () = passed(deadline) => empty(504),
+            () = deadline_reached(deadline) => empty(504),
         }
     }
 
@@ -288,7 +288,7 @@
         if faults.hang {
             return std::future::pending().await;
         }
-        tokio::time::sleep(self.service_time(faults.factor(start))).await;
+        tokio::time::sleep(self.service_time(faults.latency_factor(start))).await;
         let failed = faults.failing_share > lock(&self.random).random::<f64>();
         let mut answer = if failed { empty(500) } else { Answer::new(Full::new(answer_body(id))) };
         let spent_us = start.elapsed().as_micros() as u64;
@@ -313,9 +313,9 @@
         answer
     }
 
-    fn report(&self, headers: &mut HeaderMap) {
+    fn add_report_headers(&self, headers: &mut HeaderMap) {
         let faults = self.faults(Instant::now());
-        let load = faults.reported_load.unwrap_or(self.held.load(Ordering::Relaxed));
+        let load = faults.reported_load.unwrap_or(self.in_flight.load(Ordering::Relaxed));
         headers.insert(header::LOAD, HeaderValue::from(load));
         if let Some(per_second) = *lock(&self.rate_limit)
             && let Ok(limit) = HeaderValue::from_str(&per_second.to_string())
@@ -330,15 +330,15 @@
         }
     }
 
-    fn hold(&self) -> Option<Held<'_>> {
-        let most = self.settings.slots + self.settings.queue_limit;
-        let before = self.held.fetch_add(1, Ordering::Relaxed);
-        let held = Held { shared: self };
-        if before >= most {
+    fn admit(&self) -> Option<InFlightRequest<'_>> {
+        let capacity = self.settings.slots + self.settings.queue_limit;
+        let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
+        let in_flight = InFlightRequest { state: self };
+        if before >= capacity {
             return None;
         }
         self.peak.fetch_max(before + 1, Ordering::Relaxed);
-        Some(held)
+        Some(in_flight)
     }
 
     fn faults(&self, now: Instant) -> Faults {
@@ -347,31 +347,31 @@
 }
 
 /// A request that the endpoint holds, waiting or worked on.
-struct Held<'a> {
-    shared: &'a Shared,
+struct InFlightRequest<'a> {
+    state: &'a EndpointState,
 }
 
-impl<'a> Held<'a> {
+impl<'a> InFlightRequest<'a> {
     async fn slot(&self) -> Result<SemaphorePermit<'a>, tokio::sync::AcquireError> {
-        self.shared.slots.acquire().await
+        self.state.slots.acquire().await
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for InFlightRequest<'_> {
     fn drop(&mut self) {
-        self.shared.held.fetch_sub(1, Ordering::Relaxed);
+        self.state.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Counts a cancellation when it is dropped before it is disarmed.
-struct CancelCount<'a> {
+struct CancellationGuard<'a> {
     count: &'a AtomicU64,
     armed: AtomicBool,
 }
 
-impl<'a> CancelCount<'a> {
-    fn new(count: &'a AtomicU64) -> CancelCount<'a> {
-        CancelCount { count, armed: AtomicBool::new(true) }
+impl<'a> CancellationGuard<'a> {
+    fn new(count: &'a AtomicU64) -> CancellationGuard<'a> {
+        CancellationGuard { count, armed: AtomicBool::new(true) }
     }
 
     fn disarm(&self) {
@@ -379,7 +379,7 @@
     }
 }
 
-impl Drop for CancelCount<'_> {
+impl Drop for CancellationGuard<'_> {
     fn drop(&mut self) {
         if self.armed.load(Ordering::Relaxed) {
             self.count.fetch_add(1, Ordering::Relaxed);
@@ -387,7 +387,7 @@
     }
 }
 
-async fn passed(deadline: Option<Instant>) {
+async fn deadline_reached(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => tokio::time::sleep_until(deadline.into()).await,
         None => std::future::pending().await,
@@ -398,7 +398,7 @@
     WorkId::parse(headers.get(WORK_ID)?.to_str().ok()?)
 }
 
-fn time_left(headers: &HeaderMap) -> Option<Duration> {
+fn remaining_time(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(header::DEADLINE_MS)?.to_str().ok()?;
     text.parse().ok().map(Duration::from_millis)
 }
--- a/crates/pistachiotrack-standins/src/ledger.rs
+++ b/crates/pistachiotrack-standins/src/execution_counter.rs
@@ -8,11 +8,11 @@
 
 /// Counts executions over all endpoints of a deployment.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct ExecutionCounter {
     executions: Mutex<FxHashMap<WorkId, u32>>,
 }
 
-impl Ledger {
+impl ExecutionCounter {
     /// Notes that an endpoint began to run a piece of work.
     pub fn record(&self, id: WorkId) {
         *self.lock().entry(id).or_default() += 1;
--- a/crates/pistachiotrack-standins/src/experiment/owners.rs
+++ b/crates/pistachiotrack-standins/src/experiment/owners.rs
@@ -11,7 +11,7 @@
 use pistachiotrack_core::admin::Status;
 use tokio::task::JoinSet;
 
-use crate::admin::Admin;
+use crate::admin::AdminClient;
 
 /// Time between two looks at the fleet.
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
@@ -49,7 +49,7 @@
         let seen = Arc::clone(&looks);
         let mut task = JoinSet::new();
         task.spawn(async move {
-            let admin = Admin::default();
+            let admin = AdminClient::default();
             loop {
                 let asked = addresses.iter().map(|address| admin.status(*address));
                 let statuses: Vec<Status> =
--- a/crates/pistachiotrack-standins/src/experiment/partition.rs
+++ b/crates/pistachiotrack-standins/src/experiment/partition.rs
@@ -14,7 +14,7 @@
     table::{Table, ratio},
     trial::{Outcome, Trial, TrialSettings},
 };
-use crate::{daemon::DaemonBinary, link::Link, runtime};
+use crate::{daemon::DaemonBinary, link::LinkFaults, runtime};
 
 /// Part of the time at which the partition begins, and that for which it lasts.
 const BEGIN: f64 = 0.25;
@@ -81,7 +81,7 @@
             links.partition(settings.vms, settings.vms / 2);
             tokio::time::sleep(settings.duration.mul_f64(LAST)).await;
             let heal = Instant::now();
-            links.set_all(Link::default());
+            links.set_all(LinkFaults::default());
             tokio::time::sleep(settings.duration.mul_f64(1.0 - BEGIN - LAST) + REST).await;
             Ok(Partition { begin, heal, looks: watch.looks() })
         })
--- a/crates/pistachiotrack-standins/src/experiment/rollout.rs
+++ b/crates/pistachiotrack-standins/src/experiment/rollout.rs
@@ -14,7 +14,7 @@
     table::{Table, ratio},
     trial::{Trial, TrialSettings},
 };
-use crate::{daemon::DaemonBinary, link::Link, platform::Availability, runtime};
+use crate::{daemon::DaemonBinary, link::LinkFaults, platform::Availability, runtime};
 
 /// Configurations published in each case.
 const ROUNDS: usize = 8;
@@ -90,9 +90,9 @@
     let mut trial = Trial::start(&binary, settings).await?;
     let mut config = trial.deployment.config.clone();
     let baseline = spread(&mut trial, &mut config, false).await?;
-    trial.links.set_all(Link { drop_share: DROP_SHARE, ..Link::default() });
+    trial.links.set_all(LinkFaults { drop_share: DROP_SHARE, ..LinkFaults::default() });
     let lossy = spread(&mut trial, &mut config, false).await?;
-    trial.links.set_all(Link::default());
+    trial.links.set_all(LinkFaults::default());
     let away = spread(&mut trial, &mut config, true).await?;
     let (stale_start, reverts) = stale(&mut trial, config.version).await?;
     let silent_about_invalid = invalid(&mut trial, config.version).await?;
--- a/crates/pistachiotrack-standins/src/experiment/trial.rs
+++ b/crates/pistachiotrack-standins/src/experiment/trial.rs
@@ -10,8 +10,8 @@
     deployment::{Deployment, Kind},
     fleet::Fleet,
     link::Links,
-    load::{LoadSettings, WorkIds, drive},
-    summary::{Added, Counts},
+    load::{LoadSettings, WorkIds, generate_load},
+    summary::{AddedLatency, Counts},
     workload::operations,
 };
 
@@ -65,10 +65,10 @@
     pub(super) counts: Counts,
     /// Share of the requests that ended in success.
     pub(super) goodput: f64,
-    /// Added by the fleet to requests of steered callers.
-    pub(super) added: Added,
-    /// Added by the fleet to requests that are forwarded.
-    pub(super) unsteered: Added,
+    /// AddedLatency by the fleet to requests of steered callers.
+    pub(super) added: AddedLatency,
+    /// AddedLatency by the fleet to requests that are forwarded.
+    pub(super) unsteered: AddedLatency,
     /// Most requests above an endpoint's slots.
     pub(super) slot_overshoot: u32,
     /// Requests that endpoints refused unrun.
@@ -119,14 +119,14 @@
         let callers = callers(&self.fleet);
         let load = LoadSettings { duration, ids: WorkIds::default(), seed };
         let (samples, disturbed) = tokio::join!(
-            drive(&callers, &operations, load),
+            generate_load(&callers, &operations, load),
             disturb(&self.deployment, &mut self.fleet, &self.links)
         );
-        let counts = Counts::of(&samples, &self.deployment.ledger);
+        let counts = Counts::of(&samples, &self.deployment.execution_counter);
         let outcome = Outcome {
             goodput: counts.goodput(),
-            added: Added::of(samples.iter().filter(|sample| sample.steered)),
-            unsteered: Added::of(samples.iter().filter(|sample| !sample.steered)),
+            added: AddedLatency::of(samples.iter().filter(|sample| sample.steered)),
+            unsteered: AddedLatency::of(samples.iter().filter(|sample| !sample.steered)),
             slot_overshoot: self.deployment.slot_overshoot(),
             shed: self.deployment.endpoints.iter().map(|endpoint| endpoint.counts().shed).sum(),
             counts,
--- a/crates/pistachiotrack-standins/src/fault.rs
+++ b/crates/pistachiotrack-standins/src/fault.rs
@@ -53,7 +53,7 @@
 /// Time that a cold start takes.
 pub const COLD_START_MS: u64 = 3_000;
 /// Factor by which the first work after a start takes longer.
-pub const COLD_FACTOR: f64 = 8.0;
+pub const COLD_START_FACTOR: f64 = 8.0;
 /// Factor by which a straggler's work takes longer.
 pub const STRAGGLER_FACTOR: f64 = 20.0;
 
@@ -94,7 +94,7 @@
     }
 
     /// Reports a load that isn't the real one.
-    pub fn lying(reported_load: u32) -> Faults {
+    pub fn misreporting_load(reported_load: u32) -> Faults {
         Faults { reported_load: Some(reported_load), ..Faults::default() }
     }
 
@@ -112,16 +112,16 @@
     }
 
     /// Returns the factor by which work that starts at `now` takes longer.
-    pub fn factor(&self, now: Instant) -> f64 {
+    pub fn latency_factor(&self, now: Instant) -> f64 {
         let Some(since) = self.cold_since else { return self.slow_factor };
         let age = now.saturating_duration_since(since);
         let whole = Duration::from_millis(COLD_START_MS);
         let left = 1.0 - (age.as_secs_f64() / whole.as_secs_f64()).min(1.0);
-        self.slow_factor * (1.0 + (COLD_FACTOR - 1.0) * left)
+        self.slow_factor * (1.0 + (COLD_START_FACTOR - 1.0) * left)
     }
 
     /// Returns whether a connection opened at `opened` is silent.
-    pub fn silences(&self, opened: Instant) -> bool {
+    pub fn is_connection_silent(&self, opened: Instant) -> bool {
         self.silent_before.is_some_and(|before| opened < before)
     }
 }
--- a/crates/pistachiotrack-standins/src/fleet.rs
+++ b/crates/pistachiotrack-standins/src/fleet.rs
@@ -17,19 +17,19 @@
 };
 
 use crate::{
-    admin::Admin,
+    admin::AdminClient,
     daemon::{Daemon, DaemonBinary, DaemonSettings, free_ports},
     deployment::Deployment,
     link::{Links, PLATFORM},
-    relay::{Relay, Senders},
+    link_proxy::{LinkProxy, Senders},
 };
 
 /// Time between two looks at daemons that aren't ready yet.
-const LOOK_INTERVAL: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Time without any change after which a fleet counts as settled; a new owner
 /// is careful with its endpoints at first.
-const SETTLED: Duration = Duration::from_secs(3);
-/// Ports of a daemon: for callers, for peers, for its operators, for the relay
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Ports of a daemon: for callers, for peers, for its operators, for the link_proxy
 /// before it and for the one before its platform.
 const PORTS: usize = 5;
 
@@ -39,12 +39,12 @@
     daemons: Vec<Daemon>,
     binary: DaemonBinary,
     list: VmList,
-    admin: Admin,
-    _relays: Vec<Relay>,
+    admin: AdminClient,
+    _link_proxies: Vec<LinkProxy>,
 }
 
 impl Fleet {
-    /// Publishes a list of `count` VMs and starts their daemons, behind relays
+    /// Publishes a list of `count` VMs and starts their daemons, behind link_proxies
     /// where `links` are given.
     ///
     /// # Errors
@@ -57,15 +57,15 @@
         links: Option<&Links>,
     ) -> anyhow::Result<Fleet> {
         let settings = settings(deployment, count, links.is_some())?;
-        let relays = relays(&settings, links, deployment.platform.address()).await?;
-        let list = VmList { version: 1, vms: settings.iter().map(listed).collect() };
+        let link_proxies = link_proxies(&settings, links, deployment.platform.address()).await?;
+        let list = VmList { version: 1, vms: settings.iter().map(list_entry).collect() };
         deployment.platform.publish_vms(&list)?;
         let mut fleet = Fleet {
             daemons: Vec::new(),
             binary: binary.clone(),
             list,
-            admin: Admin::default(),
-            _relays: relays,
+            admin: AdminClient::default(),
+            _link_proxies: link_proxies,
         };
         for settings in settings {
             fleet.daemons.push(binary.start(settings).await?);
@@ -117,10 +117,10 @@
                 let met = statuses.iter().filter(|status| ready(status)).count();
                 let all = self.daemons.len();
                 let others: Vec<String> =
-                    statuses.iter().filter(|status| !ready(status)).map(brief).collect();
+                    statuses.iter().filter(|status| !ready(status)).map(summary).collect();
                 anyhow::bail!("{what}: {met} of {all} daemons after {limit:?}: {others:?}");
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -146,17 +146,17 @@
                     && status.live_vms as usize >= count
             });
             let owned: Vec<&Name> = statuses.iter().flat_map(|status| &status.shards).collect();
-            if serving.count() < count || !each_once(&owned, shards) {
+            if serving.count() < count || !are_owned_once(&owned, shards) {
                 settled = None;
-            } else if settled.get_or_insert_with(Instant::now).elapsed() >= SETTLED {
-                return Ok(start.elapsed() - SETTLED);
+            } else if settled.get_or_insert_with(Instant::now).elapsed() >= SETTLE_TIME {
+                return Ok(start.elapsed() - SETTLE_TIME);
             }
             self.check_running()?;
             if start.elapsed() > limit {
-                let seen: Vec<String> = statuses.iter().map(brief).collect();
+                let seen: Vec<String> = statuses.iter().map(summary).collect();
                 anyhow::bail!("not settled after {limit:?}: {seen:?}");
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -214,8 +214,10 @@
     ///
     /// Returns an error if the list can't be published.
     pub fn publish_leaving(&mut self, deployment: &Deployment, vm: &str) -> anyhow::Result<()> {
-        for listed in self.list.vms.iter_mut().filter(|listed| listed.name.as_str() == vm) {
-            listed.leaving = true;
+        for list_entry in
+            self.list.vms.iter_mut().filter(|list_entry| list_entry.name.as_str() == vm)
+        {
+            list_entry.leaving = true;
         }
         self.list.version += 1;
         Ok(deployment.platform.publish_vms(&self.list)?)
@@ -239,12 +241,12 @@
     Ok((status, start.elapsed()))
 }
 
-fn each_once(owned: &[&Name], shards: usize) -> bool {
+fn are_owned_once(owned: &[&Name], shards: usize) -> bool {
     let distinct: BTreeSet<&Name> = owned.iter().copied().collect();
     owned.len() == shards && distinct.len() == shards
 }
 
-fn brief(status: &Status) -> String {
+fn summary(status: &Status) -> String {
     let Status { vm, state, config_version, live_vms, shards, .. } = status;
     let (version, shards) = (config_version.unwrap_or(0), shards.len());
     format!("vm={vm} state={state} config_version={version} live_vms={live_vms} shards={shards}")
@@ -253,7 +255,7 @@
 fn settings(
     deployment: &Deployment,
     count: usize,
-    behind_relays: bool,
+    behind_link_proxies: bool,
 ) -> anyhow::Result<Vec<DaemonSettings>> {
     let ports = free_ports(count * PORTS)?;
     let centres = &deployment.config.data_centres;
@@ -263,13 +265,13 @@
         data_centre: centres[index % centres.len()].name.to_string(),
         deployment: deployment.config.deployment.to_string(),
         caller_address: local(ports[0]),
-        peer_address: match behind_relays {
-            true => SocketAddr::from((own_ip(index), ports[1])),
+        peer_address: match behind_link_proxies {
+            true => SocketAddr::from((vm_ip(index), ports[1])),
             false => local(ports[1]),
         },
-        advertised_peer_address: behind_relays.then_some(local(ports[3])),
+        advertised_peer_address: behind_link_proxies.then_some(local(ports[3])),
         admin_address: local(ports[2]),
-        platform_address: match behind_relays {
+        platform_address: match behind_link_proxies {
             true => local(ports[4]),
             false => deployment.platform.address(),
         },
@@ -278,42 +280,42 @@
     Ok(settings.collect())
 }
 
-/// Returns a loopback address for one VM alone, so that relays can tell from
+/// Returns a loopback address for one VM alone, so that link_proxies can tell from
 /// which VM something comes.
-fn own_ip(index: usize) -> Ipv4Addr {
+fn vm_ip(index: usize) -> Ipv4Addr {
     let [_, _, high, low] = (index as u32 + 1).to_be_bytes();
     Ipv4Addr::new(127, 1, high, low)
 }
 
-/// Starts a relay before each VM, and one before the platform for each VM.
-async fn relays(
+/// Starts a link_proxy before each VM, and one before the platform for each VM.
+async fn link_proxies(
     settings: &[DaemonSettings],
     links: Option<&Links>,
     platform: SocketAddr,
-) -> anyhow::Result<Vec<Relay>> {
+) -> anyhow::Result<Vec<LinkProxy>> {
     let ips = settings.iter().enumerate().map(|(index, vm)| (vm.peer_address.ip(), index));
     let senders: Senders = Arc::new(ips.collect());
-    let mut relays = Vec::new();
+    let mut link_proxies = Vec::new();
     for (index, vm) in settings.iter().enumerate() {
         let Some((links, address)) = links.zip(vm.advertised_peer_address) else { break };
         let to_vm =
-            Relay::start(address, index, vm.peer_address, links.clone(), Arc::clone(&senders));
-        relays.push(to_vm.await?);
+            LinkProxy::start(address, index, vm.peer_address, links.clone(), Arc::clone(&senders));
+        link_proxies.push(to_vm.await?);
         // Nobody but this VM uses the address.
         let only_sender = [(IpAddr::V4(Ipv4Addr::LOCALHOST), index)].into_iter().collect();
-        let to_platform = Relay::start(
+        let to_platform = LinkProxy::start(
             vm.platform_address,
             PLATFORM,
             platform,
             links.clone(),
             Arc::new(only_sender),
         );
-        relays.push(to_platform.await?);
+        link_proxies.push(to_platform.await?);
     }
-    Ok(relays)
+    Ok(link_proxies)
 }
 
-fn listed(settings: &DaemonSettings) -> ListedVm {
+fn list_entry(settings: &DaemonSettings) -> ListedVm {
     ListedVm {
         name: Name::from(settings.vm.as_str()),
         data_centre: Name::from(settings.data_centre.as_str()),
--- a/crates/pistachiotrack-standins/src/link.rs
+++ b/crates/pistachiotrack-standins/src/link.rs
@@ -11,7 +11,7 @@
 
 /// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Link {
+pub struct LinkFaults {
     /// Whether nothing passes.
     pub silent: bool,
     /// Share of the datagrams that are dropped.
@@ -25,9 +25,9 @@
 
 /// What becomes of a datagram or of a part of a byte stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum Delivery {
     /// It arrives after a delay.
-    Passes(Duration),
+    After(Duration),
     /// It does not arrive.
     Dropped,
 }
@@ -40,8 +40,8 @@
 
 #[derive(Debug)]
 struct State {
-    links: FxHashMap<(usize, usize), Link>,
-    otherwise: Link,
+    links: FxHashMap<(usize, usize), LinkFaults>,
+    default: LinkFaults,
     random: Pcg64Mcg,
 }
 
@@ -50,29 +50,29 @@
     pub fn new(seed: u64) -> Links {
         let state = State {
             links: FxHashMap::default(),
-            otherwise: Link::default(),
+            default: LinkFaults::default(),
             random: Pcg64Mcg::seed_from_u64(seed),
         };
         Links { state: Arc::new(Mutex::new(state)) }
     }
 
     /// Sets the faults of one direction.
-    pub fn set(&self, from: usize, to: usize, link: Link) {
+    pub fn set(&self, from: usize, to: usize, link: LinkFaults) {
         self.lock().links.insert((from, to), link);
     }
 
     /// Sets the faults of all directions.
-    pub fn set_all(&self, link: Link) {
+    pub fn set_all(&self, link: LinkFaults) {
         let mut state = self.lock();
         state.links.clear();
-        state.otherwise = link;
+        state.default = link;
     }
 
-    /// Silences everything between the VMs below `border` and the others.
-    pub fn partition(&self, vms: usize, border: usize) {
-        let silent = Link { silent: true, ..Link::default() };
-        for left in 0..border {
-            for right in border..vms {
+    /// Silences everything between the VMs below `boundary` and the others.
+    pub fn partition(&self, vms: usize, boundary: usize) {
+        let silent = LinkFaults { silent: true, ..LinkFaults::default() };
+        for left in 0..boundary {
+            for right in boundary..vms {
                 self.set(left, right, silent);
                 self.set(right, left, silent);
             }
@@ -80,20 +80,20 @@
     }
 
     /// Decides about a datagram.
-    pub fn datagram(&self, from: Option<usize>, to: usize) -> Passage {
+    pub fn deliver_datagram(&self, from: Option<usize>, to: usize) -> Delivery {
         let mut state = self.lock();
         let link = state.link(from, to);
         if link.silent || (link.drop_share > 0.0 && state.random.random::<f64>() < link.drop_share)
         {
-            return Passage::Dropped;
+            return Delivery::Dropped;
         }
-        Passage::Passes(link.delay)
+        Delivery::After(link.delay)
     }
 
     /// Decides about a part of a byte stream.
-    pub fn stream(&self, from: Option<usize>, to: usize) -> Passage {
+    pub fn deliver_stream(&self, from: Option<usize>, to: usize) -> Delivery {
         let link = self.lock().link(from, to);
-        if link.silent { Passage::Dropped } else { Passage::Passes(link.delay) }
+        if link.silent { Delivery::Dropped } else { Delivery::After(link.delay) }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -102,7 +102,7 @@
 }
 
 impl State {
-    fn link(&self, from: Option<usize>, to: usize) -> Link {
-        from.and_then(|from| self.links.get(&(from, to)).copied()).unwrap_or(self.otherwise)
+    fn link(&self, from: Option<usize>, to: usize) -> LinkFaults {
+        from.and_then(|from| self.links.get(&(from, to)).copied()).unwrap_or(self.default)
     }
 }
--- a/crates/pistachiotrack-standins/src/relay.rs
+++ b/crates/pistachiotrack-standins/src/link_proxy.rs
@@ -1,4 +1,4 @@
-//! A relay before a VM's peer address, for datagrams and for connections, that
+//! A link_proxy before a VM's peer address, for datagrams and for connections, that
 //! applies the faults of the links.
 
 use std::{
@@ -18,22 +18,22 @@
     task::JoinSet,
 };
 
-use crate::link::{Links, Passage};
+use crate::link::{Delivery, Links};
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
 /// The VMs of a fleet by the IP address that they send from, which is how a
-/// relay tells them apart.
+/// link_proxy tells them apart.
 pub type Senders = Arc<FxHashMap<IpAddr, usize>>;
 
-/// A running relay; dropping it closes all that it holds.
+/// A running link_proxy; dropping it closes all that it holds.
 #[derive(Debug)]
-pub struct Relay {
+pub struct LinkProxy {
     address: SocketAddr,
     _tasks: JoinSet<()>,
 }
 
-/// One VM as its relay sees it.
+/// One VM as its link_proxy sees it.
 #[derive(Clone, Debug)]
 struct Target {
     index: usize,
@@ -54,8 +54,8 @@
     }
 }
 
-impl Relay {
-    /// Starts a relay at `address` before the VM with this index and address.
+impl LinkProxy {
+    /// Starts a link_proxy at `address` before the VM with this index and address.
     ///
     /// # Errors
     ///
@@ -66,14 +66,14 @@
         target: SocketAddr,
         links: Links,
         senders: Senders,
-    ) -> io::Result<Relay> {
+    ) -> io::Result<LinkProxy> {
         let listener = TcpListener::bind(address).await?;
         let socket = UdpSocket::bind(address).await?;
         let target = Target { index, address: target, links, senders };
         let mut tasks = JoinSet::new();
         tasks.spawn(accept(listener, target.clone()));
-        tasks.spawn(receive(Arc::new(socket), target));
-        Ok(Relay { address, _tasks: tasks })
+        tasks.spawn(forward_datagrams(Arc::new(socket), target));
+        Ok(LinkProxy { address, _tasks: tasks })
     }
 
     /// Returns the address that stands for the VM.
@@ -82,59 +82,69 @@
     }
 }
 
-/// Passes datagrams on, through one socket for each sender, so that answers
-/// find their way back.
-async fn receive(socket: Arc<UdpSocket>, target: Target) {
+/// After datagrams on, through one socket for each sender, so that answers
+/// find their upstream back.
+async fn forward_datagrams(socket: Arc<UdpSocket>, target: Target) {
     let mut buffer = vec![0; BUFFER_BYTES];
-    let mut ways: FxHashMap<SocketAddr, Arc<UdpSocket>> = FxHashMap::default();
+    let mut upstream_sockets: FxHashMap<SocketAddr, Arc<UdpSocket>> = FxHashMap::default();
     let mut tasks = JoinSet::new();
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         while tasks.try_join_next().is_some() {}
         let sender = target.sender(from);
-        let way = match ways.get(&from) {
-            Some(way) => Arc::clone(way),
+        let upstream = match upstream_sockets.get(&from) {
+            Some(upstream) => Arc::clone(upstream),
             None => {
-                let Ok(way) = way_to(target.address).await else { continue };
-                ways.insert(from, Arc::clone(&way));
-                tasks.spawn(send_back(Arc::clone(&way), Arc::clone(&socket), from, target.clone()));
-                way
+                let Ok(upstream) = connect_upstream(target.address).await else { continue };
+                upstream_sockets.insert(from, Arc::clone(&upstream));
+                tasks.spawn(send_replies(
+                    Arc::clone(&upstream),
+                    Arc::clone(&socket),
+                    from,
+                    target.clone(),
+                ));
+                upstream
             }
         };
-        if let Passage::Passes(delay) = target.links.datagram(sender, target.index) {
+        if let Delivery::After(delay) = target.links.deliver_datagram(sender, target.index) {
             let bytes = buffer[..length].to_vec();
             tasks.spawn(async move {
-                pause(delay).await;
+                delay_for(delay).await;
                 // A VM that is gone refuses; its datagrams are lost.
-                let _ = way.send(&bytes).await;
+                let _ = upstream.send(&bytes).await;
             });
         }
     }
 }
 
-async fn way_to(address: SocketAddr) -> io::Result<Arc<UdpSocket>> {
+async fn connect_upstream(address: SocketAddr) -> io::Result<Arc<UdpSocket>> {
     let socket = UdpSocket::bind("127.0.0.1:0").await?;
     socket.connect(address).await?;
     Ok(Arc::new(socket))
 }
 
-async fn send_back(way: Arc<UdpSocket>, socket: Arc<UdpSocket>, to: SocketAddr, target: Target) {
+async fn send_replies(
+    upstream: Arc<UdpSocket>,
+    socket: Arc<UdpSocket>,
+    to: SocketAddr,
+    target: Target,
+) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok(length) = way.recv(&mut buffer).await else {
+        let Ok(length) = upstream.recv(&mut buffer).await else {
             tokio::task::yield_now().await;
             continue;
         };
-        let passage = target.links.datagram(Some(target.index), target.receiver(to));
-        if let Passage::Passes(delay) = passage {
-            pause(delay).await;
+        let delivery = target.links.deliver_datagram(Some(target.index), target.receiver(to));
+        if let Delivery::After(delay) = delivery {
+            delay_for(delay).await;
             let _ = socket.send_to(&buffer[..length], to).await;
         }
     }
 }
 
 /// Waits, without the rounding up to a millisecond where there is no delay.
-async fn pause(delay: Duration) {
+async fn delay_for(delay: Duration) {
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
@@ -146,7 +156,7 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, from)) = accepted {
-                    connections.spawn(pass_connection(stream, from, target.clone()));
+                    connections.spawn(proxy_connection(stream, from, target.clone()));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -154,35 +164,40 @@
     }
 }
 
-async fn pass_connection(stream: TcpStream, from: SocketAddr, target: Target) {
+async fn proxy_connection(stream: TcpStream, from: SocketAddr, target: Target) {
     let sender = target.sender(from);
-    if target.links.stream(sender, target.index) == Passage::Dropped {
+    if target.links.deliver_stream(sender, target.index) == Delivery::Dropped {
         // Held open without a word: the sender's connection is silent.
         return std::future::pending().await;
     }
-    let Ok(onward) = TcpStream::connect(target.address).await else { return };
-    let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
-    let (near_read, near_write) = stream.into_split();
-    let (far_read, far_write) = onward.into_split();
+    let Ok(upstream) = TcpStream::connect(target.address).await else { return };
+    let _ = (stream.set_nodelay(true), upstream.set_nodelay(true));
+    let (client_read, client_write) = stream.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
     let links = &target.links;
     tokio::join!(
-        copy(near_read, far_write, || links.stream(sender, target.index)),
-        copy(far_read, near_write, || links.stream(Some(target.index), target.receiver(from)))
+        copy_stream(client_read, upstream_write, || links.deliver_stream(sender, target.index)),
+        copy_stream(upstream_read, client_write, || links
+            .deliver_stream(Some(target.index), target.receiver(from)))
     );
 }
 
 /// Copies bytes until the end of the stream. Once bytes were dropped, nothing
 /// that follows can be made sense of, so the connection stays silent for good.
-async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, passage: impl Fn() -> Passage) {
+async fn copy_stream(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    delivery: impl Fn() -> Delivery,
+) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let length = match from.read(&mut buffer).await {
             Ok(0) | Err(_) => return,
             Ok(length) => length,
         };
-        match passage() {
-            Passage::Dropped => return std::future::pending().await,
-            Passage::Passes(delay) => pause(delay).await,
+        match delivery() {
+            Delivery::Dropped => return std::future::pending().await,
+            Delivery::After(delay) => delay_for(delay).await,
         }
         if to.write_all(&buffer[..length]).await.is_err() {
             return;
--- a/crates/pistachiotrack-standins/src/load.rs
+++ b/crates/pistachiotrack-standins/src/load.rs
@@ -42,27 +42,31 @@
 /// Sends each operation at its rate and returns what came of the work.
 ///
 /// Work is sent without waiting for earlier answers, by the callers in turn.
-pub async fn drive(
+pub async fn generate_load(
     callers: &[Caller],
     operations: &[Operation],
     settings: LoadSettings,
 ) -> Vec<Sample> {
-    let mut streams = JoinSet::new();
+    let mut senders = JoinSet::new();
     for (index, operation) in operations.iter().enumerate() {
         let settings = LoadSettings { seed: settings.seed + index as u64, ..settings.clone() };
-        streams.spawn(stream(callers.to_vec(), operation.clone(), settings));
+        senders.spawn(send_at_rate(callers.to_vec(), operation.clone(), settings));
     }
-    streams.join_all().await.into_iter().flatten().collect()
+    senders.join_all().await.into_iter().flatten().collect()
 }
 
-async fn stream(callers: Vec<Caller>, operation: Operation, settings: LoadSettings) -> Vec<Sample> {
+async fn send_at_rate(
+    callers: Vec<Caller>,
+    operation: Operation,
+    settings: LoadSettings,
+) -> Vec<Sample> {
     let mut random = Pcg64Mcg::seed_from_u64(settings.seed);
     let end = Instant::now() + settings.duration;
     let mut next = Instant::now();
-    let mut sends = JoinSet::new();
+    let mut requests = JoinSet::new();
     let operation = Arc::new(operation);
     loop {
-        next += gap(&mut random, operation.rate_per_s);
+        next += next_interval(&mut random, operation.rate_per_s);
         if next >= end {
             break;
         }
@@ -70,17 +74,17 @@
         let id = settings.ids.next();
         let caller = callers[id.0 as usize % callers.len()].clone();
         let operation = Arc::clone(&operation);
-        sends.spawn(async move { caller.send(&operation, id).await });
+        requests.spawn(async move { caller.send(&operation, id).await });
     }
-    sends.join_all().await
+    requests.join_all().await
 }
 
 /// Returns the time to the next request of a Poisson process.
-fn gap(random: &mut Pcg64Mcg, rate_per_s: f64) -> Duration {
+fn next_interval(random: &mut Pcg64Mcg, rate_per_s: f64) -> Duration {
     let uniform: f64 = random.random();
-    let gap_s = -(1.0 - uniform).ln() / rate_per_s;
-    Duration::try_from_secs_f64(gap_s).unwrap_or(MAX_GAP).min(MAX_GAP)
+    let interval_s = -(1.0 - uniform).ln() / rate_per_s;
+    Duration::try_from_secs_f64(interval_s).unwrap_or(MAX_INTERVAL).min(MAX_INTERVAL)
 }
 
 /// Longest time between two requests, so that a rate of zero ends as well.
-const MAX_GAP: Duration = Duration::from_secs(3_600);
+const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
--- a/crates/pistachiotrack-standins/src/platform.rs
+++ b/crates/pistachiotrack-standins/src/platform.rs
@@ -87,7 +87,7 @@
         self.server.address()
     }
 
-    /// Returns the number of calls so far; a waiting watch is one call.
+    /// Returns the query_number of calls so far; a waiting watch is one call.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -161,9 +161,9 @@
         return empty(404);
     }
     let query = request.uri().query().unwrap_or_default();
-    let after = number(query, "after");
-    let wait_ms = number(query, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
-    let give_up = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
+    let after = query_number(query, "after");
+    let wait_ms = query_number(query, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
+    let wait_deadline = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let state = view.borrow_and_update().clone();
         let hanging = state.availability == Availability::Hanging;
@@ -171,7 +171,7 @@
             return empty(503);
         }
         if !hanging && let Some(found) = newer_than(&state, path, after) {
-            return value_answer(found, takes_gzip(&request));
+            return value_answer(found, accepts_gzip(&request));
         }
         tokio::select! {
             changed = view.changed() => {
@@ -179,7 +179,7 @@
                     return empty(503);
                 }
             }
-            () = tokio::time::sleep_until(give_up), if !hanging => {
+            () = tokio::time::sleep_until(wait_deadline), if !hanging => {
                 return if after.is_some() { empty(204) } else { empty(404) };
             }
         }
@@ -194,7 +194,7 @@
     Some(value.json)
 }
 
-fn takes_gzip(request: &Request<Incoming>) -> bool {
+fn accepts_gzip(request: &Request<Incoming>) -> bool {
     let codings = request.headers().get_all(ACCEPT_ENCODING).iter();
     codings
         .filter_map(|codings| codings.to_str().ok())
@@ -216,7 +216,7 @@
     answer
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
+fn query_number(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
--- a/crates/pistachiotrack-standins/src/soak.rs
+++ b/crates/pistachiotrack-standins/src/soak.rs
@@ -3,10 +3,10 @@
 
 mod caller;
 mod clock;
+mod environment;
 pub mod oracle;
 pub mod plan;
 mod vms;
-mod world;
 
 use std::{
     fs,
@@ -19,25 +19,25 @@
 use tokio::{sync::watch, task::JoinSet};
 
 use self::{
-    caller::KeptCaller,
+    caller::PersistentCaller,
     clock::RunClock,
-    oracle::{Asked, LoggedRefusals, Record, VersionSeen, Violation, violations},
-    plan::{Event, MAX_RELAYED_VMS, Plan},
+    environment::Environment,
+    oracle::{LoggedRefusals, RequestRecord, RunRecord, VersionSeen, Violation, violations},
+    plan::{Event, MAX_PROXIED_VMS, Plan},
     vms::Vms,
-    world::World,
 };
 use crate::{
-    caller::{Caller, Ending, Sample},
+    caller::{Caller, RequestOutcome, Sample},
     daemon::DaemonBinary,
     deployment::{Deployment, Kind},
     fleet::Fleet,
     link::Links,
-    load::{LoadSettings, WorkIds, drive},
+    load::{LoadSettings, WorkIds, generate_load},
     runtime,
     workload::operations,
 };
 
-/// VMs, where nothing else is asked for.
+/// VMs, where not set.
 const VMS: usize = 6;
 /// Length of the load.
 const SECONDS: u64 = 60;
@@ -46,13 +46,13 @@
 /// Callers that take the addresses they are told; one more takes the last of them.
 const STEERED_CALLERS: usize = 3;
 /// VMs to which callers keep a connection of their own.
-const KEPT_CALLERS: usize = 24;
+const PERSISTENT_CALLERS: usize = 24;
 /// Time allowed for the VMs to serve.
 const START_LIMIT: Duration = Duration::from_secs(120);
 /// Time after the load in which late work would still begin.
-const AFTERMATH: Duration = Duration::from_secs(3);
+const LATE_EXECUTION_WAIT: Duration = Duration::from_secs(3);
 /// Broken promises that are printed.
-const PRINTED: usize = 10;
+const MAX_PRINTED_VIOLATIONS: usize = 10;
 /// Where plans and logs of failed runs go.
 const DIRECTORY: &str = "target/soak";
 
@@ -102,15 +102,15 @@
 }
 
 /// What came of a run.
-struct Outcome {
-    asked: usize,
+struct RunResult {
+    requests: usize,
     served: usize,
     starts: usize,
     descriptors: (usize, usize),
     violations: Vec<Violation>,
 }
 
-/// Plays the seeds asked for, a line each; the code is 1 if a promise was broken.
+/// Plays the requested seeds, a line each; the code is 1 if an invariant was broken.
 ///
 /// # Errors
 ///
@@ -127,7 +127,7 @@
         let _ = fs::remove_dir_all(&directory);
         fs::create_dir_all(&directory)?;
         fs::write(directory.join("plan.json"), serde_json::to_vec_pretty(&plan)?)?;
-        let outcome = runtime::run(play(&plan, &directory))?;
+        let outcome = runtime::run(run_plan(&plan, &directory))?;
         print(&plan, &outcome, &directory);
         failed += u64::from(!outcome.violations.is_empty());
     }
@@ -143,10 +143,10 @@
     }
 }
 
-fn print(plan: &Plan, outcome: &Outcome, directory: &Path) {
-    let Outcome { asked, served, starts, descriptors, violations } = outcome;
+fn print(plan: &Plan, outcome: &RunResult, directory: &Path) {
+    let RunResult { requests, served, starts, descriptors, violations } = outcome;
     println!(
-        "seed={} vms={} dispatchers={} steps={} requests={asked} served={served} starts={starts} \
+        "seed={} vms={} dispatchers={} steps={} requests={requests} served={served} starts={starts} \
          descriptors_before={} descriptors_after={} broken={}",
         plan.seed,
         plan.vms,
@@ -156,18 +156,18 @@
         descriptors.1,
         violations.len()
     );
-    for violation in violations.iter().take(PRINTED) {
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  {violation}");
     }
-    if violations.len() > PRINTED {
-        println!("  and {} more", violations.len() - PRINTED);
+    if violations.len() > MAX_PRINTED_VIOLATIONS {
+        println!("  and {} more", violations.len() - MAX_PRINTED_VIOLATIONS);
     }
     if !violations.is_empty() {
         println!("  plan and logs: {}", directory.display());
     }
 }
 
-async fn play(plan: &Plan, directory: &Path) -> anyhow::Result<Outcome> {
+async fn run_plan(plan: &Plan, directory: &Path) -> anyhow::Result<RunResult> {
     let binary = DaemonBinary::find(Some(directory.to_owned()))?;
     let mut deployment = Deployment::start(Kind::Timeliten, plan.seed).await?;
     for service in &mut deployment.config.services {
@@ -178,8 +178,8 @@
     deployment.config.version += 1;
     deployment.platform.publish(&deployment.config)?;
     let links = Links::new(plan.seed);
-    let relayed = (plan.vms <= MAX_RELAYED_VMS).then_some(&links);
-    let mut fleet = Fleet::start(&binary, &deployment, plan.vms, relayed).await?;
+    let proxied_links = (plan.vms <= MAX_PROXIED_VMS).then_some(&links);
+    let mut fleet = Fleet::start(&binary, &deployment, plan.vms, proxied_links).await?;
     let serves = |status: &pistachiotrack_core::admin::Status| {
         status.state.as_str() == "serving" && status.config_version.is_some()
     };
@@ -192,8 +192,9 @@
     let vms = Vms::new(daemons, binary, clock);
     let descriptors_before = vms.descriptors().into_iter().max().unwrap_or(0);
     let ids = WorkIds::default();
-    let world = World::new(deployment, vms.clone(), links, clock, addresses.clone(), ids.clone());
-    let world = Arc::new(world);
+    let environment =
+        Environment::new(deployment, vms.clone(), links, clock, addresses.clone(), ids.clone());
+    let environment = Arc::new(environment);
 
     let versions: Arc<Mutex<Vec<VersionSeen>>> = Arc::default();
     let mut watchers = JoinSet::new();
@@ -203,38 +204,45 @@
     }
     let mut steps = JoinSet::new();
     for step in plan.steps.clone() {
-        let (world, vms) = (Arc::clone(&world), plan.vms);
-        steps.spawn(async move { world.play(&step, vms).await });
+        let (environment, vms) = (Arc::clone(&environment), plan.vms);
+        steps.spawn(async move { environment.run_step(&step, vms).await });
     }
-    let mut asked = load(plan, &world, addresses, clock, ids).await;
+    let mut requests = load(plan, &environment, addresses, clock, ids).await;
     let end_ms = clock.now_ms();
     while steps.join_next().await.is_some() {}
-    tokio::time::sleep(AFTERMATH).await;
+    tokio::time::sleep(LATE_EXECUTION_WAIT).await;
     let descriptors_after = vms.descriptors().into_iter().max().unwrap_or(0);
     watchers.shutdown().await;
 
-    asked.sort_by_key(|asked| asked.sent_ms);
-    let (published, left) = world.published();
-    let (limited, crash_runs_ms) = world.endpoints_seen();
-    let ledger = &world.deployment.ledger;
+    requests.sort_by_key(|request| request.sent_ms);
+    let (published, leaving_periods) = environment.operator_actions();
+    let (rate_limit_periods, crash_runs_ms) = environment.endpoint_observations();
+    let execution_counter = &environment.deployment.execution_counter;
     let logged = logged_refusals(directory, names)?;
-    let record = Record {
-        executions: asked.iter().map(|it| (it.id, ledger.executions(it.id))).collect(),
+    let record = RunRecord {
+        executions: requests
+            .iter()
+            .map(|it| (it.id, execution_counter.executions(it.id)))
+            .collect(),
         versions: versions.lock().unwrap_or_else(PoisonError::into_inner).clone(),
         published,
-        left,
-        limited,
+        leaving_periods,
+        rate_limit_periods,
         crash_runs_ms,
         processes: vms.processes(),
         faults: faults(plan, |_| true),
         vm_faults: faults(plan, |event| !matches!(event, Event::CrashingRequest { .. })),
         logged,
         end_ms,
-        asked,
+        requests,
     };
-    Ok(Outcome {
-        asked: record.asked.len(),
-        served: record.asked.iter().filter(|asked| asked.ending == Ending::Ok).count(),
+    Ok(RunResult {
+        requests: record.requests.len(),
+        served: record
+            .requests
+            .iter()
+            .filter(|request| request.outcome == RequestOutcome::Ok)
+            .count(),
         starts: record.processes.len(),
         descriptors: (descriptors_before, descriptors_after),
         violations: violations(&record),
@@ -261,40 +269,41 @@
 /// Sends requests for as long as the plan says, and returns what came of them.
 async fn load(
     plan: &Plan,
-    world: &World,
+    environment: &Environment,
     addresses: Vec<std::net::SocketAddr>,
     clock: RunClock,
     ids: WorkIds,
-) -> Vec<Asked> {
-    let operations = operations(Kind::Timeliten.work(), &world.deployment.config, LOAD);
-    let (ends, ended) = watch::channel(false);
-    let mut kept = JoinSet::new();
-    for (vm, address) in addresses.iter().copied().enumerate().take(KEPT_CALLERS) {
+) -> Vec<RequestRecord> {
+    let operations = operations(Kind::Timeliten.work(), &environment.deployment.config, LOAD);
+    let (stop, stopped) = watch::channel(false);
+    let mut persistent = JoinSet::new();
+    for (vm, address) in addresses.iter().copied().enumerate().take(PERSISTENT_CALLERS) {
         let operations = Arc::new(operations.clone());
-        let caller = KeptCaller { vm, address, operations, ids: ids.clone(), clock };
-        kept.spawn(caller.run(ended.clone()));
+        let caller = PersistentCaller { vm, address, operations, ids: ids.clone(), clock };
+        persistent.spawn(caller.run(stopped.clone()));
     }
     let mut callers: Vec<Caller> =
         (0..STEERED_CALLERS).map(|_| Caller::new(addresses.clone())).collect();
     callers.push(Caller::unsteered(addresses));
     let duration = Duration::from_secs(plan.seconds);
     let settings = LoadSettings { duration, ids, seed: plan.seed };
-    let samples = drive(&callers, &operations, settings).await;
-    ends.send_replace(true);
-    let mut asked: Vec<Asked> = samples.iter().map(|sample| asked_by(sample, clock)).collect();
-    asked.extend(kept.join_all().await.into_iter().flatten());
-    asked
+    let samples = generate_load(&callers, &operations, settings).await;
+    stop.send_replace(true);
+    let mut requests: Vec<RequestRecord> =
+        samples.iter().map(|sample| request_record(sample, clock)).collect();
+    requests.extend(persistent.join_all().await.into_iter().flatten());
+    requests
 }
 
-fn asked_by(sample: &Sample, clock: RunClock) -> Asked {
+fn request_record(sample: &Sample, clock: RunClock) -> RequestRecord {
     let sent_ms = clock.ms(sample.sent);
-    Asked {
+    RequestRecord {
         id: sample.id,
         non_idempotent: sample.non_idempotent,
         vm: None,
         sent_ms,
         ended_ms: sent_ms + sample.latency_us / 1_000,
-        ending: sample.ending,
-        request: sample.request.clone(),
+        outcome: sample.outcome,
+        request_id: sample.request_id.clone(),
     }
 }
--- a/crates/pistachiotrack-standins/src/soak/caller.rs
+++ b/crates/pistachiotrack-standins/src/soak/caller.rs
@@ -12,23 +12,23 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, sync::watch};
 
-use super::{clock::RunClock, oracle::Asked};
+use super::{clock::RunClock, oracle::RequestRecord};
 use crate::{
-    caller::{Ending, Exchange, Operation, judge, request},
+    caller::{Exchange, Operation, RequestOutcome, classify_response, request},
     load::WorkIds,
     work::WorkId,
 };
 
 /// Time between two requests on one connection.
-const PAUSE: Duration = Duration::from_millis(20);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// Time after which another connection is tried.
-const RECONNECT: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// Time beyond its deadline after which a request counts as lost; only a hang gets there.
-const HANG: Duration = Duration::from_secs(10);
+const HANG_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A caller of one VM.
 #[derive(Clone, Debug)]
-pub(super) struct KeptCaller {
+pub(super) struct PersistentCaller {
     /// The VM.
     pub(super) vm: usize,
     /// Its address for callers.
@@ -41,46 +41,55 @@
     pub(super) clock: RunClock,
 }
 
-impl KeptCaller {
-    /// Sends one request after another until `ends` says so.
-    pub(super) async fn run(self, mut ends: watch::Receiver<bool>) -> Vec<Asked> {
-        let mut asked = Vec::new();
-        while !*ends.borrow() {
+impl PersistentCaller {
+    /// Sends one request after another until `stop` says so.
+    pub(super) async fn run(self, mut stop: watch::Receiver<bool>) -> Vec<RequestRecord> {
+        let mut requests = Vec::new();
+        while !*stop.borrow() {
             let connection = TcpStream::connect(self.address).await;
             let Ok(stream) = connection else {
                 // The VM is stopped, or starting.
-                let _ = tokio::time::timeout(RECONNECT, ends.changed()).await;
+                let _ = tokio::time::timeout(RECONNECT_DELAY, stop.changed()).await;
                 continue;
             };
-            self.use_connection(stream, &ends, &mut asked).await;
+            self.use_connection(stream, &stop, &mut requests).await;
         }
-        asked
+        requests
     }
 
     async fn use_connection(
         &self,
         stream: TcpStream,
-        ends: &watch::Receiver<bool>,
-        asked: &mut Vec<Asked>,
+        stop: &watch::Receiver<bool>,
+        requests: &mut Vec<RequestRecord>,
     ) {
         let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else {
             return;
         };
         let connection = tokio::spawn(connection);
-        while !*ends.borrow() && sender.ready().await.is_ok() {
-            let operation = &self.operations[asked.len() % self.operations.len()];
+        while !*stop.borrow() && sender.ready().await.is_ok() {
+            let operation = &self.operations[requests.len() % self.operations.len()];
             let id = self.ids.next();
             let sent_ms = self.clock.now_ms();
             let Ok(request) = request_to(self.address, operation, id) else { break };
-            let allowed = Duration::from_millis(operation.deadline_ms) + HANG;
-            let ended = tokio::time::timeout(allowed, exchange(&mut sender, request, id)).await;
-            let ended = ended.unwrap_or(Some(Ending::Lost.into()));
-            if let Some(Exchange { ending, request, .. }) = ended {
+            let timeout = Duration::from_millis(operation.deadline_ms) + HANG_TIMEOUT;
+            let exchange_result =
+                tokio::time::timeout(timeout, exchange(&mut sender, request, id)).await;
+            let exchange_result = exchange_result.unwrap_or(Some(RequestOutcome::Lost.into()));
+            if let Some(Exchange { outcome, request_id, .. }) = exchange_result {
                 let (vm, ended_ms) = (Some(self.vm), self.clock.now_ms());
                 let non_idempotent = operation.non_idempotent;
-                asked.push(Asked { id, non_idempotent, vm, sent_ms, ended_ms, ending, request });
+                requests.push(RequestRecord {
+                    id,
+                    non_idempotent,
+                    vm,
+                    sent_ms,
+                    ended_ms,
+                    outcome,
+                    request_id,
+                });
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(REQUEST_INTERVAL).await;
         }
         connection.abort();
     }
@@ -93,9 +102,9 @@
     id: WorkId,
 ) -> Option<Exchange> {
     match sender.send_request(request).await {
-        Ok(answer) => Some(judge(id, answer).await),
+        Ok(answer) => Some(classify_response(id, answer).await),
         Err(error) if error.is_canceled() => None,
-        Err(_) => Some(Ending::Lost.into()),
+        Err(_) => Some(RequestOutcome::Lost.into()),
     }
 }
 
--- a/crates/pistachiotrack-standins/src/soak/plan.rs
+++ b/crates/pistachiotrack-standins/src/soak/plan.rs
@@ -118,7 +118,7 @@
         /// Position of the endpoint among all.
         endpoint: usize,
         /// What it does.
-        how: Sickness,
+        how: EndpointFault,
         /// Time until it is well.
         for_ms: u64,
     },
@@ -130,7 +130,7 @@
     /// The platform's services fail.
     PlatformAway {
         /// What they do.
-        how: Absence,
+        how: PlatformFault,
         /// Time until they are back.
         for_ms: u64,
     },
@@ -139,7 +139,7 @@
 /// What a sick endpoint does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sickness {
+pub enum EndpointFault {
     /// It fails all work while its health check passes.
     Gray,
     /// It is slow.
@@ -155,7 +155,7 @@
 /// How the platform's services fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Absence {
+pub enum PlatformFault {
     /// They refuse.
     Refusing,
     /// They don't answer.
@@ -166,32 +166,36 @@
 
 /// Parts of a run in tenths: planned work alone, then faults on top of it, then
 /// planned work alone again, in which everything has to recover.
-const PLANNED_ALONE_TENTHS: u64 = 3;
+const FAULTS_START_TENTHS: u64 = 3;
 const FAULTS_END_TENTHS: u64 = 6;
 /// Mean time between two planned steps, and between two faults.
-const PLANNED_GAP_MS: u64 = 900;
-const FAULT_GAP_MS: u64 = 700;
+const MEAN_PLANNED_GAP_MS: u64 = 900;
+const MEAN_FAULT_GAP_MS: u64 = 700;
 /// Time before the end in which nothing begins.
-const QUIET_END_MS: u64 = 5_000;
+const FINAL_QUIET_MS: u64 = 5_000;
 /// Most VMs that have relays between them: a relay holds a descriptor for each VM that
 /// sends to it, and 200 VMs took more than the 20,000 that a process may have.
-pub const MAX_RELAYED_VMS: usize = 120;
+pub const MAX_PROXIED_VMS: usize = 120;
 /// One fault in so many kills all VMs.
 const KILL_ALL_ONE_IN: u32 = 15;
 
 impl Plan {
     /// Makes a plan from a seed.
     pub fn new(seed: u64, vms: usize, seconds: u64, endpoints: usize) -> Plan {
-        let mut maker =
-            Maker { random: Pcg64Mcg::seed_from_u64(seed), vms, endpoints, steps: Vec::new() };
-        let whole_ms = seconds * 1_000;
-        let end_ms = whole_ms.saturating_sub(QUIET_END_MS);
-        maker.fill(0, end_ms, PLANNED_GAP_MS, Maker::planned);
-        let faults = (whole_ms * PLANNED_ALONE_TENTHS / 10, whole_ms * FAULTS_END_TENTHS / 10);
-        maker.fill(faults.0, faults.1, FAULT_GAP_MS, Maker::fault);
-        maker.steps.sort_by_key(|step| step.at_ms);
+        let mut generator = PlanGenerator {
+            random: Pcg64Mcg::seed_from_u64(seed),
+            vms,
+            endpoints,
+            steps: Vec::new(),
+        };
+        let total_ms = seconds * 1_000;
+        let end_ms = total_ms.saturating_sub(FINAL_QUIET_MS);
+        generator.add_events(0, end_ms, MEAN_PLANNED_GAP_MS, PlanGenerator::planned_event);
+        let faults = (total_ms * FAULTS_START_TENTHS / 10, total_ms * FAULTS_END_TENTHS / 10);
+        generator.add_events(faults.0, faults.1, MEAN_FAULT_GAP_MS, PlanGenerator::fault_event);
+        generator.steps.sort_by_key(|step| step.at_ms);
         let dispatchers_per_data_centre = if seed.is_multiple_of(2) { 0 } else { 2 };
-        Plan { seed, vms, dispatchers_per_data_centre, seconds, steps: maker.steps }
+        Plan { seed, vms, dispatchers_per_data_centre, seconds, steps: generator.steps }
     }
 
     /// Reads a plan from a file.
@@ -214,10 +218,10 @@
             return Some(format!("vms: {}, seconds: {}: not above 0", self.vms, self.seconds));
         }
         self.steps.iter().enumerate().find_map(|(index, step)| {
-            if step.event.needs_relays() && self.vms > MAX_RELAYED_VMS {
+            if step.event.needs_link_proxies() && self.vms > MAX_PROXIED_VMS {
                 let vms = self.vms;
                 return Some(format!(
-                    "steps[{index}]: links have faults among {MAX_RELAYED_VMS} VMs at most, not {vms}"
+                    "steps[{index}]: links have faults among {MAX_PROXIED_VMS} VMs at most, not {vms}"
                 ));
             }
             let vm = step.event.vms().into_iter().find(|vm| *vm >= self.vms);
@@ -246,7 +250,7 @@
     }
 
     /// Returns whether it is about the links between VMs.
-    fn needs_relays(&self) -> bool {
+    fn needs_link_proxies(&self) -> bool {
         matches!(
             self,
             Event::CutOneWay { .. }
@@ -286,15 +290,21 @@
     }
 }
 
-struct Maker {
+struct PlanGenerator {
     random: Pcg64Mcg,
     vms: usize,
     endpoints: usize,
     steps: Vec<Step>,
 }
 
-impl Maker {
-    fn fill(&mut self, from_ms: u64, to_ms: u64, gap_ms: u64, event: fn(&mut Maker) -> Event) {
+impl PlanGenerator {
+    fn add_events(
+        &mut self,
+        from_ms: u64,
+        to_ms: u64,
+        gap_ms: u64,
+        event: fn(&mut PlanGenerator) -> Event,
+    ) {
         let mut at_ms = from_ms;
         loop {
             at_ms += self.random.random_range(1..2 * gap_ms);
@@ -314,7 +324,7 @@
         self.random.random_range(0..self.endpoints)
     }
 
-    fn planned(&mut self) -> Event {
+    fn planned_event(&mut self) -> Event {
         let vm = self.vm();
         match self.random.random_range(0..13) {
             0..5 => Event::Terminate { vm, restart_after_ms: self.random.random_range(50..2_000) },
@@ -324,7 +334,7 @@
                 for_ms: self.random.random_range(500..20_000),
             },
             9 => Event::PublishInvalid,
-            10 if self.vms <= MAX_RELAYED_VMS => {
+            10 if self.vms <= MAX_PROXIED_VMS => {
                 Event::CutOffPlatform { vm, for_ms: self.random.random_range(8_000..20_000) }
             }
             _ => Event::NameLimit {
@@ -335,16 +345,16 @@
         }
     }
 
-    fn fault(&mut self) -> Event {
+    fn fault_event(&mut self) -> Event {
         loop {
-            let event = self.any_fault();
-            if self.vms <= MAX_RELAYED_VMS || !event.needs_relays() {
+            let event = self.random_fault();
+            if self.vms <= MAX_PROXIED_VMS || !event.needs_link_proxies() {
                 return event;
             }
         }
     }
 
-    fn any_fault(&mut self) -> Event {
+    fn random_fault(&mut self) -> Event {
         let vm = self.vm();
         let for_ms = self.random.random_range(200..5_000);
         match self.random.random_range(0..13) {
@@ -360,18 +370,18 @@
             12 => Event::CrashingRequest { for_ms: self.random.random_range(3_000..15_000) },
             8..10 => {
                 let how = [
-                    Sickness::Gray,
-                    Sickness::Straggler,
-                    Sickness::Hang,
-                    Sickness::Shed,
-                    Sickness::SilentConnections,
+                    EndpointFault::Gray,
+                    EndpointFault::Straggler,
+                    EndpointFault::Hang,
+                    EndpointFault::Shed,
+                    EndpointFault::SilentConnections,
                 ];
-                let how = *how.choose(&mut self.random).unwrap_or(&Sickness::Gray);
+                let how = *how.choose(&mut self.random).unwrap_or(&EndpointFault::Gray);
                 Event::Sick { endpoint: self.endpoint(), how, for_ms }
             }
             _ => {
-                let how = [Absence::Refusing, Absence::Hanging, Absence::Stale];
-                let how = *how.choose(&mut self.random).unwrap_or(&Absence::Refusing);
+                let how = [PlatformFault::Refusing, PlatformFault::Hanging, PlatformFault::Stale];
+                let how = *how.choose(&mut self.random).unwrap_or(&PlatformFault::Refusing);
                 Event::PlatformAway { how, for_ms }
             }
         }
--- a/crates/pistachiotrack-standins/src/soak/vms.rs
+++ b/crates/pistachiotrack-standins/src/soak/vms.rs
@@ -10,14 +10,14 @@
     oracle::{Process, VersionSeen},
 };
 use crate::{
-    admin::Admin,
+    admin::AdminClient,
     daemon::{Daemon, DaemonBinary, DaemonSettings},
 };
 
 /// Time between two looks at a process.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two questions for the version in force.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
+const VERSION_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The VMs of a run.
 #[derive(Clone, Debug)]
@@ -38,10 +38,10 @@
 
 impl Vm {
     /// Notes that the end of the process that runs now is meant.
-    fn mean_end(&mut self, restart_after: Duration) -> Option<&mut Process> {
+    fn expect_exit(&mut self, restart_after: Duration) -> Option<&mut Process> {
         self.restart_after = restart_after;
         let process = self.processes.last_mut()?;
-        process.end_was_meant = true;
+        process.exit_expected = true;
         Some(process)
     }
 }
@@ -65,8 +65,8 @@
     pub(super) fn terminate(&self, vm: usize, restart_after: Duration) {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
-        if let Some(process) = vm.mean_end(restart_after) {
-            process.asked_to_stop_ms.get_or_insert(now_ms);
+        if let Some(process) = vm.expect_exit(restart_after) {
+            process.stop_requested_ms.get_or_insert(now_ms);
         }
         vm.daemon.terminate();
     }
@@ -75,10 +75,10 @@
     pub(super) fn kill(&self, vm: usize, restart_after: Duration) {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
-        if let Some(process) = vm.mean_end(restart_after) {
+        if let Some(process) = vm.expect_exit(restart_after) {
             process.killed_ms.get_or_insert(now_ms);
         }
-        vm.daemon.end_now();
+        vm.daemon.start_kill();
     }
 
     /// Makes a VM stand still.
@@ -99,8 +99,8 @@
     /// Notes ends and starts VMs again, for as long as it is polled.
     pub(super) async fn supervise(self, vm: usize) {
         loop {
-            tokio::time::sleep(LOOK_INTERVAL).await;
-            let Some(settings) = self.due_to_start(vm) else { continue };
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let Some(settings) = self.poll_restart(vm) else { continue };
             let started_ms = self.clock.now_ms();
             let Ok(daemon) = self.binary.start(settings).await else { continue };
             let mut state = self.lock(vm);
@@ -112,7 +112,7 @@
     }
 
     /// Notes the end of a process; returns the settings once its start is due.
-    fn due_to_start(&self, vm: usize) -> Option<DaemonSettings> {
+    fn poll_restart(&self, vm: usize) -> Option<DaemonSettings> {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
         if vm.daemon.is_running() {
@@ -128,9 +128,9 @@
 
     /// Asks a VM for the version in force again and again, for as long as it is polled.
     pub(super) async fn watch_version(self, vm: usize, seen: Arc<Mutex<Vec<VersionSeen>>>) {
-        let admin = Admin::default();
+        let admin = AdminClient::default();
         loop {
-            tokio::time::sleep(ASK_INTERVAL).await;
+            tokio::time::sleep(VERSION_POLL_INTERVAL).await;
             let (address, process) = self.address_and_process(vm);
             let Ok(status) = admin.status(address).await else { continue };
             if self.address_and_process(vm).1 != process {
@@ -168,9 +168,9 @@
         vm,
         number,
         started_ms,
-        asked_to_stop_ms: None,
+        stop_requested_ms: None,
         killed_ms: None,
         ended_ms: None,
-        end_was_meant: false,
+        exit_expected: false,
     }
 }
--- a/crates/pistachiotrack-standins/src/summary.rs
+++ b/crates/pistachiotrack-standins/src/summary.rs
@@ -5,8 +5,8 @@
 use serde::Serialize;
 
 use crate::{
-    caller::{Ending, Sample},
-    ledger::Ledger,
+    caller::{RequestOutcome, Sample},
+    execution_counter::ExecutionCounter,
 };
 
 /// Counts of a run's requests.
@@ -39,10 +39,10 @@
 
 impl Counts {
     /// Counts the samples of one deployment.
-    pub fn of(samples: &[Sample], ledger: &Ledger) -> Counts {
+    pub fn of(samples: &[Sample], execution_counter: &ExecutionCounter) -> Counts {
         let mut counts = Counts::default();
         for sample in samples {
-            counts.add(sample, ledger.executions(sample.id));
+            counts.add(sample, execution_counter.executions(sample.id));
         }
         counts
     }
@@ -80,17 +80,17 @@
         if sample.non_idempotent && executions > 1 {
             self.doubled += 1;
         }
-        match sample.ending {
-            Ending::Ok if executions == 0 => self.lost += 1,
-            Ending::Ok => self.ok += 1,
-            Ending::Failed => self.endpoint_failed += 1,
-            Ending::WrongAnswer => self.wrong_answer += 1,
-            Ending::RefusedNotRun => self.refused_not_run += 1,
-            Ending::Unknown => self.unknown += 1,
-            Ending::NoVm => self.no_vm += 1,
-            Ending::Lost => self.lost += 1,
+        match sample.outcome {
+            RequestOutcome::Ok if executions == 0 => self.lost += 1,
+            RequestOutcome::Ok => self.ok += 1,
+            RequestOutcome::Failed => self.endpoint_failed += 1,
+            RequestOutcome::WrongAnswer => self.wrong_answer += 1,
+            RequestOutcome::RefusedNotRun => self.refused_not_run += 1,
+            RequestOutcome::Unknown => self.unknown += 1,
+            RequestOutcome::NoVm => self.no_vm += 1,
+            RequestOutcome::Lost => self.lost += 1,
         }
-        if sample.ending == Ending::RefusedNotRun && executions > 0 {
+        if sample.outcome == RequestOutcome::RefusedNotRun && executions > 0 {
             self.false_not_run += 1;
         }
         if let Some(reason) = &sample.reason {
@@ -101,23 +101,26 @@
 
 /// Percentiles of the time that the way to the endpoint and back adds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Added {
+pub struct AddedLatency {
     /// Median.
     pub p50_ms: f64,
     /// 99th percentile.
     pub p99_ms: f64,
 }
 
-impl Added {
+impl AddedLatency {
     /// Takes the time at the caller minus the endpoint's own, of all successes.
-    pub fn of<'a>(samples: impl IntoIterator<Item = &'a Sample>) -> Added {
+    pub fn of<'a>(samples: impl IntoIterator<Item = &'a Sample>) -> AddedLatency {
         let mut added_us: Vec<u64> = samples
             .into_iter()
-            .filter(|sample| sample.ending == Ending::Ok)
+            .filter(|sample| sample.outcome == RequestOutcome::Ok)
             .filter_map(|sample| Some(sample.latency_us.saturating_sub(sample.service_us?)))
             .collect();
         added_us.sort_unstable();
-        Added { p50_ms: percentile_ms(&added_us, 0.5), p99_ms: percentile_ms(&added_us, 0.99) }
+        AddedLatency {
+            p50_ms: percentile_ms(&added_us, 0.5),
+            p99_ms: percentile_ms(&added_us, 0.99),
+        }
     }
 }
 
--- a/crates/pistachiotrack-standins/src/workload.rs
+++ b/crates/pistachiotrack-standins/src/workload.rs
@@ -39,7 +39,7 @@
         median_ms: 30.0,
         mix: &[
             (0.8, lookup("tlmocnik", "interpreter-register", "/interpreters/sk-uk", 2_500)),
-            (0.2, pull("interpreters", "interpreter-register", "/interpreters/all")),
+            (0.2, batch_lookup("interpreters", "interpreter-register", "/interpreters/all")),
         ],
     },
 ];
@@ -64,7 +64,7 @@
         median_ms: 30.0,
         mix: &[
             (0.6, lookup("timeliten", "centre-calendars", "/calendars/majorstuen", 2_000)),
-            (0.4, pull("job-centres", "centre-calendars", "/calendars/all")),
+            (0.4, batch_lookup("job-centres", "centre-calendars", "/calendars/all")),
         ],
     },
 ];
@@ -92,7 +92,11 @@
     Operation { method: "POST", non_idempotent: true, ..lookup }
 }
 
-const fn pull(customer: &'static str, service: &'static str, path: &'static str) -> Operation {
+const fn batch_lookup(
+    customer: &'static str,
+    service: &'static str,
+    path: &'static str,
+) -> Operation {
     let lookup = lookup(customer, service, path, 10_000);
     Operation { class: Class::Batch, ..lookup }
 }
--- a/crates/pistachiotrack-standins/tests/endpoint.rs
+++ b/crates/pistachiotrack-standins/tests/endpoint.rs
@@ -5,14 +5,14 @@
 
 use pistachiotrack_core::request::Class;
 use pistachiotrack_standins::{
-    caller::{Caller, Ending, Operation},
+    caller::{Caller, Operation, RequestOutcome},
     endpoint::{Endpoint, EndpointSettings},
-    fault::{COLD_FACTOR, Faults},
-    ledger::Ledger,
+    execution_counter::ExecutionCounter,
+    fault::{COLD_START_FACTOR, Faults},
     work::{BODY_BYTES, WorkId, answer_body, is_answer_to},
 };
 
-const QUICK: Operation = Operation {
+const OPERATION: Operation = Operation {
     customer: "timeliten",
     service: "slot-search",
     method: "POST",
@@ -23,25 +23,26 @@
     rate_per_s: 1.0,
 };
 
-async fn endpoint(settings: EndpointSettings) -> (Endpoint, Arc<Ledger>, Caller) {
-    let ledger = Arc::new(Ledger::default());
-    let endpoint = Endpoint::start(settings, Arc::clone(&ledger)).await.expect("endpoint");
+async fn endpoint(settings: EndpointSettings) -> (Endpoint, Arc<ExecutionCounter>, Caller) {
+    let execution_counter = Arc::new(ExecutionCounter::default());
+    let endpoint =
+        Endpoint::start(settings, Arc::clone(&execution_counter)).await.expect("endpoint");
     let caller = Caller::direct(vec![endpoint.address()]);
-    (endpoint, ledger, caller)
+    (endpoint, execution_counter, caller)
 }
 
-fn quick() -> EndpointSettings {
+fn fast_settings() -> EndpointSettings {
     EndpointSettings { median_ms: 1.0, probe_ms: 1, ..EndpointSettings::default() }
 }
 
 #[tokio::test]
 async fn work_is_run_once_and_its_answer_is_its_own() {
-    let (endpoint, ledger, caller) = endpoint(quick()).await;
+    let (endpoint, execution_counter, caller) = endpoint(fast_settings()).await;
     for id in (0..20).map(WorkId) {
-        let sample = caller.send(&QUICK, id).await;
-        assert_eq!(sample.ending, Ending::Ok);
+        let sample = caller.send(&OPERATION, id).await;
+        assert_eq!(sample.outcome, RequestOutcome::Ok);
         assert!(sample.service_us.is_some_and(|spent| spent <= sample.latency_us));
-        assert_eq!(ledger.executions(id), 1);
+        assert_eq!(execution_counter.executions(id), 1);
     }
     assert_eq!(endpoint.counts().arrivals, 20);
 }
@@ -59,11 +60,11 @@
 /// failure is gray.
 #[tokio::test]
 async fn a_gray_endpoint_fails_work_only() {
-    let (endpoint, ledger, caller) = endpoint(quick()).await;
+    let (endpoint, execution_counter, caller) = endpoint(fast_settings()).await;
     endpoint.set_faults(Faults::gray());
-    assert_eq!(caller.send(&QUICK, WorkId(1)).await.ending, Ending::Failed);
-    assert_eq!(ledger.executions(WorkId(1)), 1, "a failed run is a run");
-    let probe = Operation { path: "/healthz", ..QUICK };
+    assert_eq!(caller.send(&OPERATION, WorkId(1)).await.outcome, RequestOutcome::Failed);
+    assert_eq!(execution_counter.executions(WorkId(1)), 1, "a failed run is a run");
+    let probe = Operation { path: "/healthz", ..OPERATION };
     caller.send(&probe, WorkId(2)).await;
     assert_eq!(endpoint.counts().probes, 1);
     assert_eq!(endpoint.counts().shed, 0);
@@ -74,17 +75,17 @@
 #[tokio::test]
 async fn work_above_the_queue_is_shed_unrun() {
     let settings = EndpointSettings { slots: 1, queue_limit: 1, ..EndpointSettings::default() };
-    let (endpoint, ledger, caller) = endpoint(settings).await;
+    let (endpoint, execution_counter, caller) = endpoint(settings).await;
     endpoint.set_faults(Faults { slow_factor: 10.0, ..Faults::default() });
-    let sends = (0..5).map(|id| caller.send(&QUICK, WorkId(id)));
+    let sends = (0..5).map(|id| caller.send(&OPERATION, WorkId(id)));
     let samples = futures_util::future::join_all(sends).await;
-    let run = samples.iter().filter(|sample| sample.ending == Ending::Ok).count();
+    let run = samples.iter().filter(|sample| sample.outcome == RequestOutcome::Ok).count();
     assert_eq!(run, 2);
     assert_eq!(endpoint.counts().shed, 3);
     assert_eq!(endpoint.counts().peak, 2);
     for sample in samples {
-        let executions = u32::from(sample.ending == Ending::Ok);
-        assert_eq!(ledger.executions(sample.id), executions);
+        let executions = u32::from(sample.outcome == RequestOutcome::Ok);
+        assert_eq!(execution_counter.executions(sample.id), executions);
     }
 }
 
@@ -93,11 +94,11 @@
 #[tokio::test]
 async fn a_closed_connection_frees_the_slot() {
     let (endpoint, _, caller) =
-        endpoint(EndpointSettings { slots: 1, queue_limit: 8, ..quick() }).await;
+        endpoint(EndpointSettings { slots: 1, queue_limit: 8, ..fast_settings() }).await;
     endpoint.set_faults(Faults::hang());
     let given_up = tokio::spawn({
         let caller = caller.clone();
-        async move { caller.send(&QUICK, WorkId(1)).await }
+        async move { caller.send(&OPERATION, WorkId(1)).await }
     });
     while endpoint.counts().arrivals == 0 {
         tokio::task::yield_now().await;
@@ -107,29 +108,29 @@
         tokio::task::yield_now().await;
     }
     endpoint.set_faults(Faults::default());
-    assert_eq!(caller.send(&QUICK, WorkId(2)).await.ending, Ending::Ok);
+    assert_eq!(caller.send(&OPERATION, WorkId(2)).await.outcome, RequestOutcome::Ok);
 }
 
 /// Something between the two ends has lost track of the open connections: work
 /// on them is neither run nor answered, work on new ones is.
 #[tokio::test]
 async fn old_connections_go_silent_and_new_ones_work() {
-    let (endpoint, ledger, caller) = endpoint(quick()).await;
-    assert_eq!(caller.send(&QUICK, WorkId(1)).await.ending, Ending::Ok);
+    let (endpoint, execution_counter, caller) = endpoint(fast_settings()).await;
+    assert_eq!(caller.send(&OPERATION, WorkId(1)).await.outcome, RequestOutcome::Ok);
     endpoint.set_faults(Faults::silent_connections(Instant::now()));
-    let short = Operation { deadline_ms: 10, ..QUICK };
-    assert_eq!(caller.send(&short, WorkId(2)).await.ending, Ending::Lost);
-    assert_eq!(ledger.executions(WorkId(2)), 0);
+    let short = Operation { deadline_ms: 10, ..OPERATION };
+    assert_eq!(caller.send(&short, WorkId(2)).await.outcome, RequestOutcome::Lost);
+    assert_eq!(execution_counter.executions(WorkId(2)), 0);
     let other = Caller::direct(vec![endpoint.address()]);
-    assert_eq!(other.send(&QUICK, WorkId(3)).await.ending, Ending::Ok);
+    assert_eq!(other.send(&OPERATION, WorkId(3)).await.outcome, RequestOutcome::Ok);
 }
 
 #[tokio::test]
 async fn work_stops_at_the_deadline() {
-    let (endpoint, _, caller) = endpoint(quick()).await;
+    let (endpoint, _, caller) = endpoint(fast_settings()).await;
     endpoint.set_faults(Faults { slow_factor: 1e6, ..Faults::default() });
-    let short = Operation { deadline_ms: 20, ..QUICK };
-    assert_eq!(caller.send(&short, WorkId(1)).await.ending, Ending::Failed);
+    let short = Operation { deadline_ms: 20, ..OPERATION };
+    assert_eq!(caller.send(&short, WorkId(1)).await.outcome, RequestOutcome::Failed);
 }
 
 #[test]
@@ -141,7 +142,7 @@
     assert_eq!(flapping.at(after(150)), Faults::default());
     assert_eq!(flapping.at(after(250)).failing_share, 1.0);
     let cold = Faults::cold_start(now);
-    assert_eq!(cold.factor(now), COLD_FACTOR);
-    assert!(cold.factor(after(1_000)) < COLD_FACTOR);
-    assert_eq!(cold.factor(after(60_000)), 1.0);
+    assert_eq!(cold.latency_factor(now), COLD_START_FACTOR);
+    assert!(cold.latency_factor(after(1_000)) < COLD_START_FACTOR);
+    assert_eq!(cold.latency_factor(after(60_000)), 1.0);
 }
--- a/crates/pistachiotrack-standins/tests/relay.rs
+++ b/crates/pistachiotrack-standins/tests/link_proxy.rs
@@ -1,27 +1,27 @@
-//! The relay passes datagrams and connections on, except where a link is
+//! The link_proxy passes datagrams and connections on, except where a link is
 //! faulty in that direction.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use pistachiotrack_standins::{
     daemon::free_ports,
-    link::{Link, Links, Passage},
-    relay::Relay,
+    link::{Delivery, LinkFaults, Links},
+    link_proxy::LinkProxy,
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpSocket, TcpStream, UdpSocket},
 };
 
-const SILENT: Link = Link { silent: true, drop_share: 0.0, delay: Duration::ZERO };
-const A_WHILE: Duration = Duration::from_millis(50);
+const BLOCKED: LinkFaults = LinkFaults { silent: true, drop_share: 0.0, delay: Duration::ZERO };
+const SILENCE_CHECK: Duration = Duration::from_millis(50);
 
-/// Two VMs, 0 and 1; 1 has a relay before it.
+/// Two VMs, 0 and 1; 1 has a link_proxy before it.
 struct Pair {
     left: UdpSocket,
     right: UdpSocket,
     right_listener: TcpListener,
-    relay: Relay,
+    link_proxy: LinkProxy,
     links: Links,
 }
 
@@ -32,12 +32,12 @@
     let address = SocketAddr::from(([127, 0, 0, 1], ports[2]));
     let links = Links::new(1);
     let senders = Arc::new([(left.ip(), 0), (right.ip(), 1)].into_iter().collect());
-    let relay = Relay::start(address, 1, right, links.clone(), senders);
+    let link_proxy = LinkProxy::start(address, 1, right, links.clone(), senders);
     Pair {
         left: UdpSocket::bind(left).await.expect("left"),
         right: UdpSocket::bind(right).await.expect("right"),
         right_listener: TcpListener::bind(right).await.expect("listener"),
-        relay: relay.await.expect("relay"),
+        link_proxy: link_proxy.await.expect("link_proxy"),
         links,
     }
 }
@@ -47,7 +47,7 @@
     let ip = pair.left.local_addr().expect("address").ip();
     let socket = TcpSocket::new_v4().expect("socket");
     socket.bind((ip, 0).into()).expect("bind");
-    socket.connect(pair.relay.address()).await.expect("connect")
+    socket.connect(pair.link_proxy.address()).await.expect("connect")
 }
 
 async fn receive(socket: &UdpSocket) -> (Vec<u8>, SocketAddr) {
@@ -59,11 +59,11 @@
 #[tokio::test]
 async fn datagrams_and_their_answers_pass() {
     let pair = pair().await;
-    pair.left.send_to(b"ping", pair.relay.address()).await.expect("send");
+    pair.left.send_to(b"ping", pair.link_proxy.address()).await.expect("send");
     let (bytes, from) = receive(&pair.right).await;
     assert_eq!(bytes, b"ping");
     pair.right.send_to(b"ack", from).await.expect("send");
-    assert_eq!(receive(&pair.left).await, (b"ack".to_vec(), pair.relay.address()));
+    assert_eq!(receive(&pair.left).await, (b"ack".to_vec(), pair.link_proxy.address()));
 }
 
 /// One side hears the other, but not the reverse: a ping arrives, its answer
@@ -71,12 +71,12 @@
 #[tokio::test]
 async fn a_link_is_silent_in_one_direction() {
     let pair = pair().await;
-    pair.links.set(1, 0, SILENT);
-    pair.left.send_to(b"ping", pair.relay.address()).await.expect("send");
+    pair.links.set(1, 0, BLOCKED);
+    pair.left.send_to(b"ping", pair.link_proxy.address()).await.expect("send");
     let (_, from) = receive(&pair.right).await;
     pair.right.send_to(b"ack", from).await.expect("send");
-    assert!(tokio::time::timeout(A_WHILE, receive(&pair.left)).await.is_err());
-    pair.links.set_all(Link::default());
+    assert!(tokio::time::timeout(SILENCE_CHECK, receive(&pair.left)).await.is_err());
+    pair.links.set_all(LinkFaults::default());
     pair.right.send_to(b"late", from).await.expect("send");
     assert_eq!(receive(&pair.left).await.0, b"late");
 }
@@ -88,28 +88,29 @@
 async fn a_connection_that_lost_bytes_stays_silent() {
     let pair = pair().await;
     let mut old = connect_from_left(&pair).await;
-    let (mut far, _) = pair.right_listener.accept().await.expect("accept");
+    let (mut accepted, _) = pair.right_listener.accept().await.expect("accept");
     old.write_all(b"one").await.expect("write");
     let mut buffer = [0; 3];
-    far.read_exact(&mut buffer).await.expect("read");
+    accepted.read_exact(&mut buffer).await.expect("read");
     pair.links.partition(2, 1);
     old.write_all(b"two").await.expect("write");
-    assert!(tokio::time::timeout(A_WHILE, far.read(&mut buffer)).await.is_err());
-    pair.links.set_all(Link::default());
+    assert!(tokio::time::timeout(SILENCE_CHECK, accepted.read(&mut buffer)).await.is_err());
+    pair.links.set_all(LinkFaults::default());
     old.write_all(b"six").await.expect("write");
-    assert!(tokio::time::timeout(A_WHILE, far.read(&mut buffer)).await.is_err());
+    assert!(tokio::time::timeout(SILENCE_CHECK, accepted.read(&mut buffer)).await.is_err());
     let mut new = connect_from_left(&pair).await;
-    let (mut far, _) = pair.right_listener.accept().await.expect("accept");
+    let (mut accepted, _) = pair.right_listener.accept().await.expect("accept");
     new.write_all(b"ten").await.expect("write");
-    far.read_exact(&mut buffer).await.expect("read");
+    accepted.read_exact(&mut buffer).await.expect("read");
     assert_eq!(&buffer, b"ten");
 }
 
 #[test]
 fn a_share_of_the_datagrams_is_dropped() {
     let links = Links::new(7);
-    links.set_all(Link { drop_share: 0.2, ..Link::default() });
-    let dropped = (0..10_000).filter(|_| links.datagram(Some(0), 1) == Passage::Dropped).count();
+    links.set_all(LinkFaults { drop_share: 0.2, ..LinkFaults::default() });
+    let dropped =
+        (0..10_000).filter(|_| links.deliver_datagram(Some(0), 1) == Delivery::Dropped).count();
     assert!((1_800..2_200).contains(&dropped), "{dropped}");
-    assert_eq!(links.stream(Some(0), 1), Passage::Passes(Duration::ZERO));
+    assert_eq!(links.deliver_stream(Some(0), 1), Delivery::After(Duration::ZERO));
 }
--- a/crates/pistachiotrack-standins/tests/soak.rs
+++ b/crates/pistachiotrack-standins/tests/soak.rs
@@ -1,14 +1,15 @@
-//! The soak's plans, and that its checks bite: each promise broken in what was seen, and
+//! The soak's plans, and that its checks bite: each invariant violated in what was seen, and
 //! the same with nothing wrong.
 
 use std::path::Path;
 
 use pistachiotrack_standins::{
-    caller::Ending,
+    caller::RequestOutcome,
     soak::{
         oracle::{
-            Asked, IN_FORCE_MS, Left, Limited, LoggedRefusals, Process, Promise, Published,
-            RECOVER_MS, Record, VersionSeen, violations,
+            Invariant, LeavingPeriod, LoggedRefusals, PROPAGATION_LIMIT_MS, Process,
+            PublishedVersion, RECOVERY_LIMIT_MS, RateLimitPeriod, RequestRecord, RunRecord,
+            VersionSeen, violations,
         },
         plan::Plan,
     },
@@ -18,18 +19,18 @@
 const ENDPOINTS: usize = 34;
 const REQUEST: &str = "vm-01-1a23-7";
 
-fn asked(id: u64, ending: Ending) -> Asked {
+fn request(id: u64, outcome: RequestOutcome) -> RequestRecord {
     let id = WorkId(id);
-    let is_refused = matches!(ending, Ending::RefusedNotRun | Ending::Unknown);
-    let request = is_refused.then(|| Box::from(REQUEST));
-    Asked {
+    let is_refused = matches!(outcome, RequestOutcome::RefusedNotRun | RequestOutcome::Unknown);
+    let request_id = is_refused.then(|| Box::from(REQUEST));
+    RequestRecord {
         id,
         non_idempotent: true,
         vm: Some(0),
         sent_ms: 5_000,
         ended_ms: 5_400,
-        ending,
-        request,
+        outcome,
+        request_id,
     }
 }
 
@@ -38,10 +39,10 @@
         vm: 0,
         number: 0,
         started_ms,
-        asked_to_stop_ms: None,
+        stop_requested_ms: None,
         killed_ms: None,
         ended_ms: None,
-        end_was_meant: false,
+        exit_expected: false,
     }
 }
 
@@ -50,23 +51,23 @@
 }
 
 /// Returns a run in which all went well.
-fn sound() -> Record {
+fn valid_run() -> RunRecord {
     let stopping =
-        Process { asked_to_stop_ms: Some(5_100), ended_ms: Some(6_000), ..process(1_000) };
-    let left = Left {
+        Process { stop_requested_ms: Some(5_100), ended_ms: Some(6_000), ..process(1_000) };
+    let leaving_period = LeavingPeriod {
         endpoint: "e1".to_owned(),
         from_ms: 1_000,
         until_ms: 30_000,
         arrivals_ms: vec![900, 2_000, 31_000],
     };
-    Record {
-        asked: vec![asked(1, Ending::Ok), asked(2, Ending::RefusedNotRun)],
+    RunRecord {
+        requests: vec![request(1, RequestOutcome::Ok), request(2, RequestOutcome::RefusedNotRun)],
         executions: [(WorkId(1), 1)].into_iter().collect(),
         versions: vec![seen(1_100, 1), seen(3_000, 2), seen(9_000, 2)],
-        published: vec![Published { at_ms: 2_000, version: 2 }],
-        left: vec![left],
-        processes: vec![Process { end_was_meant: true, vm: 1, ..stopping }, process(0)],
-        limited: vec![Limited {
+        published: vec![PublishedVersion { at_ms: 2_000, version: 2 }],
+        leaving_periods: vec![leaving_period],
+        processes: vec![Process { exit_expected: true, vm: 1, ..stopping }, process(0)],
+        rate_limit_periods: vec![RateLimitPeriod {
             endpoint: "e2".to_owned(),
             per_second: 1.0,
             until_ms: 30_000,
@@ -78,121 +79,125 @@
         logged: LoggedRefusals {
             requests: [Box::from(REQUEST)].into_iter().collect(),
             vms: vec!["vm-01".to_owned(), "vm-02".to_owned()],
-            is_cut: false,
+            has_omitted_lines: false,
         },
         end_ms: 60_000,
     }
 }
 
-fn broken(record: &Record) -> Vec<Promise> {
-    violations(record).into_iter().map(|violation| violation.promise).collect()
+fn violated(record: &RunRecord) -> Vec<Invariant> {
+    violations(record).into_iter().map(|violation| violation.invariant).collect()
 }
 
 #[test]
-fn a_run_in_which_all_went_well_breaks_nothing() {
-    assert_eq!(broken(&sound()), []);
+fn a_valid_run_has_no_violations() {
+    assert_eq!(violated(&valid_run()), []);
 }
 
 #[test]
-fn each_promise_that_is_broken_is_found() {
-    let mut twice = sound();
+fn each_invariant_violation_is_found() {
+    let mut twice = valid_run();
     twice.executions.insert(WorkId(1), 2);
-    assert_eq!(broken(&twice), [Promise::AtMostOnce]);
+    assert_eq!(violated(&twice), [Invariant::AtMostOnce]);
 
-    let mut ran = sound();
+    let mut ran = valid_run();
     ran.executions.insert(WorkId(2), 1);
-    assert_eq!(broken(&ran), [Promise::NotRunIsTrue]);
+    assert_eq!(violated(&ran), [Invariant::NotRunIsTrue]);
 
-    let mut wrong = sound();
-    wrong.asked[0].ending = Ending::WrongAnswer;
-    assert_eq!(broken(&wrong), [Promise::OwnAnswer]);
+    let mut wrong = valid_run();
+    wrong.requests[0].outcome = RequestOutcome::WrongAnswer;
+    assert_eq!(violated(&wrong), [Invariant::OwnAnswer]);
 
-    let mut cut = sound();
-    cut.asked.push(Asked { vm: Some(1), ..asked(3, Ending::Lost) });
+    let mut cut = valid_run();
+    cut.requests.push(RequestRecord { vm: Some(1), ..request(3, RequestOutcome::Lost) });
     cut.executions.insert(WorkId(3), 1);
-    assert_eq!(broken(&cut), [Promise::PlannedStop]);
+    assert_eq!(violated(&cut), [Invariant::PlannedStop]);
 
-    let mut older = sound();
+    let mut older = valid_run();
     older.versions.push(seen(10_000, 1));
-    assert_eq!(broken(&older), [Promise::NeverOlder]);
+    assert_eq!(violated(&older), [Invariant::NeverOlder]);
 
-    let mut late = sound();
-    late.published.push(Published { at_ms: 20_000, version: 3 });
-    late.versions.push(seen(20_001 + IN_FORCE_MS, 3));
-    assert_eq!(broken(&late), [Promise::InForce]);
+    let mut late = valid_run();
+    late.published.push(PublishedVersion { at_ms: 20_000, version: 3 });
+    late.versions.push(seen(20_001 + PROPAGATION_LIMIT_MS, 3));
+    assert_eq!(violated(&late), [Invariant::InForce]);
 
-    let mut crashing = sound();
+    let mut crashing = valid_run();
     crashing.crash_runs_ms.push(18_000);
-    assert_eq!(broken(&crashing), [Promise::CrashesHeldBack]);
+    assert_eq!(violated(&crashing), [Invariant::CrashesHeldBack]);
 
-    let mut exceeded = sound();
-    exceeded.limited[0].arrivals_ms.splice(4..4, vec![9_000; 8]);
-    assert_eq!(broken(&exceeded), [Promise::LimitKept]);
+    let mut exceeded = valid_run();
+    exceeded.rate_limit_periods[0].arrivals_ms.splice(4..4, vec![9_000; 8]);
+    assert_eq!(violated(&exceeded), [Invariant::LimitKept]);
 
-    let mut leaving = sound();
-    leaving.left[0].arrivals_ms.push(1_000 + IN_FORCE_MS);
-    assert_eq!(broken(&leaving), [Promise::Leaving]);
+    let mut leaving = valid_run();
+    leaving.leaving_periods[0].arrivals_ms.push(1_000 + PROPAGATION_LIMIT_MS);
+    assert_eq!(violated(&leaving), [Invariant::Leaving]);
 
-    let mut ended = sound();
+    let mut ended = valid_run();
     ended.processes[1].ended_ms = Some(59_000);
-    assert_eq!(broken(&ended), [Promise::StaysUp]);
+    assert_eq!(violated(&ended), [Invariant::StaysUp]);
 
-    let mut lost = sound();
+    let mut lost = valid_run();
     lost.faults.push((50_000, 51_000));
-    lost.asked.extend((10..20).map(|id| Asked {
-        sent_ms: 51_000 + RECOVER_MS,
-        ended_ms: 51_400 + RECOVER_MS,
-        ..asked(id, Ending::NoVm)
+    lost.requests.extend((10..20).map(|id| RequestRecord {
+        sent_ms: 51_000 + RECOVERY_LIMIT_MS,
+        ended_ms: 51_400 + RECOVERY_LIMIT_MS,
+        ..request(id, RequestOutcome::NoVm)
     }));
-    assert_eq!(broken(&lost), [Promise::Recovery]);
+    assert_eq!(violated(&lost), [Invariant::Recovery]);
 }
 
 /// A refusal that no log knows is found, unless its line may be missing: lines were left out,
 /// or the VM was killed before it wrote it.
 #[test]
-fn a_refusal_without_a_line_is_found() {
-    let mut unlogged = sound();
+fn a_refusal_without_a_log_line_is_found() {
+    let mut unlogged = valid_run();
     unlogged.logged.requests.clear();
-    assert_eq!(broken(&unlogged), [Promise::RefusalLogged]);
-    let mut nameless = sound();
-    nameless.asked.iter_mut().for_each(|asked| asked.request = None);
-    assert_eq!(broken(&nameless), [Promise::RefusalLogged]);
+    assert_eq!(violated(&unlogged), [Invariant::RefusalLogged]);
+    let mut nameless = valid_run();
+    nameless.requests.iter_mut().for_each(|request| request.request_id = None);
+    assert_eq!(violated(&nameless), [Invariant::RefusalLogged]);
 
     let killed = Process {
         killed_ms: Some(5_500),
         ended_ms: Some(5_510),
-        end_was_meant: true,
+        exit_expected: true,
         ..process(0)
     };
     unlogged.processes = vec![killed];
-    assert_eq!(broken(&unlogged), []);
+    assert_eq!(violated(&unlogged), []);
     // The VM was stopping, and was killed before it had ended.
-    unlogged.processes[0].asked_to_stop_ms = Some(3_000);
-    assert_eq!(broken(&unlogged), []);
+    unlogged.processes[0].stop_requested_ms = Some(3_000);
+    assert_eq!(violated(&unlogged), []);
     unlogged.processes[0].killed_ms = None;
-    assert_eq!(broken(&unlogged), [Promise::RefusalLogged]);
+    assert_eq!(violated(&unlogged), [Invariant::RefusalLogged]);
     unlogged.processes[0].killed_ms = Some(4_000);
-    assert_eq!(broken(&unlogged), [Promise::RefusalLogged]);
+    assert_eq!(violated(&unlogged), [Invariant::RefusalLogged]);
     unlogged.logged.read("time=9 level=warn event=log_lines_left_out count=3");
-    assert_eq!(broken(&unlogged), []);
+    assert_eq!(violated(&unlogged), []);
 }
 
 /// A request that crosses the close of its connection was not taken, and one that a fault
 /// besides may have cut says nothing of the stop.
 #[test]
-fn a_stop_is_not_held_to_what_it_did_not_cut() {
-    let mut crossed = sound();
-    crossed.asked.push(Asked { vm: Some(1), ended_ms: 5_010, ..asked(3, Ending::Lost) });
-    assert_eq!(broken(&crossed), []);
-    let mut faulty = sound();
-    faulty.asked.push(Asked { vm: Some(1), ..asked(3, Ending::Lost) });
+fn a_stop_is_not_blamed_for_requests_it_did_not_interrupt() {
+    let mut crossed = valid_run();
+    crossed.requests.push(RequestRecord {
+        vm: Some(1),
+        ended_ms: 5_010,
+        ..request(3, RequestOutcome::Lost)
+    });
+    assert_eq!(violated(&crossed), []);
+    let mut faulty = valid_run();
+    faulty.requests.push(RequestRecord { vm: Some(1), ..request(3, RequestOutcome::Lost) });
     faulty.executions.insert(WorkId(3), 1);
     faulty.faults.push((4_000, 4_500));
-    assert!(!broken(&faulty).contains(&Promise::PlannedStop));
+    assert!(!violated(&faulty).contains(&Invariant::PlannedStop));
 }
 
 #[test]
-fn a_seed_makes_the_same_plan_and_a_plan_survives_its_json() {
+fn plans_are_deterministic_and_round_trip_through_json() {
     for seed in 0..20 {
         let plan = Plan::new(seed, 6, 60, ENDPOINTS);
         assert_eq!(plan, Plan::new(seed, 6, 60, ENDPOINTS));
@@ -204,7 +209,7 @@
 }
 
 #[test]
-fn a_plan_that_cannot_be_played_is_refused_with_file_and_field() {
+fn an_invalid_plan_is_rejected_with_file_and_field() {
     let directory = std::env::temp_dir();
     let refused = |name: &str, json: &str| {
         let file = directory.join(format!("pistachiotrack-{}-{name}.json", std::process::id()));
--- a/crates/pistachiotrack-standins/tests/summary.rs
+++ b/crates/pistachiotrack-standins/tests/summary.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use pistachiotrack_standins::{
-    caller::{Ending, Sample},
-    ejection::{QUIET, quiet_time, work_stopped_after},
-    ledger::Ledger,
-    summary::{Added, Counts, percentile_ms},
+    caller::{RequestOutcome, Sample},
+    ejection::{MIN_QUIET_TIME, quiet_time, work_stopped_after},
+    execution_counter::ExecutionCounter,
+    summary::{AddedLatency, Counts, percentile_ms},
     work::WorkId,
 };
 
-fn sample(id: u64, ending: Ending) -> Sample {
+fn sample(id: u64, outcome: RequestOutcome) -> Sample {
     Sample {
         id: WorkId(id),
         non_idempotent: true,
@@ -18,28 +18,28 @@
         sent: Instant::now(),
         latency_us: 31_000 + id,
         service_us: Some(30_000),
-        ending,
+        outcome,
         reason: None,
-        request: None,
+        request_id: None,
     }
 }
 
 #[test]
-fn harm_is_told_from_the_ledger() {
-    let ledger = Ledger::default();
+fn counts_compare_outcomes_with_executions() {
+    let execution_counter = ExecutionCounter::default();
     for id in [1, 2, 2, 4, 6] {
-        ledger.record(WorkId(id));
+        execution_counter.record(WorkId(id));
     }
     let samples = [
-        sample(1, Ending::Ok),
-        sample(2, Ending::Unknown),
-        sample(3, Ending::Ok),
-        sample(4, Ending::RefusedNotRun),
-        sample(5, Ending::RefusedNotRun),
-        Sample { non_idempotent: false, ..sample(6, Ending::WrongAnswer) },
-        sample(7, Ending::Lost),
+        sample(1, RequestOutcome::Ok),
+        sample(2, RequestOutcome::Unknown),
+        sample(3, RequestOutcome::Ok),
+        sample(4, RequestOutcome::RefusedNotRun),
+        sample(5, RequestOutcome::RefusedNotRun),
+        Sample { non_idempotent: false, ..sample(6, RequestOutcome::WrongAnswer) },
+        sample(7, RequestOutcome::Lost),
     ];
-    let counts = Counts::of(&samples, &ledger);
+    let counts = Counts::of(&samples, &execution_counter);
     assert_eq!(counts.requests, 7);
     assert_eq!(counts.ok, 1);
     assert_eq!(counts.doubled, 1, "2 ran twice");
@@ -48,16 +48,16 @@
     assert_eq!(counts.refused_not_run, 2);
     assert_eq!(counts.wrong_answer, 1);
     assert!(!counts.is_clean());
-    assert!(Counts::of(&samples[..1], &ledger).is_clean());
+    assert!(Counts::of(&samples[..1], &execution_counter).is_clean());
 }
 
 #[test]
 fn repeated_work_that_may_be_repeated_is_not_doubled() {
-    let ledger = Ledger::default();
-    ledger.record(WorkId(1));
-    ledger.record(WorkId(1));
-    let lookup = Sample { non_idempotent: false, ..sample(1, Ending::Ok) };
-    assert!(Counts::of(&[lookup], &ledger).is_clean());
+    let execution_counter = ExecutionCounter::default();
+    execution_counter.record(WorkId(1));
+    execution_counter.record(WorkId(1));
+    let lookup = Sample { non_idempotent: false, ..sample(1, RequestOutcome::Ok) };
+    assert!(Counts::of(&[lookup], &execution_counter).is_clean());
 }
 
 #[test]
@@ -66,27 +66,27 @@
     assert_eq!(percentile_ms(&sorted_us, 0.5), 50.0);
     assert_eq!(percentile_ms(&sorted_us, 0.99), 99.0);
     assert_eq!(percentile_ms(&[], 0.99), 0.0);
-    let samples: Vec<Sample> = (0..3).map(|id| sample(id, Ending::Ok)).collect();
-    assert_eq!(Added::of(&samples), Added { p50_ms: 1.001, p99_ms: 1.002 });
+    let samples: Vec<Sample> = (0..3).map(|id| sample(id, RequestOutcome::Ok)).collect();
+    assert_eq!(AddedLatency::of(&samples), AddedLatency { p50_ms: 1.001, p99_ms: 1.002 });
 }
 
 #[test]
 fn work_has_stopped_before_the_first_quiet_time() {
     let fault = Instant::now();
     let at = |ms| fault + Duration::from_millis(ms);
-    let quiet_ms = QUIET.as_millis() as u64;
+    let quiet_ms = MIN_QUIET_TIME.as_millis() as u64;
     let until_300 = [at(100), at(200), at(300)];
     let stopped = Some(Duration::from_millis(300));
-    assert_eq!(work_stopped_after(&until_300, fault, at(300 + quiet_ms), QUIET), stopped);
-    assert_eq!(work_stopped_after(&until_300, fault, at(299 + quiet_ms), QUIET), None);
+    assert_eq!(work_stopped_after(&until_300, fault, at(300 + quiet_ms), MIN_QUIET_TIME), stopped);
+    assert_eq!(work_stopped_after(&until_300, fault, at(299 + quiet_ms), MIN_QUIET_TIME), None);
     let trial_later = [at(100), at(300), at(300 + quiet_ms), at(301 + quiet_ms)];
-    assert_eq!(work_stopped_after(&trial_later, fault, at(60_000), QUIET), stopped);
-    assert_eq!(work_stopped_after(&[], fault, at(60_000), QUIET), Some(Duration::ZERO));
+    assert_eq!(work_stopped_after(&trial_later, fault, at(60_000), MIN_QUIET_TIME), stopped);
+    assert_eq!(work_stopped_after(&[], fault, at(60_000), MIN_QUIET_TIME), Some(Duration::ZERO));
 }
 
 #[test]
 fn little_work_needs_a_longer_quiet_time() {
-    assert_eq!(quiet_time(400, Duration::from_secs(5)), QUIET);
+    assert_eq!(quiet_time(400, Duration::from_secs(5)), MIN_QUIET_TIME);
     assert_eq!(quiet_time(10, Duration::from_secs(5)), Duration::from_secs(10));
     assert_eq!(quiet_time(0, Duration::from_secs(5)), Duration::from_secs(100));
 }
