--- a/crates/pistachiotrack-standins/src/soak.rs
+++ b/crates/pistachiotrack-standins/src/soak.rs
@@ -1,5 +1,5 @@
-//! A soak: real daemons as processes of their own, faults from outside in random order
-//! and overlapping, and promises checked by what callers and endpoints saw.
+//! Soak test: runs real daemon processes, injects random and overlapping faults from outside,
+//! and checks invariants against what callers and endpoints observed.
 
 mod caller;
 mod clock;
@@ -37,41 +37,41 @@
     workload::operations,
 };
 
-/// VMs, where not set.
+/// Default number of VMs.
 const VMS: usize = 6;
-/// Length of the load.
+/// Default duration of the load, in seconds.
 const SECONDS: u64 = 60;
-/// Share of the slots that the load uses: processes share one machine here.
+/// Share of the slots that the load uses; low because all processes share one machine.
 const LOAD: f64 = 0.04;
-/// Callers that take the addresses they are told; one more takes the last of them.
+/// Callers that use the first entry address that a VM returns; one more caller uses the last.
 const STEERED_CALLERS: usize = 3;
-/// VMs to which callers keep a connection of their own.
+/// VMs that have a caller with a persistent connection.
 const PERSISTENT_CALLERS: usize = 24;
-/// Time allowed for the VMs to serve.
+/// Time limit for all VMs to start serving.
 const START_LIMIT: Duration = Duration::from_secs(120);
-/// Time after the load in which late work would still begin.
+/// Wait after the load for requests that an endpoint would begin to run late.
 const LATE_EXECUTION_WAIT: Duration = Duration::from_secs(3);
-/// Broken promises that are printed.
+/// Largest number of violations that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 10;
-/// Where plans and logs of failed runs go.
+/// Default directory for plans and logs.
 const DIRECTORY: &str = "target/soak";
 
-/// Settings of a soak.
+/// Settings of a soak test.
 #[derive(Clone, Debug)]
 pub struct SoakSettings {
     /// First seed.
     pub seed: u64,
     /// Number of seeds, one after the other.
     pub seeds: u64,
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Length of each run's load.
+    /// Duration of each run's load.
     pub seconds: u64,
-    /// Plan to be played in place of one from a seed.
+    /// Plan file to run instead of a plan generated from the seed.
     pub plan: Option<PathBuf>,
     /// Directory for plans and logs.
     pub directory: PathBuf,
-    /// Whether plans are printed and nothing is run.
+    /// Whether to print the plans without running them.
     pub show: bool,
 }
 
@@ -101,7 +101,7 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 struct RunResult {
     requests: usize,
     served: usize,
@@ -110,7 +110,8 @@
     violations: Vec<Violation>,
 }
 
-/// Plays the requested seeds, a line each; the code is 1 if an invariant was broken.
+/// Runs the requested seeds and prints one line for each; the exit code is 1 if an invariant
+/// was violated.
 ///
 /// # Errors
 ///
@@ -172,7 +173,7 @@
     let mut deployment = Deployment::start(Kind::Timeliten, plan.seed).await?;
     for service in &mut deployment.config.services {
         service.dispatchers_per_data_centre = plan.dispatchers_per_data_centre;
-        // Several endpoints may leave at the same time.
+        // Lets several endpoints leave at the same time.
         service.floor = service.floor.min(1);
     }
     deployment.config.version += 1;
@@ -260,13 +261,13 @@
     Ok(logged)
 }
 
-/// Returns from when to when the faults among a plan's events last that `counts` holds for.
+/// Returns the start and end times of the plan's faults whose event matches `counts`.
 fn faults(plan: &Plan, counts: impl Fn(&Event) -> bool) -> Vec<(u64, u64)> {
     let fault = |step: &plan::Step| Some((step.at_ms, step.at_ms + step.event.fault_ms()?));
     plan.steps.iter().filter(|step| counts(&step.event)).filter_map(fault).collect()
 }
 
-/// Sends requests for as long as the plan says, and returns what came of them.
+/// Sends requests for the plan's duration and returns their records.
 async fn load(
     plan: &Plan,
     environment: &Environment,
--- a/crates/pistachiotrack-standins/src/soak/caller.rs
+++ b/crates/pistachiotrack-standins/src/soak/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps its connection to one VM until the process is gone.
+//! A caller that keeps one connection to one VM until the VM's process closes it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,34 +21,34 @@
 
 /// Time between two requests on one connection.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which another connection is tried.
+/// Delay before the next attempt to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Time beyond its deadline after which a request counts as lost; only a hang gets there.
+/// Time beyond its deadline after which a request counts as lost; only a hang takes as long.
 const HANG_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A caller of one VM.
+/// A caller with a persistent connection to one VM.
 #[derive(Clone, Debug)]
 pub(super) struct PersistentCaller {
     /// The VM.
     pub(super) vm: usize,
-    /// Its address for callers.
+    /// The VM's caller address.
     pub(super) address: SocketAddr,
-    /// What it asks for, in turn.
+    /// Operations, sent in turn.
     pub(super) operations: Arc<Vec<Operation>>,
-    /// Identities of the work.
+    /// Source of work ids.
     pub(super) ids: WorkIds,
-    /// Time from the beginning of the load.
+    /// Clock of the run.
     pub(super) clock: RunClock,
 }
 
 impl PersistentCaller {
-    /// Sends one request after another until `stop` says so.
+    /// Sends one request after another until `stop` is true.
     pub(super) async fn run(self, mut stop: watch::Receiver<bool>) -> Vec<RequestRecord> {
         let mut requests = Vec::new();
         while !*stop.borrow() {
             let connection = TcpStream::connect(self.address).await;
             let Ok(stream) = connection else {
-                // The VM is stopped, or starting.
+                // The VM is stopped or still starting.
                 let _ = tokio::time::timeout(RECONNECT_DELAY, stop.changed()).await;
                 continue;
             };
@@ -95,7 +95,7 @@
     }
 }
 
-/// Sends a request and returns what came of it; `None` if nothing of it was sent.
+/// Sends a request and returns its result, or `None` if no part of it was sent.
 async fn exchange(
     sender: &mut http1::SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Returns a request as it is written to a connection to the VM itself.
+/// Builds a request for a direct connection to the VM, with its address as `Host`.
 fn request_to(
     address: SocketAddr,
     operation: &Operation,
--- a/crates/pistachiotrack-standins/src/soak/environment.rs
+++ b/crates/pistachiotrack-standins/src/soak/environment.rs
@@ -1,4 +1,4 @@
-//! A run's deployment and what is done to it.
+//! The deployment under test, and the injection of faults into it.
 
 use std::{
     collections::BTreeSet,
@@ -26,9 +26,9 @@
     platform::Availability,
 };
 
-/// Time after which operators mend a value that isn't valid.
+/// Time after which a valid configuration replaces an invalid one.
 const INVALID_CONFIG_DURATION: Duration = Duration::from_millis(1_500);
-/// Time between two sendings of a request that crashes endpoints.
+/// Time between two requests that crash endpoints.
 const CRASH_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 /// A lookup that crashes the endpoint that runs it.
 const CRASH_REQUEST: Operation = Operation {
@@ -43,7 +43,7 @@
 };
 const BLOCKED: LinkFaults = LinkFaults { silent: true, drop_share: 0.0, delay: Duration::ZERO };
 
-/// A run's deployment and what is done to it.
+/// The deployment under test, into which a plan's steps inject faults.
 #[derive(Debug)]
 pub(super) struct Environment {
     pub(super) deployment: Deployment,
@@ -51,7 +51,7 @@
     links: Links,
     state: Mutex<State>,
     clock: RunClock,
-    /// Addresses of the VMs for callers.
+    /// Caller addresses of the VMs.
     addresses: Vec<SocketAddr>,
     ids: WorkIds,
 }
@@ -61,12 +61,12 @@
     config: Config,
     published: Vec<PublishedVersion>,
     leaving_periods: Vec<LeavingPeriod>,
-    /// Endpoints that name a limit now.
+    /// Endpoints that currently announce a rate limit.
     limited_endpoints: BTreeSet<usize>,
     rate_limit_periods: Vec<RateLimitPeriod>,
-    /// Directions that are cut, as often as something cut_directions them.
+    /// Blocked link directions; one entry for each event that blocks the direction.
     cut_directions: Vec<(usize, usize)>,
-    /// Faults of all links, as far as they hold.
+    /// Currently active faults that apply to all links.
     link_faults: Vec<LinkFaults>,
 }
 
@@ -91,7 +91,7 @@
         Environment { deployment, vms, links, state: Mutex::new(state), clock, addresses, ids }
     }
 
-    /// Waits for a step's time, has it happen, and ends it when it is over.
+    /// Waits for a step's start time, injects its event, and reverts it after its duration.
     pub(super) async fn run_step(&self, step: &Step, vms: usize) {
         self.clock.wait_until_ms(step.at_ms).await;
         match &step.event {
@@ -198,7 +198,7 @@
         arrivals.into_iter().map(|at| self.clock.ms(at)).collect()
     }
 
-    /// Sends a request that crashes endpoints to one VM after the other.
+    /// Sends requests that crash endpoints to the VMs in turn.
     async fn send_crash_requests(&self, for_ms: u64) {
         let until = Instant::now() + Duration::from_millis(for_ms);
         let mut sent = JoinSet::new();
@@ -226,7 +226,7 @@
         self.publish(|_| {});
     }
 
-    /// Publishes a change unless it would not be valid; returns whether it did.
+    /// Publishes a changed configuration if it is valid; returns whether it was published.
     fn publish(&self, change: impl FnOnce(&mut Config)) -> bool {
         let mut state = self.lock();
         let mut config = state.config.clone();
@@ -273,7 +273,8 @@
         }
     }
 
-    /// Returns endpoints that named a limit, and when the request that crashes endpoints ran.
+    /// Returns the periods in which endpoints announced a rate limit, and the times at which a
+    /// request that crashes endpoints began to run.
     pub(super) fn endpoint_observations(&self) -> (Vec<RateLimitPeriod>, Vec<u64>) {
         let runs = self.deployment.endpoints.iter().flat_map(Endpoint::crash_runs);
         let mut runs_ms: Vec<u64> = runs.map(|at| self.clock.ms(at)).collect();
@@ -281,7 +282,7 @@
         (self.lock().rate_limit_periods.clone(), runs_ms)
     }
 
-    /// Returns what operators did.
+    /// Returns the published configurations and the periods in which endpoints were leaving.
     pub(super) fn operator_actions(&self) -> (Vec<PublishedVersion>, Vec<LeavingPeriod>) {
         let state = self.lock();
         (state.published.clone(), state.leaving_periods.clone())
--- a/crates/pistachiotrack-standins/src/soak/oracle.rs
+++ b/crates/pistachiotrack-standins/src/soak/oracle.rs
@@ -1,7 +1,8 @@
-//! What the promises say of what was seen from outside.
+//! Test oracle: checks the invariants against what was observed from outside.
 //!
-//! Nothing here knows the daemon: callers' answers, the endpoints' own count of what they
-//! ran, the versions that VMs say are in force, and what was done to them.
+//! It doesn't depend on the daemon's code. Its input is the callers' answers, the endpoints'
+//! own counts of executions, the active configuration versions that VMs report, and the
+//! injected events.
 
 use std::fmt;
 
@@ -9,66 +10,66 @@
 
 use crate::{caller::RequestOutcome, work::WorkId};
 
-/// Time within which a change is in force everywhere, and an endpoint that leaves gets
-/// nothing new any more: the plan for the whole size.
+/// Time limit within which a configuration becomes active on all VMs and an endpoint that
+/// leaves stops receiving new requests, as planned for a fleet of full size.
 pub const PROPAGATION_LIMIT_MS: u64 = 10_000;
-/// Time after the last fault within which requests are served again.
+/// Time limit after the last fault within which requests are served again.
 pub const RECOVERY_LIMIT_MS: u64 = 15_000;
-/// Part of the requests that has to be served then.
+/// Share of the requests that must succeed after the recovery limit.
 const RECOVERED_SUCCESS_SHARE: f64 = 0.25;
-/// Time after a fault for which its effects are held against it.
+/// Time after a fault for which failures are still attributed to it, and time that VMs have
+/// to exchange a crash record or a rate limit.
 const FAULT_GRACE_MS: u64 = 3_000;
-/// Time after its last byte for which a request may still cross the close of its
-/// connection.
+/// Time within which a request and the close of its connection may cross on the network.
 const CLOSE_RACE_MS: u64 = 200;
 
-/// Crashes after which the request under which endpoints end counts as the cause, and how
-/// often it may run later than all VMs have to know.
+/// Crashes after which a request is quarantined as their cause, and the number of runs that
+/// are allowed after all VMs must have learned of the quarantine.
 const CRASHES_BEFORE_QUARANTINE: usize = 3;
 const MAX_LATE_RUNS: usize = 3;
-/// Time over which requests to an endpoint that names a limit are counted.
+/// Window over which requests to an endpoint with a rate limit are counted.
 const LIMIT_WINDOW_MS: u64 = 4_000;
-/// How far they may exceed what the limit allows: a factor, and requests besides.
+/// Tolerance above the rate limit: a factor and an absolute number of requests.
 const LIMIT_TOLERANCE: (f64, f64) = (1.5, 5.0);
 
-/// Time that a line needs from the decision to the log.
+/// Time from a decision until its line is written to the log.
 const LOG_FLUSH_MS: u64 = 1_000;
 
-/// A invariant to users.
+/// A property that must hold for users in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
-    /// A request that must not be repeated runs once at most.
+    /// A request that must not be repeated runs at most once.
     AtMostOnce,
-    /// What is refused as not run has not run and never does.
+    /// A request that was refused as not run has not run and never runs.
     NotRunIsTrue,
-    /// A caller gets the whole answer to its own request or none.
+    /// A caller receives the complete answer to its own request or none.
     OwnAnswer,
-    /// A planned stop cuts no request.
+    /// A planned stop interrupts no request.
     PlannedStop,
-    /// A VM's configuration never gets older while its process lives.
+    /// A VM's active configuration version never decreases while its process lives.
     NeverOlder,
-    /// A change is in force on every VM in time.
+    /// A published configuration becomes active on every VM in time.
     InForce,
-    /// An endpoint that leaves gets nothing new after a while.
+    /// An endpoint that leaves receives no new requests after the propagation limit.
     Leaving,
-    /// Requests are served again after all faults.
+    /// Requests are served again after the last fault.
     Recovery,
-    /// A process doesn't end by itself.
+    /// A process doesn't exit unless it is stopped or killed.
     StaysUp,
-    /// A refusal leaves its line in a log.
+    /// Each refusal is logged.
     RefusalLogged,
-    /// A request that crashes endpoints is held back.
+    /// A request that crashes endpoints is quarantined.
     CrashesHeldBack,
-    /// An endpoint gets no more than the limit that it names.
+    /// An endpoint receives no more requests than its announced rate limit allows.
     LimitKept,
 }
 
-/// A invariant that was report.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The invariant.
     pub invariant: Invariant,
-    /// What was seen, with times from the beginning of the load.
+    /// Description of the violation, with times since the start of the load.
     pub seen: String,
 }
 
@@ -81,67 +82,67 @@
 /// A request as its caller saw it.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// The work.
+    /// Id of the work.
     pub id: WorkId,
-    /// Whether it must not be repeated.
+    /// Whether the request must not be repeated.
     pub non_idempotent: bool,
-    /// The VM, where the caller keeps a connection to one.
+    /// The VM, if the caller has a persistent connection.
     pub vm: Option<usize>,
-    /// Moment of sending.
+    /// Time at which it was sent.
     pub sent_ms: u64,
-    /// Moment of the end.
+    /// Time at which it ended.
     pub ended_ms: u64,
-    /// What came of it.
+    /// Its outcome.
     pub outcome: RequestOutcome,
-    /// Identity within the fleet, if it was refused.
+    /// The fleet's id of the request, if it was refused.
     pub request_id: Option<Box<str>>,
 }
 
-/// The version that a VM said was in force.
+/// The active configuration version that a VM reported.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionSeen {
-    /// When.
+    /// Time of the event.
     pub at_ms: u64,
     /// The VM.
     pub vm: usize,
-    /// Number of the VM's process.
+    /// Number of the VM's process, counted from 0.
     pub process: u32,
-    /// The version; `None` before the first one.
+    /// The version, or `None` before the first one is active.
     pub version: Option<u64>,
 }
 
-/// A valid configuration that operators published.
+/// The version of a valid configuration that was published.
 #[derive(Clone, Copy, Debug)]
 pub struct PublishedVersion {
-    /// When.
+    /// Time of the event.
     pub at_ms: u64,
     /// Its version.
     pub version: u64,
 }
 
-/// An endpoint while operators mark it as leaving, and the work that arrived there.
+/// A period in which an endpoint was marked as leaving.
 #[derive(Clone, Debug)]
 pub struct LeavingPeriod {
     /// The endpoint.
     pub endpoint: String,
-    /// When it was marked.
+    /// Time at which it was marked.
     pub from_ms: u64,
-    /// When that was taken back.
+    /// Time at which the mark was removed.
     pub until_ms: u64,
-    /// Moments at which work arrived.
+    /// Times at which requests arrived there.
     pub arrivals_ms: Vec<u64>,
 }
 
-/// An endpoint while it names a limit.
+/// A period in which an endpoint announced a rate limit.
 #[derive(Clone, Debug)]
 pub struct RateLimitPeriod {
     /// The endpoint.
     pub endpoint: String,
-    /// Requests a second that it takes from all VMs together.
+    /// Limit in requests per second, over all VMs.
     pub per_second: f64,
-    /// When it ceased to name the limit.
+    /// Time at which it stopped announcing the limit.
     pub until_ms: u64,
-    /// Moments at which work arrived meanwhile; the answer to the first named the limit first.
+    /// Times at which requests arrived; the first answer announced the limit.
     pub arrivals_ms: Vec<u64>,
 }
 
@@ -150,33 +151,33 @@
 pub struct Process {
     /// The VM.
     pub vm: usize,
-    /// Its number.
+    /// Its number among the VM's processes, counted from 0.
     pub number: u32,
-    /// When it started.
+    /// Time at which it started.
     pub started_ms: u64,
-    /// When it was asked to stop.
+    /// Time at which it was asked to stop.
     pub stop_requested_ms: Option<u64>,
-    /// When it was killed.
+    /// Time at which it was killed.
     pub killed_ms: Option<u64>,
-    /// When it had ended.
+    /// Time at which its exit was noticed.
     pub ended_ms: Option<u64>,
-    /// Whether it was killed, or asked to stop.
+    /// Whether it was killed or asked to stop.
     pub exit_expected: bool,
 }
 
-/// What the VMs logged of refusals.
+/// The refusals that the VMs logged.
 #[derive(Clone, Debug, Default)]
 pub struct LoggedRefusals {
-    /// Requests whose refusal has a line.
+    /// Ids of the requests whose refusal was logged.
     pub requests: FxHashSet<Box<str>>,
-    /// Whether lines were period out.
+    /// Whether a VM omitted log lines.
     pub has_omitted_lines: bool,
-    /// Names of the VMs, which the identities of their requests begin with.
+    /// Names of the VMs, which are the prefixes of their request ids.
     pub vms: Vec<String>,
 }
 
 impl LoggedRefusals {
-    /// Reads the lines of a log.
+    /// Adds the refusals in a log.
     pub fn read(&mut self, log: &str) {
         for line in log.lines() {
             let has = |pair: &str| line.split_whitespace().any(|word| word == pair);
@@ -189,36 +190,36 @@
     }
 }
 
-/// All that was seen of a run.
+/// Everything that was observed in a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunRecord {
-    /// Requests.
+    /// Requests that callers sent.
     pub requests: Vec<RequestRecord>,
-    /// How often each piece of work was begun.
+    /// Number of times that endpoints began to run each piece of work.
     pub executions: FxHashMap<WorkId, u32>,
-    /// Versions in force, in the order in which they were seen.
+    /// Active configuration versions in the order in which they were observed.
     pub versions: Vec<VersionSeen>,
-    /// Configurations, in their order.
+    /// Published configurations in order.
     pub published: Vec<PublishedVersion>,
-    /// Endpoints that period.
+    /// Periods in which endpoints were leaving.
     pub leaving_periods: Vec<LeavingPeriod>,
-    /// Endpoints that named a limit.
+    /// Periods in which endpoints announced a rate limit.
     pub rate_limit_periods: Vec<RateLimitPeriod>,
-    /// Moments at which endpoints began to run the request that crashes them, in their order.
+    /// Times at which endpoints began to run a request that crashes them, in order.
     pub crash_runs_ms: Vec<u64>,
-    /// Processes.
+    /// All processes of the VMs.
     pub processes: Vec<Process>,
-    /// Faults, from and to.
+    /// Start and end times of the faults.
     pub faults: Vec<(u64, u64)>,
-    /// Those of VMs, of what is between them, and of endpoints by themselves.
+    /// Start and end times of the faults other than requests that crash endpoints.
     pub vm_faults: Vec<(u64, u64)>,
-    /// What the VMs logged of refusals.
+    /// The refusals that the VMs logged.
     pub logged: LoggedRefusals,
     /// End of the load.
     pub end_ms: u64,
 }
 
-/// Returns every invariant that was report.
+/// Returns all violations of invariants in a run.
 pub fn violations(record: &RunRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut report = |invariant, seen: String| found.push(Violation { invariant, seen });
@@ -253,7 +254,7 @@
         self.executions.get(&id).copied().unwrap_or(0)
     }
 
-    /// Returns whether a fault was at work, or had just been, between two moments.
+    /// Returns whether a fault or the grace time after it overlaps the given period.
     fn overlaps_fault(&self, from_ms: u64, to_ms: u64) -> bool {
         self.faults.iter().any(|(begin, end)| *begin <= to_ms && from_ms <= end + FAULT_GRACE_MS)
     }
@@ -280,8 +281,8 @@
         }
     }
 
-    /// Returns whether the log has a refusal's line, or can't be held to it: lines were period
-    /// out, or the VM was killed before it was written.
+    /// Returns whether a refusal was logged, or its line may be missing because a VM omitted
+    /// lines or was killed before it wrote the line.
     fn has_log_line(&self, request: &RequestRecord) -> bool {
         let Some(request_id) = request.request_id.as_deref() else { return false };
         let vm = self.logged.vms.iter().position(|vm| {
@@ -294,7 +295,7 @@
         self.logged.has_omitted_lines || was_killed || self.logged.requests.contains(request_id)
     }
 
-    /// Returns whether a planned stop, and nothing else, cut a request that was taken.
+    /// Returns whether a planned stop, and no fault, interrupted an accepted request.
     fn is_interrupted_by_stop(&self, request: &RequestRecord) -> bool {
         let Some(vm) = request.vm else { return false };
         let was_accepted = self.executions(request.id) > 0
@@ -379,7 +380,7 @@
         }
     }
 
-    /// Returns whether all VMs ran and heard each other for a while before `at_ms`.
+    /// Returns whether no VM started and no VM fault was active shortly before `at_ms`.
     fn is_fault_free(&self, at_ms: u64) -> bool {
         let since_ms = at_ms.saturating_sub(FAULT_GRACE_MS);
         let is_fault = |(from, to): &(u64, u64)| *from <= at_ms && since_ms <= *to;
--- a/crates/pistachiotrack-standins/src/soak/plan.rs
+++ b/crates/pistachiotrack-standins/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, and when: made from a seed, written and read as JSON.
+//! Plans of soak runs: generated from a seed, written and read as JSON.
 
 use std::{fs, path::Path};
 
@@ -7,180 +7,180 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// A run: how large, how long, and what happens.
+/// The size, duration and events of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// Seed of the plan and of the load.
     pub seed: u64,
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// VMs of each data centre that dispatch side by side; 0 for one owner.
+    /// Concurrent dispatchers in each data centre; 0 selects a single owner.
     pub dispatchers_per_data_centre: u32,
     /// Time for which callers send requests.
     pub seconds: u64,
-    /// What happens, in any order.
+    /// Events with their times, in any order.
     pub steps: Vec<Step>,
 }
 
-/// One thing that happens.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// Time from the beginning of the load.
+    /// Time since the start of the load.
     pub at_ms: u64,
-    /// What happens.
+    /// The event.
     pub event: Event,
 }
 
-/// What may happen.
+/// Events that a plan can contain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Event {
-    /// A VM is asked to stop, and starts again after its end.
+    /// A VM is stopped gracefully and restarted after its exit.
     Terminate {
         /// The VM.
         vm: usize,
-        /// Time from its end to its start.
+        /// Time from its exit to its restart.
         restart_after_ms: u64,
     },
-    /// A VM gets a hang-up signal.
+    /// A VM receives SIGHUP and reloads its settings.
     HangUp {
         /// The VM.
         vm: usize,
     },
-    /// Operators mark an endpoint as leaving, and take that back.
+    /// The operators' configuration marks an endpoint as leaving for a time.
     Leave {
-        /// Position of the endpoint among all.
+        /// Index of the endpoint among all endpoints.
         endpoint: usize,
-        /// Time until it is taken back.
+        /// Duration.
         for_ms: u64,
     },
-    /// An endpoint names a limit in requests a second, and takes it back.
+    /// An endpoint announces a rate limit for a time.
     NameLimit {
-        /// Position of the endpoint among all.
+        /// Index of the endpoint among all endpoints.
         endpoint: usize,
-        /// The limit, in tenths of a request.
+        /// The limit, in tenths of a request per second.
         tenths_per_second: u32,
-        /// Time until it is taken back.
+        /// Duration.
         for_ms: u64,
     },
-    /// A VM is cut off from the platform, which the others reach.
+    /// One VM can't reach the platform; the other VMs can.
     CutOffPlatform {
         /// The VM.
         vm: usize,
-        /// Time until it reaches the platform again.
+        /// Duration.
         for_ms: u64,
     },
-    /// Operators publish something that isn't valid.
+    /// An invalid configuration is published.
     PublishInvalid,
-    /// VMs are killed, and start again.
+    /// VMs are killed and restarted.
     Kill {
         /// The VMs.
         vms: Vec<usize>,
-        /// Time until their start.
+        /// Time from their exit to their restart.
         restart_after_ms: u64,
     },
-    /// A VM stands still.
+    /// A VM's process is paused.
     Pause {
         /// The VM.
         vm: usize,
-        /// Time until it goes on.
+        /// Duration.
         for_ms: u64,
     },
-    /// Nothing passes from one VM to another; the other way works.
+    /// All traffic from one VM to another is dropped; the reverse direction works.
     CutOneWay {
-        /// The VM that is not heard.
+        /// The sending VM.
         from: usize,
-        /// The VM that does not hear it.
+        /// The receiving VM.
         to: usize,
-        /// Time until it passes again.
+        /// Duration.
         for_ms: u64,
     },
-    /// Nothing passes between a VM and all others.
+    /// All traffic between a VM and all other VMs is dropped.
     CutOff {
         /// The VM.
         vm: usize,
-        /// Time until it passes again.
+        /// Duration.
         for_ms: u64,
     },
-    /// Datagrams between VMs are lost, and all takes longer.
+    /// Datagrams between VMs are dropped at random, and all traffic is delayed.
     BadLinks {
-        /// Datagrams that are lost.
+        /// Percentage of the datagrams that are dropped.
         lost_percent: u32,
-        /// Time that everything takes longer.
+        /// Added delay.
         delay_ms: u64,
-        /// Time until the links are well.
+        /// Duration.
         for_ms: u64,
     },
-    /// An endpoint is sick.
+    /// An endpoint is faulty.
     Sick {
-        /// Position of the endpoint among all.
+        /// Index of the endpoint among all endpoints.
         endpoint: usize,
-        /// What it does.
+        /// The kind of fault.
         how: EndpointFault,
-        /// Time until it is well.
+        /// Duration.
         for_ms: u64,
     },
-    /// A request that crashes the endpoints that run it comes again and again.
+    /// A request that crashes the endpoints that run it is sent repeatedly.
     CrashingRequest {
-        /// Time for which it does.
+        /// Duration.
         for_ms: u64,
     },
     /// The platform's services fail.
     PlatformAway {
-        /// What they do.
+        /// The kind of fault.
         how: PlatformFault,
-        /// Time until they are back.
+        /// Duration.
         for_ms: u64,
     },
 }
 
-/// What a sick endpoint does.
+/// Faults of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointFault {
-    /// It fails all work while its health check passes.
+    /// All requests fail while the health check passes.
     Gray,
-    /// It is slow.
+    /// Requests are slow.
     Straggler,
-    /// It takes everything and answers nothing.
+    /// Requests and health checks are accepted and never answered.
     Hang,
-    /// It refuses all work.
+    /// All requests are refused.
     Shed,
-    /// Connections that are open go silent.
+    /// Open connections become silent; new connections work.
     SilentConnections,
 }
 
-/// How the platform's services fail.
+/// Faults of the platform's services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformFault {
-    /// They refuse.
+    /// Requests are refused with status 503.
     Refusing,
-    /// They don't answer.
+    /// Requests are not answered.
     Hanging,
-    /// They answer with the value before the newest.
+    /// Answers contain the configuration before the newest one.
     Stale,
 }
 
-/// Parts of a run in tenths: planned work alone, then faults on top of it, then
-/// planned work alone again, in which everything has to recover.
+/// Phase boundaries in tenths of a run: planned events only, then faults in addition, then
+/// planned events only, in which the fleet has to recover.
 const FAULTS_START_TENTHS: u64 = 3;
 const FAULTS_END_TENTHS: u64 = 6;
-/// Mean time between two planned steps, and between two faults.
+/// Mean time between two planned events, and between two faults.
 const MEAN_PLANNED_GAP_MS: u64 = 900;
 const MEAN_FAULT_GAP_MS: u64 = 700;
-/// Time before the end in which nothing begins.
+/// Time before the end of the load in which no event starts.
 const FINAL_QUIET_MS: u64 = 5_000;
-/// Most VMs that have relays between them: a relay holds a descriptor for each VM that
-/// sends to it, and 200 VMs took more than the 20,000 that a process may have.
+/// Largest number of VMs with proxied links. A proxy holds a file descriptor for each VM that
+/// sends to it, and 200 VMs exceeded the limit of 20,000 descriptors of a process.
 pub const MAX_PROXIED_VMS: usize = 120;
-/// One fault in so many kills all VMs.
+/// One in this many kill events kills all VMs.
 const KILL_ALL_ONE_IN: u32 = 15;
 
 impl Plan {
-    /// Makes a plan from a seed.
+    /// Generates a plan from a seed.
     pub fn new(seed: u64, vms: usize, seconds: u64, endpoints: usize) -> Plan {
         let mut generator = PlanGenerator {
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -202,7 +202,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the file and what is wrong in it.
+    /// Returns an error that names the file and its invalid field.
     pub fn read(file: &Path, endpoints: usize) -> anyhow::Result<Plan> {
         let json = fs::read(file).with_context(|| file.display().to_string())?;
         let plan: Plan =
@@ -235,7 +235,7 @@
 }
 
 impl Event {
-    /// Returns the VMs that it is about.
+    /// Returns the VMs that the event affects.
     pub fn vms(&self) -> Vec<usize> {
         match self {
             Event::Terminate { vm, .. }
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Returns whether it is about the links between VMs.
+    /// Returns whether the event affects links, which requires proxies on them.
     fn needs_link_proxies(&self) -> bool {
         matches!(
             self,
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Returns how long it disturbs more than planned work does, if it does.
+    /// Returns the duration of a fault, or `None` for a planned event.
     pub fn fault_ms(&self) -> Option<u64> {
         match self {
             Event::Kill { restart_after_ms, .. } => Some(*restart_after_ms),
--- a/crates/pistachiotrack-standins/src/soak/vms.rs
+++ b/crates/pistachiotrack-standins/src/soak/vms.rs
@@ -1,4 +1,4 @@
-//! The VMs' processes: signals from outside, ends, and starts after them.
+//! The VMs' processes: signals, exits and restarts.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -14,9 +14,9 @@
     daemon::{Daemon, DaemonBinary, DaemonSettings},
 };
 
-/// Time between two looks at a process.
+/// Time between two checks of whether a process is running.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two questions for the version in force.
+/// Time between two polls of the active configuration version.
 const VERSION_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The VMs of a run.
@@ -37,7 +37,7 @@
 }
 
 impl Vm {
-    /// Notes that the end of the process that runs now is meant.
+    /// Records that the exit of the current process is expected.
     fn expect_exit(&mut self, restart_after: Duration) -> Option<&mut Process> {
         self.restart_after = restart_after;
         let process = self.processes.last_mut()?;
@@ -61,7 +61,7 @@
         Vms { vms: Arc::new(daemons.into_iter().enumerate().map(vm).collect()), binary, clock }
     }
 
-    /// Stops a VM gracefully; it starts again `restart_after` its end.
+    /// Stops a VM gracefully; it is restarted `restart_after` its exit.
     pub(super) fn terminate(&self, vm: usize, restart_after: Duration) {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
@@ -71,7 +71,7 @@
         vm.daemon.terminate();
     }
 
-    /// Ends a VM at once; it starts again `restart_after` its end.
+    /// Kills a VM; it is restarted `restart_after` its exit.
     pub(super) fn kill(&self, vm: usize, restart_after: Duration) {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
@@ -81,22 +81,22 @@
         vm.daemon.start_kill();
     }
 
-    /// Makes a VM stand still.
+    /// Pauses a VM's process.
     pub(super) fn pause(&self, vm: usize) {
         self.lock(vm).daemon.pause();
     }
 
-    /// Lets a VM go on.
+    /// Resumes a VM's process.
     pub(super) fn resume(&self, vm: usize) {
         self.lock(vm).daemon.resume();
     }
 
-    /// Has a VM read its settings again.
+    /// Sends SIGHUP to a VM, which makes it reload its settings.
     pub(super) fn hang_up(&self, vm: usize) {
         self.lock(vm).daemon.hang_up();
     }
 
-    /// Notes ends and starts VMs again, for as long as it is polled.
+    /// Records exits of a VM and restarts it, until the future is dropped.
     pub(super) async fn supervise(self, vm: usize) {
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Notes the end of a process; returns the settings once its start is due.
+    /// Records the exit of a process; returns the settings once the restart is due.
     fn poll_restart(&self, vm: usize) -> Option<DaemonSettings> {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
@@ -126,7 +126,7 @@
         (Instant::now() >= due).then(|| vm.settings.clone())
     }
 
-    /// Asks a VM for the version in force again and again, for as long as it is polled.
+    /// Polls a VM's active configuration version until the future is dropped.
     pub(super) async fn watch_version(self, vm: usize, seen: Arc<Mutex<Vec<VersionSeen>>>) {
         let admin = AdminClient::default();
         loop {
@@ -148,12 +148,12 @@
         (vm.settings.admin_address, vm.processes.len() as u32 - 1)
     }
 
-    /// Returns the processes so far.
+    /// Returns all processes started so far.
     pub(super) fn processes(&self) -> Vec<Process> {
         (0..self.vms.len()).flat_map(|vm| self.lock(vm).processes.clone()).collect()
     }
 
-    /// Returns the number of descriptors that the process of each VM has open.
+    /// Returns the number of open file descriptors of each VM's process.
     pub(super) fn descriptors(&self) -> Vec<usize> {
         (0..self.vms.len()).filter_map(|vm| self.lock(vm).daemon.descriptors()).collect()
     }
