--- a/crates/pistachiotrack-standins/src/admin.rs
+++ b/crates/pistachiotrack-standins/src/admin.rs
@@ -1,4 +1,4 @@
-//! Asks a daemon's admin port.
+//! Client of a daemon's admin port.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,7 +11,7 @@
 use pistachiotrack_core::admin::{EndpointStatus, MemberStatus, Status};
 use serde::de::DeserializeOwned;
 
-/// Time allowed for an answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A client of admin ports.
@@ -27,7 +27,7 @@
 }
 
 impl AdminClient {
-    /// Asks for the status.
+    /// Requests the status.
     ///
     /// # Errors
     ///
@@ -36,7 +36,7 @@
         self.get(address, "/status").await
     }
 
-    /// Asks for the endpoints of the shards that the VM owns.
+    /// Requests the endpoints of the shards that the VM owns.
     ///
     /// # Errors
     ///
@@ -45,7 +45,7 @@
         self.get(address, "/endpoints").await
     }
 
-    /// Asks for the members that the VM knows.
+    /// Requests the VM's membership view.
     ///
     /// # Errors
     ///
--- a/crates/pistachiotrack-standins/src/caller.rs
+++ b/crates/pistachiotrack-standins/src/caller.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a caller: asks for entries, keeps the answer for its lifetime
-//! and sends work to the first one.
+//! Test stand-in for a caller: requests entry addresses, caches them for their lifetime and
+//! sends requests to the first one.
 
 use std::{
     net::SocketAddr,
@@ -24,11 +24,11 @@
 
 use crate::work::{SERVICE_US, WORK_ID, WorkId, is_answer_to};
 
-/// Time timeout for an answer about entries.
+/// Timeout of a request for entry addresses.
 const ENTRIES_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time that a caller goes on waiting after the deadline it gave.
+/// Time that a caller waits beyond the request's deadline.
 const DEADLINE_GRACE: Duration = Duration::from_millis(1_500);
-/// Time timeout for opening a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A kind of request that a caller sends.
@@ -46,20 +46,20 @@
     pub class: Class,
     /// Whether the request must not be repeated.
     pub non_idempotent: bool,
-    /// Time after which the answer is of no use.
+    /// Deadline of the request.
     pub deadline_ms: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
 }
 
-/// What came of a request.
+/// Outcome of a request, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer to this request, with success.
+    /// A complete and successful answer to this request.
     Ok,
-    /// The endpoint's own failure.
+    /// A failure answered by the endpoint.
     Failed,
-    /// A whole answer that isn't the one to this request.
+    /// A complete answer that belongs to another request.
     WrongAnswer,
     /// A refusal that says the request was not run.
     RefusedNotRun,
@@ -67,34 +67,34 @@
     Unknown,
     /// No VM could be connected to; nothing was sent.
     NoVm,
-    /// Neither a whole answer nor a refusal.
+    /// Neither a complete answer nor a refusal.
     Lost,
 }
 
-/// A request as its caller saw it.
+/// A request as its caller observed it.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// The work.
+    /// Id of the work.
     pub id: WorkId,
     /// Whether the request must not be repeated.
     pub non_idempotent: bool,
-    /// Whether the caller used the first of the entries that a VM gave it.
+    /// Whether the caller used the first of the entry addresses that a VM returned.
     pub steered: bool,
-    /// Moment of sending.
+    /// Time at which it was sent.
     pub sent: Instant,
     /// Time from sending to the end of the answer.
     pub latency_us: u64,
-    /// Time that the endpoint says it worked.
+    /// Service time that the endpoint reported.
     pub service_us: Option<u64>,
-    /// What came of it.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
-    /// Reason of the refusal, or how the request was lost.
+    /// Reason of the refusal or of the loss.
     pub reason: Option<Box<str>>,
-    /// Identity of the request within the fleet, if it was refused.
+    /// The fleet's id of the request, if it was refused.
     pub request_id: Option<Box<str>>,
 }
 
-/// What a caller learns from an exchange.
+/// Result of an exchange.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) outcome: RequestOutcome,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Reason of a lost request: nothing came until some time after the deadline.
+/// Reason of a lost request: no answer within [`DEADLINE_GRACE`] after the deadline.
 const NO_ANSWER: &str = "lost: no answer";
 /// Reason of a lost request: the connection ended before the answer did.
 const CONNECTION_CLOSED: &str = "lost: broken off";
@@ -120,7 +120,7 @@
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A caller with its connections and the entries that it knows.
+/// A caller with its connections and its cached entry addresses.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: HttpClient,
@@ -129,14 +129,14 @@
     selection: AddressSelection,
 }
 
-/// How a caller chooses the address that it sends to.
+/// How a caller selects the address that it sends a request to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AddressSelection {
-    /// The entries that a VM gave it, the first one first.
+    /// The entry addresses that a VM returned, in order.
     Steered,
-    /// The same entries, but the last one first.
+    /// The same addresses in reverse order.
     Reversed,
-    /// RoundRobin of the seed_addresses addresses in turn, and no other.
+    /// One of the seed addresses in turn, with no other attempt.
     RoundRobin,
 }
 
@@ -147,7 +147,7 @@
 }
 
 impl Caller {
-    /// Creates a caller that asks the VMs at `seed_addresses` for entries.
+    /// Creates a caller that requests entry addresses from the VMs at `seed_addresses`.
     pub fn new(seed_addresses: Vec<SocketAddr>) -> Caller {
         let selection = AddressSelection::Steered;
         Caller {
@@ -158,19 +158,18 @@
         }
     }
 
-    /// Creates a caller that uses the entries from the last to the first, so that
-    /// its work is forwarded.
+    /// Creates a caller that uses the entry addresses in reverse order, so that its requests
+    /// are forwarded.
     pub fn unsteered(seed_addresses: Vec<SocketAddr>) -> Caller {
         Caller { selection: AddressSelection::Reversed, ..Caller::new(seed_addresses) }
     }
 
-    /// Creates a caller that connects to the endpoints at `addresses` itself,
-    /// each in turn.
+    /// Creates a caller that connects directly to `addresses`, each in turn.
     pub fn direct(addresses: Vec<SocketAddr>) -> Caller {
         Caller { selection: AddressSelection::RoundRobin, ..Caller::new(addresses) }
     }
 
-    /// Sends one piece of work and waits for what comes of it.
+    /// Sends one request and waits for its outcome.
     pub async fn send(&self, operation: &Operation, id: WorkId) -> Sample {
         let sent = Instant::now();
         let timeout = Duration::from_millis(operation.deadline_ms) + DEADLINE_GRACE;
@@ -221,8 +220,8 @@
         addresses
     }
 
-    /// Returns whether this request has to ask for entries; the others go on
-    /// with the old ones meanwhile.
+    /// Returns whether this request has to refresh the entry addresses; concurrent requests
+    /// continue to use the old ones.
     async fn claim_refresh(&self, service: &str) -> bool {
         let mut entries = self.entries.lock().await;
         let Some(cached) = entries.get_mut(service) else { return true };
@@ -298,7 +297,7 @@
         .body(Full::new(body))
 }
 
-/// Reads an answer to its end and tells what it is worth to the caller.
+/// Reads a complete answer and classifies its outcome.
 pub(crate) async fn classify_response(id: WorkId, answer: Response<Incoming>) -> Exchange {
     let refusal = text(&answer, header::OUTCOME).map(str::to_owned);
     let reason = text(&answer, header::REASON).map(Box::from);
--- a/crates/pistachiotrack-standins/src/daemon.rs
+++ b/crates/pistachiotrack-standins/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes of their own.
+//! Daemons, each in a separate process.
 
 use std::{
     fs::{self, File},
@@ -30,15 +30,15 @@
     pub caller_address: SocketAddr,
     /// Address that other VMs use.
     pub peer_address: SocketAddr,
-    /// Address that other VMs are told in place of `peer_address`.
+    /// Address that is announced to other VMs instead of `peer_address`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub advertised_peer_address: Option<SocketAddr>,
     /// Address of the admin port.
     pub admin_address: SocketAddr,
     /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// VMs of the deployment, over which the first reads of the platform are
-    /// spread.
+    /// Expected number of VMs in the deployment, by which the first reads of the platform are
+    /// spread over time.
     pub expected_vms: usize,
 }
 
@@ -50,8 +50,8 @@
 }
 
 impl DaemonBinary {
-    /// Finds the executable next to the tool's own and has cargo build it if it
-    /// is missing or older than the tool.
+    /// Finds the executable in the tool's own directory, and builds it with cargo if it is
+    /// missing or older than the tool.
     ///
     /// # Errors
     ///
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// A running daemon; dropping it ends its process.
+/// A running daemon; dropping it kills its process.
 #[derive(Debug)]
 pub struct Daemon {
     settings: DaemonSettings,
@@ -129,55 +129,55 @@
         &self.settings
     }
 
-    /// Asks the daemon to stop gracefully.
+    /// Sends SIGTERM, on which the daemon stops gracefully.
     pub fn terminate(&self) {
         self.signal(libc::SIGTERM);
     }
 
-    /// Pauses the process.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Has the daemon read its settings again.
+    /// Sends SIGHUP, on which the daemon reloads its settings.
     pub fn hang_up(&self) {
         self.signal(libc::SIGHUP);
     }
 
-    /// Ends the process at once, without waiting for its end.
+    /// Kills the process without waiting for its exit.
     pub fn start_kill(&self) {
         self.signal(libc::SIGKILL);
     }
 
-    /// Returns the number of descriptors that the process has open, if it runs.
+    /// Returns the number of open file descriptors of the process, if it is running.
     pub fn descriptors(&self) -> Option<usize> {
         Some(fs::read_dir(format!("/proc/{}/fd", self.child.id()?)).ok()?.count())
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process can't be ended.
+    /// Returns an error if the process can't be killed.
     pub async fn kill(&mut self) -> std::io::Result<()> {
         self.child.kill().await
     }
 
-    /// Waits for the process to end.
+    /// Waits for the process to exit.
     ///
     /// # Errors
     ///
-    /// Returns an error if its status can't be had.
+    /// Returns an error if its exit status can't be read.
     pub async fn wait(&mut self) -> std::io::Result<ExitStatus> {
         self.child.wait().await
     }
 
-    /// Returns whether the process still runs.
+    /// Returns whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
@@ -191,25 +191,24 @@
     }
 }
 
-/// First of the ports given to daemons. They lie below those that the system
-/// gives to outgoing connections, so that none is taken between the moment at
-/// which it is found free and the daemon's start.
+/// First port that daemons can use. The range lies below the system's ephemeral ports, so that
+/// an outgoing connection can't take a port between the check that it is free and the daemon's
+/// start.
 const FIRST_PORT: u16 = 20_000;
-/// Number of the ports given to daemons.
+/// Number of ports that daemons can use.
 const PORTS: u16 = 12_000;
-/// Ports that one tool takes at a time; the first of them says that they are taken.
+/// Number of ports in a block. A process reserves a block by listening on its first port.
 const BLOCK_PORTS: u16 = 32;
 
-/// Listeners at the first ports of the blocks that this process has taken.
+/// Listeners on the first ports of the blocks that this process has reserved.
 static TAKEN: Mutex<Vec<TcpListener>> = Mutex::new(Vec::new());
 
-/// Returns ports that are free for TCP and for UDP on all loopback addresses, and that
-/// no other tool takes as long as this process lives.
+/// Returns ports that are free for TCP and UDP on all loopback addresses and reserved until
+/// this process exits.
 ///
-/// Failure guarded against: two tools look for ports at the same moment, find the same
-/// ones free, and a daemon of one can't bind what a daemon of the other has. It shows as
-/// daemons that end at their start. The guard holds because a tool takes whole blocks,
-/// and holds the first port of each.
+/// Without the reservation, two processes of this tool could find the same ports free at the
+/// same time, and daemons would exit at their start because they can't bind their ports. Each
+/// process therefore reserves whole blocks by listening on the first port of each.
 ///
 /// # Errors
 ///
--- a/crates/pistachiotrack-standins/src/demo.rs
+++ b/crates/pistachiotrack-standins/src/demo.rs
@@ -1,5 +1,5 @@
-//! The demo: both deployments with their real sizes, a faulty endpoint and a
-//! planned stop in each, and what the callers saw of it.
+//! The demo: runs both deployments in their real sizes with a faulty endpoint and a planned
+//! stop in each, and reports the outcomes that the callers observed.
 
 use std::{
     path::PathBuf,
@@ -25,35 +25,35 @@
 /// Settings of the demo.
 #[derive(Clone, Debug)]
 pub struct DemoSettings {
-    /// VMs of each deployment.
+    /// Number of VMs in each deployment.
     pub vms: usize,
-    /// Time of the load.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Share of the slots that the load uses.
+    /// Share of the slots that the load occupies.
     pub load: f64,
     /// Seed of the load and of the endpoints.
     pub seed: u64,
     /// Directory that the daemons' logs are written to.
     pub log_directory: Option<PathBuf>,
-    /// Whether the last line is the report as JSON.
+    /// Whether to print the report as JSON in the last line.
     pub json: bool,
 }
 
-/// VMs of each deployment in the small demo.
+/// Number of VMs in each deployment of the small demo.
 const VMS: usize = 6;
-/// VMs of each deployment in the full one.
+/// Number of VMs in each deployment of the full demo.
 const FULL_VMS: usize = 44;
-/// Share of the slots that the direct baseline uses.
+/// Share of the slots that the direct baseline occupies.
 const DIRECT_LOAD: f64 = 0.1;
-/// Time of the direct baseline.
+/// Duration of the direct baseline.
 const DIRECT_DURATION: Duration = Duration::from_secs(3);
-/// Separate callers of each deployment that are steered; one more is not.
+/// Steered callers of each deployment; there is one more that isn't steered.
 const CALLERS: usize = 4;
-/// Time allowed for the daemons to serve.
+/// Time limit for the daemons to start serving.
 const START_LIMIT: Duration = Duration::from_secs(60);
-/// Time allowed for a planned stop.
+/// Time limit for a planned stop.
 const STOP_LIMIT: Duration = Duration::from_secs(60);
-/// Lag of the platform's list of VMs behind a planned stop.
+/// Time after a planned stop at which the platform's list of VMs is updated.
 const LIST_LAG: Duration = Duration::from_millis(1_500);
 
 impl Default for DemoSettings {
@@ -100,8 +100,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if something can't be started or a daemon doesn't become
-/// ready.
+/// Returns an error if a process or server can't be started or a daemon doesn't become ready.
 pub fn run(settings: DemoSettings) -> anyhow::Result<ExitCode> {
     let report = runtime::run(measure(&settings))?;
     print!("{report}");
@@ -158,7 +157,7 @@
     }))
 }
 
-/// Sends a little work straight to the endpoints of each service.
+/// Sends a small load directly to the endpoints of each service.
 async fn direct_baseline(
     deployment: &Deployment,
     load: &LoadSettings,
@@ -181,13 +180,13 @@
     samples
 }
 
-/// What was done to a deployment during the load.
+/// Faults that were injected into a deployment during the load.
 struct InjectedFaults {
     fault_at: Instant,
     stop: PlannedStop,
 }
 
-/// Makes one endpoint fail grayly after a quarter of the time and stops one VM
+/// Injects a gray failure into one endpoint after a quarter of the duration and stops one VM
 /// after half of it.
 async fn inject_faults(
     deployment: &Deployment,
@@ -210,7 +209,7 @@
     Ok(InjectedFaults { fault_at, stop: PlannedStop { vm, exit_code: status.code(), took } })
 }
 
-/// Returns the endpoint that is made faulty.
+/// Returns the endpoint into which the fault is injected.
 pub(crate) fn faulty_endpoint(kind: Kind) -> &'static str {
     match kind {
         Kind::Tlmocnik => "availability-calendar-02",
--- a/crates/pistachiotrack-standins/src/demo/report.rs
+++ b/crates/pistachiotrack-standins/src/demo/report.rs
@@ -23,7 +23,7 @@
     pub(super) took: Duration,
 }
 
-/// Everything seen of one deployment.
+/// Observations of one deployment's run.
 pub(super) struct Run<'a> {
     pub(super) deployment: &'a Deployment,
     pub(super) ready: Duration,
@@ -36,28 +36,28 @@
     pub(super) stop: PlannedStop,
 }
 
-/// What came of one deployment.
+/// Results of one deployment.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct DeploymentReport {
     deployment: String,
     ready_ms: u64,
     #[serde(flatten)]
     counts: Counts,
-    /// Time from the fault to the last work that the faulty endpoint got.
+    /// Time from the fault to the last request that the faulty endpoint received.
     detect_ms: Option<u64>,
-    /// Time from the fault until an admin port showed the ejection.
+    /// Time from the fault until an admin port reported the ejection.
     ejection_seen_ms: Option<u64>,
-    /// Ejections of endpoints that were well.
+    /// Ejections of healthy endpoints.
     false_ejections: u64,
-    /// AddedLatency by the fleet before the fault, to steered callers.
+    /// Latency added by the fleet for steered callers, before the fault.
     steady: AddedLatency,
-    /// The same over the whole run.
+    /// Latency added for steered callers over the whole run.
     added: AddedLatency,
-    /// The same over the whole run, to callers that aren't steered.
+    /// Latency added for unsteered callers over the whole run.
     unsteered: AddedLatency,
-    /// AddedLatency by a direct connection.
+    /// Latency added by a direct connection to the endpoint.
     direct: AddedLatency,
-    /// Work above an endpoint's slots at its worst moment, probes included.
+    /// Largest number of requests, probes included, beyond an endpoint's slots.
     slot_overshoot: u32,
     shed: u64,
     probes: u64,
@@ -109,7 +109,7 @@
     }
 }
 
-/// What came of the demo.
+/// Results of the demo.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Report {
     vms_per_deployment: usize,
@@ -125,8 +125,7 @@
 }
 
 impl Report {
-    /// Puts the deployments together: counts are added up, and of the times the
-    /// worst one is taken.
+    /// Combines the deployments: adds the counts and takes the worst of the times.
     pub(super) fn new(deployments: Vec<DeploymentReport>, vms_per_deployment: usize) -> Report {
         let mut counts = Counts::default();
         deployments.iter().for_each(|report| counts.merge(&report.counts));
@@ -147,7 +146,7 @@
         }
     }
 
-    /// Returns whether no request came to harm and all planned stops were clean.
+    /// Returns whether the counts are clean and all planned stops exited with code 0.
     pub(super) fn is_clean(&self) -> bool {
         let stopped = self.deployments.iter().all(|report| report.stop_exit_code == Some(0));
         self.counts.is_clean() && self.counts.ok > 0 && stopped
@@ -194,7 +193,7 @@
     }
 }
 
-/// Returns what a row of the table shows of a deployment.
+/// Formats a deployment's value in a row of the table.
 type Cell = fn(&DeploymentReport) -> String;
 
 fn row<T: fmt::Display>(
--- a/crates/pistachiotrack-standins/src/deployment.rs
+++ b/crates/pistachiotrack-standins/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment's platform and endpoints, with its example configuration.
+//! The platform and the endpoints of a deployment, with its example configuration.
 
 use std::{sync::Arc, time::Instant};
 
@@ -12,12 +12,12 @@
     workload::{SIGMA, ServiceWork, TIMELITEN, TLMOCNIK},
 };
 
-/// Which of the deployments.
+/// The example deployments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The court interpreters' rosters.
+    /// Rosters of court interpreters.
     Tlmocnik,
-    /// The job centres' meetings.
+    /// Meetings at job centres.
     Timeliten,
 }
 
@@ -25,7 +25,7 @@
     /// Both deployments.
     pub const ALL: [Kind; 2] = [Kind::Timeliten, Kind::Tlmocnik];
 
-    /// Returns what the callers ask for.
+    /// Returns the workload.
     pub fn work(self) -> &'static [ServiceWork] {
         match self {
             Kind::Tlmocnik => TLMOCNIK,
@@ -58,22 +58,22 @@
 pub struct Deployment {
     /// Which deployment.
     pub kind: Kind,
-    /// Configuration with the endpoints' real addresses, as published first.
+    /// The first published configuration, with the endpoints' actual addresses.
     pub config: Config,
     /// The platform.
     pub platform: Platform,
     /// The endpoints, in the order of the configuration.
     pub endpoints: Vec<Endpoint>,
-    /// What was really run.
+    /// Executions recorded by the endpoints.
     pub execution_counter: Arc<ExecutionCounter>,
 }
 
 impl Deployment {
-    /// Starts the endpoints and a platform that holds their configuration.
+    /// Starts the endpoints and a platform that serves their configuration.
     ///
     /// # Errors
     ///
-    /// Returns an error if the example is not valid or a port can't be had.
+    /// Returns an error if the example is not valid or a port can't be bound.
     pub async fn start(kind: Kind, seed: u64) -> anyhow::Result<Deployment> {
         let mut config = kind.config()?;
         let execution_counter = Arc::new(ExecutionCounter::default());
@@ -121,7 +121,7 @@
         self.config.services.iter().map(|service| shard_count(service) as usize).sum()
     }
 
-    /// Returns the most requests above its slots that an endpoint ever held.
+    /// Returns the largest number of requests in flight at an endpoint beyond its slots.
     pub fn slot_overshoot(&self) -> u32 {
         let settings = self.config.services.iter().flat_map(|service| &service.endpoints);
         let overshoot = self
@@ -132,7 +132,7 @@
         overshoot.max().unwrap_or(0)
     }
 
-    /// Returns the work that arrived at an endpoint since a moment.
+    /// Returns the times at which requests arrived at an endpoint, from `since` on.
     ///
     /// # Errors
     ///
--- a/crates/pistachiotrack-standins/src/ejection.rs
+++ b/crates/pistachiotrack-standins/src/ejection.rs
@@ -1,4 +1,4 @@
-//! Watches which endpoints the daemons eject.
+//! Monitors which endpoints the daemons eject.
 
 use std::{
     collections::BTreeSet,
@@ -13,19 +13,19 @@
 
 use crate::admin::AdminClient;
 
-/// Time between two polls at a daemon.
+/// Time between two polls of a daemon.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An ejection that was seen.
+/// An observed ejection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ejection {
     /// The endpoint.
     pub endpoint: Name,
-    /// Moment at which it was first seen.
+    /// Time at which it was first observed.
     pub at: Instant,
 }
 
-/// Looks at the admin ports until it is dropped.
+/// Polls the admin ports until it is dropped.
 #[derive(Debug)]
 pub struct EjectionMonitor {
     seen: Arc<Mutex<Observations>>,
@@ -39,7 +39,7 @@
 }
 
 impl EjectionMonitor {
-    /// Starts to poll at the daemons with these admin addresses.
+    /// Starts to poll the daemons at these admin addresses.
     pub fn start(addresses: Vec<SocketAddr>) -> EjectionMonitor {
         let seen = Arc::new(Mutex::new(Observations::default()));
         let admin = AdminClient::default();
@@ -50,7 +50,7 @@
         EjectionMonitor { seen, _polls: polls }
     }
 
-    /// Returns the ejections seen so far.
+    /// Returns the ejections observed so far.
     pub fn ejections(&self) -> Vec<Ejection> {
         lock(&self.seen).ejections.clone()
     }
@@ -72,8 +72,8 @@
 }
 
 impl Observations {
-    /// Notes what one daemon has ejected of rotation. An endpoint that another one
-    /// has ejected already was ejected once, not twice: its shard changed hands.
+    /// Records the endpoints that one daemon has out of rotation. An endpoint that another
+    /// daemon already has out of rotation counts as one ejection: its shard has a new owner.
     fn update(&mut self, address: SocketAddr, ejected: BTreeSet<Name>, at: Instant) {
         for endpoint in &ejected {
             if !self.ejected.values().any(|others| others.contains(endpoint)) {
@@ -88,21 +88,20 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Shortest time without work after which an endpoint counts as ejected of
-/// rotation.
+/// Shortest time without requests after which an endpoint counts as out of rotation.
 pub const MIN_QUIET_TIME: Duration = Duration::from_millis(500);
-/// Usual gaps between two pieces of work that are no sign of it yet.
+/// Multiple of the mean time between requests that an endpoint may be without requests.
 const QUIET_GAP_FACTOR: f64 = 20.0;
 
-/// Returns the time without work that shows that an endpoint is ejected of
-/// rotation, given how much work arrived in the time before.
+/// Returns the time without requests after which an endpoint counts as out of rotation, given
+/// the number of requests that arrived in the `time` before.
 pub fn quiet_time(arrivals: usize, time: Duration) -> Duration {
     let mean_gap = time.div_f64(arrivals.max(1) as f64);
     mean_gap.mul_f64(QUIET_GAP_FACTOR).max(MIN_QUIET_TIME)
 }
 
-/// Returns how long after `fault` the last work arrived before the first quiet
-/// time, or `None` if work went on until `end`.
+/// Returns the time from `fault` to the last request before the first quiet time, or `None`
+/// if requests kept arriving until `end`.
 pub fn work_stopped_after(
     arrivals: &[Instant],
     fault: Instant,
--- a/crates/pistachiotrack-standins/src/endpoint.rs
+++ b/crates/pistachiotrack-standins/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an endpoint with a few slots and a switchboard of faults.
+//! Test stand-in for an endpoint, with slots, a queue and injectable faults.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -29,19 +29,19 @@
 /// Settings of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointSettings {
-    /// Name, sent in the answers.
+    /// Name, sent in each answer.
     pub name: String,
-    /// Requests worked on at the same time.
+    /// Requests that run at the same time.
     pub slots: u32,
-    /// Requests that may wait for a slot; those above are shed.
+    /// Requests that can wait for a slot; further requests are shed.
     pub queue_limit: u32,
-    /// Median time of a piece of work.
+    /// Median service time.
     pub median_ms: f64,
-    /// Spread of the logarithm of that time.
+    /// Standard deviation of the logarithm of the service time.
     pub sigma: f64,
     /// Time that a health check occupies a slot.
     pub probe_ms: u64,
-    /// Seed of the times.
+    /// Seed of the service times and failures.
     pub seed: u64,
 }
 
@@ -59,26 +59,26 @@
     }
 }
 
-/// What an endpoint counted since its start.
+/// Counters of an endpoint since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Pieces of work that arrived.
+    /// Requests that arrived.
     pub arrivals: u64,
     /// Health checks that arrived.
     pub probes: u64,
-    /// Requests refused unrun.
+    /// Requests refused without being run.
     pub shed: u64,
-    /// Pieces of work whose connection was closed before the answer.
+    /// Requests whose connection was closed before the answer.
     pub cancelled: u64,
-    /// Most requests at once, worked on and waiting.
+    /// Largest number of requests in flight, running and queued.
     pub peak: u32,
 }
 
-/// Query of a request that crashes the endpoint that runs it.
+/// Query string of a request that crashes the endpoint that runs it.
 pub const CRASH_QUERY: &str = "crash";
-/// Time for which a crashed endpoint takes no connections.
+/// Time for which a crashed endpoint accepts no connections.
 pub const CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
-/// Pause before a crashed endpoint's address is tried again, if it can't be had.
+/// Delay before the next attempt to bind a crashed endpoint's address.
 const REBIND_PAUSE: Duration = Duration::from_millis(100);
 
 /// A running endpoint.
@@ -108,10 +108,10 @@
     shed: AtomicU64,
     cancelled: AtomicU64,
     peak: AtomicU32,
-    /// Requests a second that its answers name as its limit.
+    /// Rate limit in requests per second that the answers announce.
     rate_limit: Mutex<Option<f64>>,
     crash: Notify,
-    /// Moments at which it began to run a request that crashes it.
+    /// Times at which the endpoint began to run a request that crashes it.
     crash_runs: Mutex<Vec<Instant>>,
 }
 
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if no port can be had.
+    /// Returns an error if no port can be bound.
     pub async fn start(
         settings: EndpointSettings,
         execution_counter: Arc<ExecutionCounter>,
@@ -153,12 +153,12 @@
         self.address
     }
 
-    /// Sets the requests a second that its answers name as its limit.
+    /// Sets the rate limit in requests per second that the answers announce.
     pub fn set_rate_limit(&self, per_second: Option<f64>) {
         *lock(&self.state.rate_limit) = per_second;
     }
 
-    /// Returns the moments at which it began to run a request that crashes it.
+    /// Returns the times at which the endpoint began to run a request that crashes it.
     pub fn crash_runs(&self) -> Vec<Instant> {
         lock(&self.state.crash_runs).clone()
     }
@@ -168,12 +168,12 @@
         &self.state.settings.name
     }
 
-    /// Replaces the faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         *lock(&self.state.faults) = faults;
     }
 
-    /// Returns what was counted so far.
+    /// Returns the current counters.
     pub fn counts(&self) -> EndpointCounts {
         EndpointCounts {
             arrivals: lock(&self.state.arrivals).len() as u64,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Returns the moments after `since` at which work arrived.
+    /// Returns the times at which requests arrived, from `since` on.
     pub fn arrivals_since(&self, since: Instant) -> Vec<Instant> {
         lock(&self.state.arrivals).iter().copied().filter(|at| *at >= since).collect()
     }
@@ -196,7 +196,7 @@
         Server::start_at(address, handler).await
     }
 
-    /// Closes the port and all connections at each crash, and serves again after a while.
+    /// Closes the port and all connections at each crash, and restarts after [`CRASH_DOWNTIME`].
     async fn serve_with_restarts(self: Arc<Self>, mut server: Server) {
         let address = server.address();
         loop {
@@ -346,7 +346,7 @@
     }
 }
 
-/// A request that the endpoint holds, waiting or worked on.
+/// A request in flight, queued or running; dropping it frees its place.
 struct InFlightRequest<'a> {
     state: &'a EndpointState,
 }
@@ -363,7 +363,7 @@
     }
 }
 
-/// Counts a cancellation when it is dropped before it is disarmed.
+/// Counts a cancellation if it is dropped before it is disarmed.
 struct CancellationGuard<'a> {
     count: &'a AtomicU64,
     armed: AtomicBool,
--- a/crates/pistachiotrack-standins/src/execution_counter.rs
+++ b/crates/pistachiotrack-standins/src/execution_counter.rs
@@ -1,4 +1,4 @@
-//! The truth about which work was really run, and how often.
+//! Counts how often each piece of work was run, as recorded by the endpoints themselves.
 
 use std::sync::Mutex;
 
@@ -13,12 +13,12 @@
 }
 
 impl ExecutionCounter {
-    /// Notes that an endpoint began to run a piece of work.
+    /// Records that an endpoint began to run a piece of work.
     pub fn record(&self, id: WorkId) {
         *self.lock().entry(id).or_default() += 1;
     }
 
-    /// Returns how often a piece of work was begun.
+    /// Returns how often endpoints began to run a piece of work.
     pub fn executions(&self, id: WorkId) -> u32 {
         self.lock().get(&id).copied().unwrap_or(0)
     }
--- a/crates/pistachiotrack-standins/src/fault.rs
+++ b/crates/pistachiotrack-standins/src/fault.rs
@@ -1,27 +1,27 @@
-//! The switchboard of an endpoint's faults.
+//! Faults that can be injected into an endpoint.
 
 use std::time::{Duration, Instant};
 
-/// Faults of an endpoint; several may hold at the same time.
+/// Faults of an endpoint; several can be active at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
-    /// Share of the work that fails with 500 while the health check passes.
+    /// Share of the requests that fail with status 500 while the health check passes.
     pub failing_share: f64,
-    /// Factor by which work takes longer; the health check does not.
+    /// Factor on the service time of requests; health checks are not slowed down.
     pub slow_factor: f64,
-    /// Whether work and health checks are taken and never answered.
+    /// Whether requests and health checks are accepted and never answered.
     pub hang: bool,
-    /// Connections opened before this moment are silent for good.
+    /// Time before which an opened connection is permanently silent.
     pub silent_before: Option<Instant>,
-    /// Whether the faults above come and go.
+    /// Schedule on which all faults are active and inactive in turn.
     pub flapping: Option<Flapping>,
-    /// Start of a cold start, during which work takes longer.
+    /// Start of a cold start, during which requests are slower.
     pub cold_since: Option<Instant>,
-    /// Whether all work is refused unrun.
+    /// Whether all requests are refused without being run.
     pub shedding: bool,
-    /// Whether the endpoint says that it is leaving.
+    /// Whether the endpoint announces that it is draining.
     pub draining: bool,
-    /// Load that is reported in place of the real one.
+    /// Load that is reported instead of the actual one.
     pub reported_load: Option<u32>,
 }
 
@@ -41,34 +41,34 @@
     }
 }
 
-/// A fault that comes and goes with a fixed period.
+/// Alternation between faulty and healthy phases of a fixed length.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Flapping {
-    /// Moment of the first sick phase.
+    /// Start of the first faulty phase.
     pub since: Instant,
-    /// Length of each sick and of each well phase.
+    /// Length of each faulty and each healthy phase.
     pub phase_ms: u64,
 }
 
-/// Time that a cold start takes.
+/// Duration of a cold start.
 pub const COLD_START_MS: u64 = 3_000;
-/// Factor by which the first work after a start takes longer.
+/// Factor on the service time at the beginning of a cold start.
 pub const COLD_START_FACTOR: f64 = 8.0;
-/// Factor by which a straggler's work takes longer.
+/// Factor on the service time of a straggler.
 pub const STRAGGLER_FACTOR: f64 = 20.0;
 
 impl Faults {
-    /// Fails all work while the health check passes.
+    /// Fails all requests while the health check passes.
     pub fn gray() -> Faults {
         Faults { failing_share: 1.0, ..Faults::default() }
     }
 
-    /// Slows work down while the health check stays fast.
+    /// Slows requests down while the health check stays fast.
     pub fn straggler() -> Faults {
         Faults { slow_factor: STRAGGLER_FACTOR, ..Faults::default() }
     }
 
-    /// Takes everything and answers nothing.
+    /// Accepts requests and health checks and answers none.
     pub fn hang() -> Faults {
         Faults { hang: true, ..Faults::default() }
     }
@@ -78,32 +78,32 @@
         Faults { silent_before: Some(now), ..Faults::default() }
     }
 
-    /// Slows down the work after a start at `now`.
+    /// Slows requests down for a cold start that begins at `now`.
     pub fn cold_start(now: Instant) -> Faults {
         Faults { cold_since: Some(now), ..Faults::default() }
     }
 
-    /// Refuses all work unrun.
+    /// Refuses all requests without running them.
     pub fn shedding() -> Faults {
         Faults { shedding: true, ..Faults::default() }
     }
 
-    /// Says that the endpoint is leaving.
+    /// Announces that the endpoint is draining.
     pub fn draining() -> Faults {
         Faults { draining: true, ..Faults::default() }
     }
 
-    /// Reports a load that isn't the real one.
+    /// Reports a false load.
     pub fn misreporting_load(reported_load: u32) -> Faults {
         Faults { reported_load: Some(reported_load), ..Faults::default() }
     }
 
-    /// Lets these faults come and go from `now` on.
+    /// Activates and deactivates these faults in phases, from `now` on.
     pub fn flapping(self, now: Instant, phase_ms: u64) -> Faults {
         Faults { flapping: Some(Flapping { since: now, phase_ms }), ..self }
     }
 
-    /// Returns the faults that hold at `now`.
+    /// Returns the faults that are active at `now`.
     pub fn at(&self, now: Instant) -> Faults {
         let Some(flapping) = self.flapping else { return self.clone() };
         let phase_ms = u128::from(flapping.phase_ms.max(1));
@@ -111,7 +111,7 @@
         if phase.is_multiple_of(2) { self.clone() } else { Faults::default() }
     }
 
-    /// Returns the factor by which work that starts at `now` takes longer.
+    /// Returns the factor on the service time of a request that starts at `now`.
     pub fn latency_factor(&self, now: Instant) -> f64 {
         let Some(since) = self.cold_since else { return self.slow_factor };
         let age = now.saturating_duration_since(since);
--- a/crates/pistachiotrack-standins/src/fleet.rs
+++ b/crates/pistachiotrack-standins/src/fleet.rs
@@ -24,13 +24,13 @@
     link_proxy::{LinkProxy, Senders},
 };
 
-/// Time between two looks at daemons that aren't ready yet.
+/// Time between two polls of daemons that aren't ready yet.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Time without any change after which a fleet counts as settled; a new owner
-/// is careful with its endpoints at first.
+/// Time without any change after which a fleet counts as settled. A new owner uses only half
+/// of its endpoints' slots during the takeover grace period.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Ports of a daemon: for callers, for peers, for its operators, for the link_proxy
-/// before it and for the one before its platform.
+/// Ports of a daemon: for callers, for peers, for the admin port, and for the link proxies in
+/// front of its peer address and of its platform address.
 const PORTS: usize = 5;
 
 /// The running daemons of a deployment.
@@ -44,8 +44,8 @@
 }
 
 impl Fleet {
-    /// Publishes a list of `count` VMs and starts their daemons, behind link_proxies
-    /// where `links` are given.
+    /// Publishes a list of `count` VMs and starts their daemons, with link proxies if `links`
+    /// are given.
     ///
     /// # Errors
     ///
@@ -78,7 +78,7 @@
         &self.daemons
     }
 
-    /// Returns the addresses that callers may ask.
+    /// Returns the addresses that callers connect to.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.settings().caller_address).collect()
     }
@@ -88,7 +88,7 @@
         self.daemons.iter().map(|daemon| daemon.settings().admin_address).collect()
     }
 
-    /// Asks all daemons for their status; those that don't answer are missing.
+    /// Requests the status of all daemons; omits those that don't answer.
     pub async fn statuses(&self) -> Vec<Status> {
         let asked =
             self.daemons.iter().map(|daemon| self.admin.status(daemon.settings().admin_address));
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Waits until all daemons serve, know each other and have owned each of the
-    /// `shards` shards once for a while. Returns the time until that began.
+    /// Waits until all daemons serve, list each other as live, and each of the `shards` shards
+    /// has had exactly one owner for [`SETTLE_TIME`]. Returns the time until this state began.
     ///
     /// # Errors
     ///
-    /// Returns an error if that is not so within `limit`.
+    /// Returns an error if this is not the case within `limit`.
     pub async fn wait_until_settled(
         &mut self,
         shards: usize,
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Returns the VM that owns most shards.
+    /// Returns the VM that owns the most shards.
     ///
     /// # Errors
     ///
@@ -179,7 +179,7 @@
         Ok(busiest.context("no daemon answers")?.vm)
     }
 
-    /// Takes the daemon of a VM out of the fleet.
+    /// Removes the daemon of a VM from the fleet.
     ///
     /// # Errors
     ///
@@ -193,12 +193,12 @@
         Ok(self.daemons.remove(index))
     }
 
-    /// Puts a daemon that was taken out back into the fleet.
+    /// Adds a removed daemon to the fleet again.
     pub fn put_back(&mut self, daemon: Daemon) {
         self.daemons.push(daemon);
     }
 
-    /// Starts a daemon for a VM that was taken out, with the same settings.
+    /// Starts a daemon for a removed VM with the given settings.
     ///
     /// # Errors
     ///
@@ -280,14 +280,14 @@
     Ok(settings.collect())
 }
 
-/// Returns a loopback address for one VM alone, so that link_proxies can tell from
-/// which VM something comes.
+/// Returns a loopback address that only one VM uses, so that link proxies can identify the
+/// sender.
 fn vm_ip(index: usize) -> Ipv4Addr {
     let [_, _, high, low] = (index as u32 + 1).to_be_bytes();
     Ipv4Addr::new(127, 1, high, low)
 }
 
-/// Starts a link_proxy before each VM, and one before the platform for each VM.
+/// Starts for each VM a proxy in front of its peer address and one in front of the platform.
 async fn link_proxies(
     settings: &[DaemonSettings],
     links: Option<&Links>,
@@ -301,7 +301,7 @@
         let to_vm =
             LinkProxy::start(address, index, vm.peer_address, links.clone(), Arc::clone(&senders));
         link_proxies.push(to_vm.await?);
-        // Nobody but this VM uses the address.
+        // Only this VM connects to this proxy.
         let only_sender = [(IpAddr::V4(Ipv4Addr::LOCALHOST), index)].into_iter().collect();
         let to_platform = LinkProxy::start(
             vm.platform_address,
--- a/crates/pistachiotrack-standins/src/lib.rs
+++ b/crates/pistachiotrack-standins/src/lib.rs
@@ -1,8 +1,7 @@
-//! Small stand-ins of the platform, endpoints and callers, and what is measured
-//! with them: the demo and the experiments.
+//! Test stand-ins for the platform, endpoints and callers, and the demo, experiments and soak
+//! test that use them.
 //!
-//! Everything here runs inside one process, on loopback; only the daemons are
-//! processes of their own.
+//! All stand-ins run in one process on loopback addresses; each daemon is a separate process.
 
 pub mod admin;
 pub mod caller;
--- a/crates/pistachiotrack-standins/src/link.rs
+++ b/crates/pistachiotrack-standins/src/link.rs
@@ -1,4 +1,4 @@
-//! The directed links between VMs, each with its own faults.
+//! Directed links between VMs, each with its own faults.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -12,23 +12,23 @@
 /// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Whether nothing passes.
+    /// Whether all traffic is dropped.
     pub silent: bool,
     /// Share of the datagrams that are dropped.
     pub drop_share: f64,
-    /// Time that everything takes longer.
+    /// Delay added to all traffic.
     pub delay: Duration,
 }
 
-/// Index that stands for the platform among the VMs' links.
+/// Index of the platform, used like the index of a VM.
 pub const PLATFORM: usize = usize::MAX;
 
-/// What becomes of a datagram or of a part of a byte stream.
+/// Decision about a datagram or a part of a byte stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It arrives after a delay.
+    /// It is delivered after a delay.
     After(Duration),
-    /// It does not arrive.
+    /// It is dropped.
     Dropped,
 }
 
@@ -68,7 +68,7 @@
         state.default = link;
     }
 
-    /// Silences everything between the VMs below `boundary` and the others.
+    /// Drops all traffic between the VMs with indices below `boundary` and the others.
     pub fn partition(&self, vms: usize, boundary: usize) {
         let silent = LinkFaults { silent: true, ..LinkFaults::default() };
         for left in 0..boundary {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Decides about a datagram.
+    /// Returns whether and when a datagram is delivered.
     pub fn deliver_datagram(&self, from: Option<usize>, to: usize) -> Delivery {
         let mut state = self.lock();
         let link = state.link(from, to);
@@ -90,7 +90,7 @@
         Delivery::After(link.delay)
     }
 
-    /// Decides about a part of a byte stream.
+    /// Returns whether and when a part of a byte stream is delivered.
     pub fn deliver_stream(&self, from: Option<usize>, to: usize) -> Delivery {
         let link = self.lock().link(from, to);
         if link.silent { Delivery::Dropped } else { Delivery::After(link.delay) }
--- a/crates/pistachiotrack-standins/src/link_proxy.rs
+++ b/crates/pistachiotrack-standins/src/link_proxy.rs
@@ -1,5 +1,5 @@
-//! A link_proxy before a VM's peer address, for datagrams and for connections, that
-//! applies the faults of the links.
+//! A proxy in front of a VM's peer address that forwards datagrams and connections and applies
+//! the faults of the links.
 
 use std::{
     io,
@@ -22,18 +22,17 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The VMs of a fleet by the IP address that they send from, which is how a
-/// link_proxy tells them apart.
+/// Indices of the VMs by their source IP address, by which a proxy identifies the sender.
 pub type Senders = Arc<FxHashMap<IpAddr, usize>>;
 
-/// A running link_proxy; dropping it closes all that it holds.
+/// A running proxy; dropping it closes its sockets and connections.
 #[derive(Debug)]
 pub struct LinkProxy {
     address: SocketAddr,
     _tasks: JoinSet<()>,
 }
 
-/// One VM as its link_proxy sees it.
+/// The VM that a proxy forwards to.
 #[derive(Clone, Debug)]
 struct Target {
     index: usize,
@@ -47,15 +46,15 @@
         self.senders.get(&from.ip()).copied()
     }
 
-    /// Returns the VM that answers to `to` go to; the target's own index stands
-    /// for one that isn't known.
+    /// Returns the VM that receives answers sent to `to`, or the target's own index if the
+    /// address is unknown.
     fn receiver(&self, to: SocketAddr) -> usize {
         self.sender(to).unwrap_or(self.index)
     }
 }
 
 impl LinkProxy {
-    /// Starts a link_proxy at `address` before the VM with this index and address.
+    /// Starts a proxy at `address` in front of the VM with this index and address.
     ///
     /// # Errors
     ///
@@ -76,14 +75,14 @@
         Ok(LinkProxy { address, _tasks: tasks })
     }
 
-    /// Returns the address that stands for the VM.
+    /// Returns the address that the proxy listens on in place of the VM.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// After datagrams on, through one socket for each sender, so that answers
-/// find their upstream back.
+/// Forwards datagrams through a separate socket for each sender, so that answers can be
+/// returned to it.
 async fn forward_datagrams(socket: Arc<UdpSocket>, target: Target) {
     let mut buffer = vec![0; BUFFER_BYTES];
     let mut upstream_sockets: FxHashMap<SocketAddr, Arc<UdpSocket>> = FxHashMap::default();
@@ -110,7 +109,7 @@
             let bytes = buffer[..length].to_vec();
             tasks.spawn(async move {
                 delay_for(delay).await;
-                // A VM that is gone refuses; its datagrams are lost.
+                // The send fails if the VM is stopped; the datagram is lost then.
                 let _ = upstream.send(&bytes).await;
             });
         }
@@ -143,7 +142,7 @@
     }
 }
 
-/// Waits, without the rounding up to a millisecond where there is no delay.
+/// Waits for `delay`. A zero delay skips the timer, which rounds up to a millisecond.
 async fn delay_for(delay: Duration) {
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
@@ -167,7 +166,7 @@
 async fn proxy_connection(stream: TcpStream, from: SocketAddr, target: Target) {
     let sender = target.sender(from);
     if target.links.deliver_stream(sender, target.index) == Delivery::Dropped {
-        // Held open without a word: the sender's connection is silent.
+        // Keeps the connection open and silent.
         return std::future::pending().await;
     }
     let Ok(upstream) = TcpStream::connect(target.address).await else { return };
@@ -182,8 +181,8 @@
     );
 }
 
-/// Copies bytes until the end of the stream. Once bytes were dropped, nothing
-/// that follows can be made sense of, so the connection stays silent for good.
+/// Copies bytes until the end of the stream. After bytes were dropped, the rest of the stream
+/// would be corrupt, so the connection stays silent permanently.
 async fn copy_stream(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/pistachiotrack-standins/src/load.rs
+++ b/crates/pistachiotrack-standins/src/load.rs
@@ -1,4 +1,4 @@
-//! Sends work at a given rate, whatever becomes of it.
+//! Open-loop load: sends requests at a given rate, regardless of their outcomes.
 
 use std::{
     sync::{
@@ -17,31 +17,31 @@
     work::WorkId,
 };
 
-/// Hands out identities of work that are unique in the run.
+/// Generates work ids that are unique in a run.
 #[derive(Clone, Debug, Default)]
 pub struct WorkIds(Arc<AtomicU64>);
 
 impl WorkIds {
-    /// Returns an identity that nothing else has.
+    /// Returns a new unique id.
     pub fn next(&self) -> WorkId {
         WorkId(self.0.fetch_add(1, Ordering::Relaxed))
     }
 }
 
-/// Settings of a load.
+/// Settings of the load.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Time for which new work is sent.
+    /// Time for which new requests are sent.
     pub duration: Duration,
-    /// Identities of the work.
+    /// Source of work ids.
     pub ids: WorkIds,
     /// Seed of the times between requests.
     pub seed: u64,
 }
 
-/// Sends each operation at its rate and returns what came of the work.
+/// Sends each operation at its rate and returns the samples.
 ///
-/// Work is sent without waiting for earlier answers, by the callers in turn.
+/// Requests are sent without waiting for earlier answers, by the callers in turn.
 pub async fn generate_load(
     callers: &[Caller],
     operations: &[Operation],
@@ -86,5 +86,5 @@
     Duration::try_from_secs_f64(interval_s).unwrap_or(MAX_INTERVAL).min(MAX_INTERVAL)
 }
 
-/// Longest time between two requests, so that a rate of zero ends as well.
+/// Longest time between two requests, so that a rate of zero gives a finite time.
 const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
--- a/crates/pistachiotrack-standins/src/main.rs
+++ b/crates/pistachiotrack-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The command-line tool that runs the demo and the experiments.
+//! The command-line tool that runs the demo, the experiments, the benchmarks and the soak test.
 
 mod slopes;
 
--- a/crates/pistachiotrack-standins/src/platform.rs
+++ b/crates/pistachiotrack-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform: the configuration service and the list of VMs.
+//! Test stand-in for the platform: the configuration service and the list of VMs.
 
 use std::{
     io::Write,
@@ -26,16 +26,16 @@
 /// How the platform's services answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
-    /// As they should.
+    /// Normally.
     #[default]
     Up,
-    /// With 503.
+    /// With status 503.
     Refusing,
-    /// Not at all.
+    /// Requests stay unanswered.
     Hanging,
 }
 
-/// Longest time that a watch waits.
+/// Longest time that a watch request waits for a newer value.
 pub const MAX_WAIT_MS: u64 = 60_000;
 
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
     json: Bytes,
 }
 
-/// The values that the platform holds and how it answers.
+/// The stored values, and how the platform answers.
 #[derive(Clone, Debug, Default)]
 struct State {
     deployment: String,
@@ -55,7 +55,7 @@
     availability: Availability,
 }
 
-/// A running platform; only the tool itself can change what it holds.
+/// A running platform; its values can be changed only through this handle.
 #[derive(Debug)]
 pub struct Platform {
     state: watch::Sender<State>,
@@ -64,7 +64,7 @@
 }
 
 impl Platform {
-    /// Starts a platform that holds nothing yet.
+    /// Starts a platform without values.
     ///
     /// # Errors
     ///
@@ -87,7 +87,7 @@
         self.server.address()
     }
 
-    /// Returns the query_number of calls so far; a waiting watch is one call.
+    /// Returns the number of calls so far; a waiting watch is one call.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Publishes a value that may not be a valid configuration.
+    /// Publishes bytes as the configuration, without checking that they are valid.
     pub fn publish_bytes(&self, version: u64, json: Vec<u8>) {
         let value = Value { version, json: Bytes::from(json) };
         self.state.send_modify(|state| {
@@ -111,12 +111,12 @@
         });
     }
 
-    /// Serves the value before the newest one, or the newest one again.
+    /// Sets whether the configuration before the newest one is served instead of the newest.
     pub fn set_stale(&self, stale: bool) {
         self.state.send_modify(|state| state.stale = stale);
     }
 
-    /// Publishes a list of VMs; a list that isn't published lags.
+    /// Publishes a list of VMs. Publishing it late simulates a list that lags.
     ///
     /// # Errors
     ///
@@ -202,7 +202,7 @@
         .any(|coding| coding.trim().eq_ignore_ascii_case("gzip"))
 }
 
-/// Returns the answer with a value, compressed if the reader takes that.
+/// Returns the answer with a value, compressed if requested.
 fn value_answer(json: Bytes, compressed: bool) -> Answer {
     if !compressed {
         return Answer::new(Full::new(json));
--- a/crates/pistachiotrack-standins/src/runtime.rs
+++ b/crates/pistachiotrack-standins/src/runtime.rs
@@ -1,16 +1,15 @@
-//! Runs a command of the tool until it ends or is told to stop.
+//! Runs a command of the tool until it finishes or a signal stops it.
 
 use std::future::Future;
 
 use anyhow::Context;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs `command` and drops it, with all its daemons, when SIGINT or SIGTERM
-/// comes.
+/// Runs `command`. On SIGINT or SIGTERM it is dropped, which stops all its daemons.
 ///
 /// # Errors
 ///
-/// Returns the command's error, or one that says it was told to stop.
+/// Returns the command's error, or an error that names the signal.
 pub fn run<T>(command: impl Future<Output = anyhow::Result<T>>) -> anyhow::Result<T> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
--- a/crates/pistachiotrack-standins/src/server.rs
+++ b/crates/pistachiotrack-standins/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server that ends with the value that stands for it.
+//! A small HTTP server that stops when its handle is dropped.
 
 use std::{
     convert::Infallible,
@@ -19,7 +19,7 @@
 /// An answer of a stand-in.
 pub type Answer = Response<Full<Bytes>>;
 
-/// A running server; dropping it closes its port and all its connections.
+/// A running server; dropping it closes its port and all connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -29,12 +29,12 @@
 impl Server {
     /// Starts a server on a free loopback port.
     ///
-    /// `handler` gets each request with the moment at which its connection was
-    /// opened. Its future is dropped when the other side closes the connection.
+    /// `handler` is called with each request and the time at which its connection was opened.
+    /// Its future is dropped when the client closes the connection.
     ///
     /// # Errors
     ///
-    /// Returns an error if no port can be had.
+    /// Returns an error if no port can be bound.
     pub async fn start<H, F>(handler: H) -> std::io::Result<Server>
     where
         H: Fn(Request<Incoming>, Instant) -> F + Clone + Send + Sync + 'static,
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the address can't be had.
+    /// Returns an error if the address can't be bound.
     pub async fn start_at<H, F>(address: SocketAddr, handler: H) -> std::io::Result<Server>
     where
         H: Fn(Request<Incoming>, Instant) -> F + Clone + Send + Sync + 'static,
@@ -99,7 +99,7 @@
         let answer = handler(request, opened);
         async move { Ok::<_, Infallible>(answer.await) }
     });
-    // An error here means that the other side broke the connection off.
+    // An error here means that the client closed the connection early.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service)
--- a/crates/pistachiotrack-standins/src/summary.rs
+++ b/crates/pistachiotrack-standins/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a run's requests came to, checked against what was really run.
+//! Counts of a run's requests, checked against the recorded executions.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 pub struct Counts {
     /// Requests sent.
     pub requests: u64,
-    /// Whole answers with success.
+    /// Complete and successful answers.
     pub ok: u64,
     /// Failures answered by endpoints.
     pub endpoint_failed: u64,
@@ -24,14 +24,14 @@
     pub unknown: u64,
     /// Requests for which no VM could be connected to.
     pub no_vm: u64,
-    /// Requests that got neither a whole answer nor a refusal, and successes
-    /// that no endpoint ran.
+    /// Requests with neither a complete answer nor a refusal, and successes that no endpoint
+    /// ran.
     pub lost: u64,
-    /// Requests not to be repeated that ran more than once.
+    /// Non-idempotent requests that ran more than once.
     pub doubled: u64,
-    /// Whole answers that belong to another request.
+    /// Complete answers that belong to another request.
     pub wrong_answer: u64,
-    /// Refusals that wrongly say the request was not run.
+    /// Refusals that say the request was not run although it ran.
     pub false_not_run: u64,
     /// Refused and lost requests by reason.
     pub reasons: BTreeMap<String, u64>,
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Returns whether nothing was lost, doubled, wrongly answered or wrongly
-    /// called not run.
+    /// Returns whether no request was lost, run twice, answered with another request's answer
+    /// or wrongly reported as not run.
     pub fn is_clean(&self) -> bool {
         self.lost + self.doubled + self.wrong_answer + self.false_not_run == 0
     }
 
-    /// Returns the share of requests that ended in success.
+    /// Returns the share of requests that succeeded.
     pub fn goodput(&self) -> f64 {
         self.ok as f64 / self.requests.max(1) as f64
     }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Percentiles of the time that the way to the endpoint and back adds.
+/// Percentiles of the latency added between the caller and the endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct AddedLatency {
     /// Median.
@@ -109,7 +109,8 @@
 }
 
 impl AddedLatency {
-    /// Takes the time at the caller minus the endpoint's own, of all successes.
+    /// Computes the percentiles of the caller's latency minus the endpoint's service time, over
+    /// all successful requests.
     pub fn of<'a>(samples: impl IntoIterator<Item = &'a Sample>) -> AddedLatency {
         let mut added_us: Vec<u64> = samples
             .into_iter()
@@ -124,7 +125,7 @@
     }
 }
 
-/// Returns a percentile of sorted microseconds in milliseconds, by nearest rank.
+/// Returns the nearest-rank percentile of sorted microseconds, in milliseconds.
 pub fn percentile_ms(sorted_us: &[u64], share: f64) -> f64 {
     let rank = (share * sorted_us.len() as f64).ceil() as usize;
     let value_us = sorted_us.get(rank.saturating_sub(1)).copied().unwrap_or(0);
--- a/crates/pistachiotrack-standins/src/work.rs
+++ b/crates/pistachiotrack-standins/src/work.rs
@@ -1,22 +1,21 @@
-//! What a stand-in caller asks for and what a whole answer to it looks like.
+//! Requests of the stand-in callers and their expected answers.
 //!
-//! Every request carries an identity of its own, and the answer's body follows
-//! from that identity alone, so a caller can tell whether the answer is whole
-//! and its own.
+//! Every request has a unique id, and the answer's body is a function of that id, so a caller
+//! can check that an answer is complete and belongs to its request.
 
 use bytes::Bytes;
 
-/// Request header: identity of a piece of work, chosen by the caller.
+/// Request header: id of a piece of work, chosen by the caller.
 pub const WORK_ID: &str = "x-work-id";
-/// Answer header: time that the endpoint worked on the request.
+/// Answer header: service time at the endpoint, in microseconds.
 pub const SERVICE_US: &str = "x-service-us";
-/// Answer header: endpoint that did the work.
+/// Answer header: endpoint that ran the request.
 pub const WORKED_BY: &str = "x-worked-by";
 
-/// Size of an answer's body.
+/// Size of an answer's body, in bytes.
 pub const BODY_BYTES: usize = 1024;
 
-/// Identifies a piece of work in a run.
+/// Id of a piece of work, unique in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WorkId(pub u64);
 
@@ -39,7 +38,7 @@
     Bytes::from(body)
 }
 
-/// Returns whether a body is the whole answer to a piece of work.
+/// Returns whether a body is the complete answer to a piece of work.
 pub fn is_answer_to(id: WorkId, body: &[u8]) -> bool {
     body == answer_body(id)
 }
--- a/crates/pistachiotrack-standins/src/workload.rs
+++ b/crates/pistachiotrack-standins/src/workload.rs
@@ -1,24 +1,24 @@
-//! What the callers of the two deployments ask for.
+//! Workloads of the two example deployments.
 
 use pistachiotrack_core::{config::Config, request::Class};
 
 use crate::caller::Operation;
 
-/// The work of one service.
+/// Workload of one service.
 #[derive(Clone, Debug)]
 pub struct ServiceWork {
     /// The service.
     pub service: &'static str,
-    /// Median time of a piece of work.
+    /// Median service time.
     pub median_ms: f64,
-    /// The kinds of requests, with their shares of the service's load.
+    /// Operations with their shares of the service's load.
     pub mix: &'static [(f64, Operation)],
 }
 
-/// Spread of the logarithm of the time that work takes.
+/// Standard deviation of the logarithm of the service time.
 pub const SIGMA: f64 = 0.3;
 
-/// The deployment of the court interpreters' rosters.
+/// Workload of the court interpreters' roster deployment.
 pub const TLMOCNIK: &[ServiceWork] = &[
     ServiceWork {
         service: "availability-calendar",
@@ -44,7 +44,7 @@
     },
 ];
 
-/// The deployment of the job centres' meetings.
+/// Workload of the job centres' meeting deployment.
 pub const TIMELITEN: &[ServiceWork] = &[
     ServiceWork {
         service: "slot-search",
@@ -101,7 +101,7 @@
     Operation { class: Class::Batch, ..lookup }
 }
 
-/// Returns the operations with rates that use `load` of the slots, from 0 to 1.
+/// Returns the operations with rates that occupy the share `load` of the slots, from 0 to 1.
 pub fn operations(work: &[ServiceWork], config: &Config, load: f64) -> Vec<Operation> {
     work.iter()
         .flat_map(|work| {
@@ -114,7 +114,7 @@
         .collect()
 }
 
-/// Returns the requests a second that keep all slots of a service busy.
+/// Returns the requests per second that keep all slots of a service busy.
 fn capacity_per_s(work: &ServiceWork, config: &Config) -> f64 {
     let slots: u32 = config
         .service(work.service)
--- a/crates/pistachiotrack-standins/tests/endpoint.rs
+++ b/crates/pistachiotrack-standins/tests/endpoint.rs
@@ -1,5 +1,5 @@
-//! The endpoint stand-in shows each fault of its switchboard, and the caller
-//! stand-in tells what came of its work.
+//! Tests that the endpoint stand-in exhibits each injected fault and that the caller stand-in
+//! reports the outcome.
 
 use std::{sync::Arc, time::Instant};
 
@@ -56,8 +56,7 @@
     assert!(!is_answer_to(WorkId(7), &body[..BODY_BYTES - 1]));
 }
 
-/// Callers get failures from an endpoint whose health check passes: the
-/// failure is gray.
+/// Gray failure: requests to the endpoint fail while its health check passes.
 #[tokio::test]
 async fn a_gray_endpoint_fails_work_only() {
     let (endpoint, execution_counter, caller) = endpoint(fast_settings()).await;
@@ -70,8 +69,8 @@
     assert_eq!(endpoint.counts().shed, 0);
 }
 
-/// An endpoint gets more work than its slots and queue hold: the rest is
-/// refused and was really not run.
+/// An endpoint receives more requests than its slots and queue hold: the rest is refused and
+/// was not run.
 #[tokio::test]
 async fn work_above_the_queue_is_shed_unrun() {
     let settings = EndpointSettings { slots: 1, queue_limit: 1, ..EndpointSettings::default() };
@@ -89,8 +88,8 @@
     }
 }
 
-/// A caller gives up on a request that hangs: its connection is closed, and
-/// the slot is free for the next one.
+/// A caller abandons a request that hangs: its connection is closed and the slot is free for
+/// the next request.
 #[tokio::test]
 async fn a_closed_connection_frees_the_slot() {
     let (endpoint, _, caller) =
@@ -111,8 +110,8 @@
     assert_eq!(caller.send(&OPERATION, WorkId(2)).await.outcome, RequestOutcome::Ok);
 }
 
-/// Something between the two ends has lost track of the open connections: work
-/// on them is neither run nor answered, work on new ones is.
+/// A middlebox has lost the state of the open connections: requests on them are neither run
+/// nor answered, and requests on new connections succeed.
 #[tokio::test]
 async fn old_connections_go_silent_and_new_ones_work() {
     let (endpoint, execution_counter, caller) = endpoint(fast_settings()).await;
--- a/crates/pistachiotrack-standins/tests/examples.rs
+++ b/crates/pistachiotrack-standins/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example files have the shape that the daemon and the tool read.
+//! Tests that the example files are valid and match the documented deployments.
 
 use std::{collections::BTreeSet, fs, path::PathBuf};
 
--- a/crates/pistachiotrack-standins/tests/link_proxy.rs
+++ b/crates/pistachiotrack-standins/tests/link_proxy.rs
@@ -1,5 +1,5 @@
-//! The link_proxy passes datagrams and connections on, except where a link is
-//! faulty in that direction.
+//! Tests that the link proxy forwards datagrams and connections, except in the direction of a
+//! faulty link.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
 const BLOCKED: LinkFaults = LinkFaults { silent: true, drop_share: 0.0, delay: Duration::ZERO };
 const SILENCE_CHECK: Duration = Duration::from_millis(50);
 
-/// Two VMs, 0 and 1; 1 has a link_proxy before it.
+/// Two VMs, 0 (left) and 1 (right), with a link proxy in front of VM 1.
 struct Pair {
     left: UdpSocket,
     right: UdpSocket,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Connects the way a VM does: from its own address.
+/// Connects from the left VM's own address, as a VM does.
 async fn connect_from_left(pair: &Pair) -> TcpStream {
     let ip = pair.left.local_addr().expect("address").ip();
     let socket = TcpSocket::new_v4().expect("socket");
@@ -66,8 +66,7 @@
     assert_eq!(receive(&pair.left).await, (b"ack".to_vec(), pair.link_proxy.address()));
 }
 
-/// One side hears the other, but not the reverse: a ping arrives, its answer
-/// does not.
+/// A link is blocked in one direction only: a ping arrives, its answer does not.
 #[tokio::test]
 async fn a_link_is_silent_in_one_direction() {
     let pair = pair().await;
@@ -81,9 +80,8 @@
     assert_eq!(receive(&pair.left).await.0, b"late");
 }
 
-/// A partition begins while a connection is open: what is sent on it is lost
-/// without an error, and it stays silent after the healing; a new connection
-/// works.
+/// A partition begins while a connection is open: bytes sent on it are lost without an error,
+/// and it stays silent after the partition ends; a new connection works.
 #[tokio::test]
 async fn a_connection_that_lost_bytes_stays_silent() {
     let pair = pair().await;
--- a/crates/pistachiotrack-standins/tests/platform.rs
+++ b/crates/pistachiotrack-standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in answers as the page for platforms says.
+//! Tests that the platform stand-in implements the documented platform interface.
 
 use std::{io::Read, net::SocketAddr, time::Duration};
 
@@ -60,8 +60,8 @@
     assert_eq!(platform.calls(), 8);
 }
 
-/// Watchers read the whole value at each change; asked so, the platform sends it
-/// compressed, and plain to a reader that says nothing.
+/// Watchers read the whole value at each change. The platform sends it compressed if the
+/// client accepts gzip, and uncompressed otherwise.
 #[tokio::test]
 async fn a_value_comes_compressed_to_a_reader_that_takes_it() {
     let platform = platform().await;
@@ -83,8 +83,8 @@
     assert_eq!(decoded, value);
 }
 
-/// The configuration service comes back from a backup: a daemon that reads it
-/// gets the value before the one in force, and a watch sees nothing newer.
+/// The configuration service is restored from a backup: a daemon that reads it receives the
+/// value before the active one, and a watch finds nothing newer.
 #[tokio::test]
 async fn a_stale_platform_serves_the_value_before() {
     let platform = platform().await;
--- a/crates/pistachiotrack-standins/tests/soak.rs
+++ b/crates/pistachiotrack-standins/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The soak's plans, and that its checks bite: each invariant violated in what was seen, and
-//! the same with nothing wrong.
+//! Tests of the soak's plans and of its oracle: a record that violates one invariant is
+//! detected, and the same record without violations passes.
 
 use std::path::Path;
 
@@ -50,7 +50,7 @@
     VersionSeen { at_ms, vm: 0, process: 0, version: Some(version) }
 }
 
-/// Returns a run in which all went well.
+/// Returns the record of a run without violations.
 fn valid_run() -> RunRecord {
     let stopping =
         Process { stop_requested_ms: Some(5_100), ended_ms: Some(6_000), ..process(1_000) };
@@ -148,8 +148,8 @@
     assert_eq!(violated(&lost), [Invariant::Recovery]);
 }
 
-/// A refusal that no log knows is found, unless its line may be missing: lines were left out,
-/// or the VM was killed before it wrote it.
+/// A refusal that isn't in a log is a violation, unless its line may be missing because a VM
+/// omitted lines or was killed before it wrote the line.
 #[test]
 fn a_refusal_without_a_log_line_is_found() {
     let mut unlogged = valid_run();
@@ -167,7 +167,7 @@
     };
     unlogged.processes = vec![killed];
     assert_eq!(violated(&unlogged), []);
-    // The VM was stopping, and was killed before it had ended.
+    // The VM was killed while it was stopping.
     unlogged.processes[0].stop_requested_ms = Some(3_000);
     assert_eq!(violated(&unlogged), []);
     unlogged.processes[0].killed_ms = None;
@@ -178,8 +178,8 @@
     assert_eq!(violated(&unlogged), []);
 }
 
-/// A request that crosses the close of its connection was not taken, and one that a fault
-/// besides may have cut says nothing of the stop.
+/// A request that crosses the close of its connection was not accepted, and a request that
+/// a simultaneous fault may have interrupted is not a failure of the planned stop.
 #[test]
 fn a_stop_is_not_blamed_for_requests_it_did_not_interrupt() {
     let mut crossed = valid_run();
--- a/crates/pistachiotrack-standins/tests/summary.rs
+++ b/crates/pistachiotrack-standins/tests/summary.rs
@@ -1,4 +1,4 @@
-//! What is counted of a run, checked against what was really run.
+//! Tests of the counts of a run, which are checked against the recorded executions.
 
 use std::time::{Duration, Instant};
 
