--- a/crates/pistachiotrack-standins/src/caller.rs
+++ b/crates/pistachiotrack-standins/src/caller.rs
@@ -151,7 +151,7 @@
     pub fn new(seed_addresses: Vec<SocketAddr>) -> Caller {
         let selection = AddressSelection::Steered;
         Caller {
-            client: client(),
+            client: http_client(),
             seed_addresses: Arc::new(seed_addresses),
             entries: Arc::default(),
             selection,
@@ -192,7 +192,9 @@
     async fn exchange(&self, operation: &Operation, id: WorkId) -> Exchange {
         for address in self.addresses(operation, id).await {
             let uri = format!("http://{address}{}", operation.path);
-            let Ok(request) = request(operation, id, uri, body(operation, id)) else { break };
+            let Ok(request) = build_request(operation, id, uri, request_body(operation, id)) else {
+                break;
+            };
             match self.client.request(request).await {
                 Ok(answer) => return classify_response(id, answer).await,
                 Err(error) if error.is_connect() => {}
@@ -264,14 +266,14 @@
     }
 }
 
-fn client() -> HttpClient {
+fn http_client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     Client::builder(TokioExecutor::new()).pool_timer(TokioTimer::new()).build(connector)
 }
 
-fn body(operation: &Operation, id: WorkId) -> Bytes {
+fn request_body(operation: &Operation, id: WorkId) -> Bytes {
     if operation.method == "GET" { Bytes::new() } else { Bytes::from(id.0.to_string()) }
 }
 
@@ -280,7 +282,7 @@
 /// # Errors
 ///
 /// Returns an error if the operation makes no valid request.
-pub(crate) fn request(
+pub(crate) fn build_request(
     operation: &Operation,
     id: WorkId,
     uri: String,
@@ -299,11 +301,11 @@
 
 /// Reads a complete answer and classifies its outcome.
 pub(crate) async fn classify_response(id: WorkId, answer: Response<Incoming>) -> Exchange {
-    let refusal = text(&answer, header::OUTCOME).map(str::to_owned);
-    let reason = text(&answer, header::REASON).map(Box::from);
+    let refusal = header_text(&answer, header::OUTCOME).map(str::to_owned);
+    let reason = header_text(&answer, header::REASON).map(Box::from);
     let request_id =
-        refusal.as_ref().and_then(|_| text(&answer, header::REQUEST_ID)).map(Box::from);
-    let service_us = text(&answer, SERVICE_US).and_then(|value| value.parse().ok());
+        refusal.as_ref().and_then(|_| header_text(&answer, header::REQUEST_ID)).map(Box::from);
+    let service_us = header_text(&answer, SERVICE_US).and_then(|value| value.parse().ok());
     let status = answer.status();
     let Ok(body) = answer.into_body().collect().await else { return lost(CONNECTION_CLOSED) };
     let outcome = match refusal.as_deref() {
@@ -316,6 +318,6 @@
     Exchange { outcome, service_us, reason, request_id }
 }
 
-fn text<'a>(answer: &'a Response<Incoming>, name: &str) -> Option<&'a str> {
+fn header_text<'a>(answer: &'a Response<Incoming>, name: &str) -> Option<&'a str> {
     answer.headers().get(name)?.to_str().ok()
 }
--- a/crates/pistachiotrack-standins/src/daemon.rs
+++ b/crates/pistachiotrack-standins/src/daemon.rs
@@ -58,7 +58,7 @@
     /// Returns an error if the executable can't be built.
     pub fn find(log_directory: Option<PathBuf>) -> anyhow::Result<DaemonBinary> {
         let tool = std::env::current_exe()?;
-        let directory = tool.parent().context("the tool is in no directory")?;
+        let directory = tool.parent().context("the tool's executable has no parent directory")?;
         let path = directory.join(BINARY);
         if !is_up_to_date(&path, &tool) {
             build(directory)?;
@@ -91,9 +91,9 @@
             .kill_on_drop(true)
             .spawn()
             .with_context(|| format!("starting {}", self.path.display()))?;
-        let mut stdin = child.stdin.take().context("no standard input")?;
+        let mut stdin = child.stdin.take().context("the daemon has no standard input")?;
         let sent = stdin.write_all(&serde_json::to_vec(&settings)?).await;
-        sent.with_context(|| format!("the daemon of {} takes no settings", settings.vm))?;
+        sent.with_context(|| format!("writing the settings of VM {}", settings.vm))?;
         drop(stdin);
         Ok(Daemon { settings, child })
     }
@@ -201,7 +201,7 @@
 const BLOCK_PORTS: u16 = 32;
 
 /// Listeners on the first ports of the blocks that this process has reserved.
-static TAKEN: Mutex<Vec<TcpListener>> = Mutex::new(Vec::new());
+static RESERVED_BLOCKS: Mutex<Vec<TcpListener>> = Mutex::new(Vec::new());
 
 /// Returns ports that are free for TCP and UDP on all loopback addresses and reserved until
 /// this process exits.
@@ -214,7 +214,7 @@
 ///
 /// Returns an error if there are too few free ports.
 pub fn free_ports(count: usize) -> std::io::Result<Vec<u16>> {
-    let mut taken = TAKEN.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut reserved = RESERVED_BLOCKS.lock().unwrap_or_else(PoisonError::into_inner);
     let blocks = PORTS / BLOCK_PORTS;
     let start = rand::random_range(0..blocks);
     let mut free = Vec::new();
@@ -224,7 +224,7 @@
         }
         let first = FIRST_PORT + (start + block) % blocks * BLOCK_PORTS;
         let Ok(listener) = TcpListener::bind((Ipv4Addr::UNSPECIFIED, first)) else { continue };
-        taken.push(listener);
+        reserved.push(listener);
         free.extend((first + 1..first + BLOCK_PORTS).filter(|port| is_free(*port)));
     }
     free.truncate(count);
--- a/crates/pistachiotrack-standins/src/demo.rs
+++ b/crates/pistachiotrack-standins/src/demo.rs
@@ -137,7 +137,7 @@
     callers.push(Caller::unsteered(fleet.caller_addresses()));
     let operations = operations(kind.work(), &deployment.config, settings.load);
     let load = LoadSettings { duration: settings.duration, ..load };
-    let watch = EjectionMonitor::start(fleet.admin_addresses());
+    let monitor = EjectionMonitor::start(fleet.admin_addresses());
     let start = Instant::now();
     let (samples, injected) = tokio::join!(
         generate_load(&callers, &operations, load),
@@ -149,7 +149,7 @@
         ready,
         direct,
         samples,
-        ejections: watch.ejections(),
+        ejections: monitor.ejections(),
         fault_at: injected.fault_at,
         start,
         end: start + settings.duration,
@@ -204,9 +204,9 @@
         fleet.publish_leaving(deployment, &vm)
     });
     listed?;
-    let (status, took) = ended?;
+    let (status, duration) = ended?;
     let vm = vm.to_string();
-    Ok(InjectedFaults { fault_at, stop: PlannedStop { vm, exit_code: status.code(), took } })
+    Ok(InjectedFaults { fault_at, stop: PlannedStop { vm, exit_code: status.code(), duration } })
 }
 
 /// Returns the endpoint into which the fault is injected.
--- a/crates/pistachiotrack-standins/src/demo/report.rs
+++ b/crates/pistachiotrack-standins/src/demo/report.rs
@@ -20,7 +20,7 @@
 pub(super) struct PlannedStop {
     pub(super) vm: String,
     pub(super) exit_code: Option<i32>,
-    pub(super) took: Duration,
+    pub(super) duration: Duration,
 }
 
 /// Observations of one deployment's run.
@@ -75,14 +75,15 @@
         let (before, after): (Vec<_>, Vec<_>) =
             arrivals.into_iter().partition(|arrival| *arrival < run.fault_at);
         let quiet = quiet_time(before.len(), run.fault_at - run.start);
-        let seen = run
-            .ejections
-            .iter()
-            .find(|ejection| ejection.endpoint.as_str() == faulty && ejection.at >= run.fault_at);
+        let seen = run.ejections.iter().find(|ejection| {
+            ejection.endpoint.as_str() == faulty && ejection.observed_at >= run.fault_at
+        });
         let false_ejections = run
             .ejections
             .iter()
-            .filter(|ejection| ejection.endpoint.as_str() != faulty || ejection.at < run.fault_at)
+            .filter(|ejection| {
+                ejection.endpoint.as_str() != faulty || ejection.observed_at < run.fault_at
+            })
             .count();
         let counts: Vec<_> =
             deployment.endpoints.iter().map(|endpoint| endpoint.counts()).collect();
@@ -92,7 +93,7 @@
             ready_ms: millis(run.ready),
             counts: Counts::of(&run.samples, &deployment.execution_counter),
             detect_ms: work_stopped_after(&after, run.fault_at, run.end, quiet).map(millis),
-            ejection_seen_ms: seen.map(|ejection| millis(ejection.at - run.fault_at)),
+            ejection_seen_ms: seen.map(|ejection| millis(ejection.observed_at - run.fault_at)),
             false_ejections: false_ejections as u64,
             steady: AddedLatency::of(steered().filter(|sample| sample.sent < run.fault_at)),
             added: AddedLatency::of(steered()),
@@ -103,7 +104,7 @@
             probes: counts.iter().map(|counts| counts.probes).sum(),
             platform_calls: deployment.platform.calls(),
             stopped_vm: run.stop.vm,
-            stop_ms: millis(run.stop.took),
+            stop_ms: millis(run.stop.duration),
             stop_exit_code: run.stop.exit_code,
         }
     }
--- a/crates/pistachiotrack-standins/src/deployment.rs
+++ b/crates/pistachiotrack-standins/src/deployment.rs
@@ -84,7 +84,7 @@
                 .iter()
                 .find(|work| work.service == service.name.as_str())
                 .map(|work| work.median_ms)
-                .with_context(|| format!("no work for service {}", service.name))?;
+                .with_context(|| format!("no workload for service {}", service.name))?;
             for endpoint in &mut service.endpoints {
                 let settings = EndpointSettings {
                     name: endpoint.name.to_string(),
@@ -113,7 +113,7 @@
         self.endpoints
             .iter()
             .find(|endpoint| endpoint.name() == name)
-            .with_context(|| format!("no endpoint {name}"))
+            .with_context(|| format!("no endpoint named {name}"))
     }
 
     /// Returns the number of shards of all services.
--- a/crates/pistachiotrack-standins/src/ejection.rs
+++ b/crates/pistachiotrack-standins/src/ejection.rs
@@ -22,13 +22,13 @@
     /// The endpoint.
     pub endpoint: Name,
     /// Time at which it was first observed.
-    pub at: Instant,
+    pub observed_at: Instant,
 }
 
 /// Polls the admin ports until it is dropped.
 #[derive(Debug)]
 pub struct EjectionMonitor {
-    seen: Arc<Mutex<Observations>>,
+    observations: Arc<Mutex<Observations>>,
     _polls: JoinSet<()>,
 }
 
@@ -41,22 +41,22 @@
 impl EjectionMonitor {
     /// Starts to poll the daemons at these admin addresses.
     pub fn start(addresses: Vec<SocketAddr>) -> EjectionMonitor {
-        let seen = Arc::new(Mutex::new(Observations::default()));
+        let observations = Arc::new(Mutex::new(Observations::default()));
         let admin = AdminClient::default();
         let mut polls = JoinSet::new();
         for address in addresses {
-            polls.spawn(poll(admin.clone(), address, Arc::clone(&seen)));
+            polls.spawn(poll(admin.clone(), address, Arc::clone(&observations)));
         }
-        EjectionMonitor { seen, _polls: polls }
+        EjectionMonitor { observations, _polls: polls }
     }
 
     /// Returns the ejections observed so far.
     pub fn ejections(&self) -> Vec<Ejection> {
-        lock(&self.seen).ejections.clone()
+        lock(&self.observations).ejections.clone()
     }
 }
 
-async fn poll(admin: AdminClient, address: SocketAddr, seen: Arc<Mutex<Observations>>) {
+async fn poll(admin: AdminClient, address: SocketAddr, observations: Arc<Mutex<Observations>>) {
     loop {
         let ejected = match admin.endpoints(address).await {
             Ok(endpoints) => endpoints
@@ -66,7 +66,7 @@
                 .collect(),
             Err(_) => BTreeSet::new(),
         };
-        lock(&seen).update(address, ejected, Instant::now());
+        lock(&observations).update(address, ejected, Instant::now());
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -77,7 +77,7 @@
     fn update(&mut self, address: SocketAddr, ejected: BTreeSet<Name>, at: Instant) {
         for endpoint in &ejected {
             if !self.ejected.values().any(|others| others.contains(endpoint)) {
-                self.ejections.push(Ejection { endpoint: endpoint.clone(), at });
+                self.ejections.push(Ejection { endpoint: endpoint.clone(), observed_at: at });
             }
         }
         self.ejected.insert(address, ejected);
--- a/crates/pistachiotrack-standins/src/endpoint.rs
+++ b/crates/pistachiotrack-standins/src/endpoint.rs
@@ -342,7 +342,7 @@
     }
 
     fn faults(&self, now: Instant) -> Faults {
-        lock(&self.faults).at(now)
+        lock(&self.faults).active_at(now)
     }
 }
 
--- a/crates/pistachiotrack-standins/src/fault.rs
+++ b/crates/pistachiotrack-standins/src/fault.rs
@@ -104,7 +104,7 @@
     }
 
     /// Returns the faults that are active at `now`.
-    pub fn at(&self, now: Instant) -> Faults {
+    pub fn active_at(&self, now: Instant) -> Faults {
         let Some(flapping) = self.flapping else { return self.clone() };
         let phase_ms = u128::from(flapping.phase_ms.max(1));
         let phase = now.saturating_duration_since(flapping.since).as_millis() / phase_ms;
--- a/crates/pistachiotrack-standins/src/fleet.rs
+++ b/crates/pistachiotrack-standins/src/fleet.rs
@@ -38,7 +38,7 @@
 pub struct Fleet {
     daemons: Vec<Daemon>,
     binary: DaemonBinary,
-    list: VmList,
+    vm_list: VmList,
     admin: AdminClient,
     _link_proxies: Vec<LinkProxy>,
 }
@@ -56,14 +56,14 @@
         count: usize,
         links: Option<&Links>,
     ) -> anyhow::Result<Fleet> {
-        let settings = settings(deployment, count, links.is_some())?;
+        let settings = daemon_settings(deployment, count, links.is_some())?;
         let link_proxies = link_proxies(&settings, links, deployment.platform.address()).await?;
-        let list = VmList { version: 1, vms: settings.iter().map(list_entry).collect() };
-        deployment.platform.publish_vms(&list)?;
+        let vm_list = VmList { version: 1, vms: settings.iter().map(list_entry).collect() };
+        deployment.platform.publish_vms(&vm_list)?;
         let mut fleet = Fleet {
             daemons: Vec::new(),
             binary: binary.clone(),
-            list,
+            vm_list,
             admin: AdminClient::default(),
             _link_proxies: link_proxies,
         };
@@ -125,7 +125,7 @@
     }
 
     /// Waits until all daemons serve, list each other as live, and each of the `shards` shards
-    /// has had exactly one owner for [`SETTLE_TIME`]. Returns the time until this state began.
+    /// has had exactly one owner for `SETTLE_TIME`. Returns the time until this state began.
     ///
     /// # Errors
     ///
@@ -163,7 +163,7 @@
     fn check_running(&mut self) -> anyhow::Result<()> {
         for daemon in &mut self.daemons {
             let vm = daemon.settings().vm.clone();
-            anyhow::ensure!(daemon.is_running(), "the daemon of {vm} has ended");
+            anyhow::ensure!(daemon.is_running(), "the daemon of VM {vm} exited");
         }
         Ok(())
     }
@@ -176,7 +176,7 @@
     pub async fn busiest(&self) -> anyhow::Result<Name> {
         let statuses = self.statuses().await;
         let busiest = statuses.into_iter().max_by_key(|status| status.shards.len());
-        Ok(busiest.context("no daemon answers")?.vm)
+        Ok(busiest.context("no daemon responded")?.vm)
     }
 
     /// Removes the daemon of a VM from the fleet.
@@ -189,7 +189,7 @@
             .daemons
             .iter()
             .position(|daemon| daemon.settings().vm == vm)
-            .with_context(|| format!("no VM {vm}"))?;
+            .with_context(|| format!("no VM named {vm}"))?;
         Ok(self.daemons.remove(index))
     }
 
@@ -215,12 +215,12 @@
     /// Returns an error if the list can't be published.
     pub fn publish_leaving(&mut self, deployment: &Deployment, vm: &str) -> anyhow::Result<()> {
         for list_entry in
-            self.list.vms.iter_mut().filter(|list_entry| list_entry.name.as_str() == vm)
+            self.vm_list.vms.iter_mut().filter(|list_entry| list_entry.name.as_str() == vm)
         {
             list_entry.leaving = true;
         }
-        self.list.version += 1;
-        Ok(deployment.platform.publish_vms(&self.list)?)
+        self.vm_list.version += 1;
+        Ok(deployment.platform.publish_vms(&self.vm_list)?)
     }
 }
 
@@ -252,7 +252,7 @@
     format!("vm={vm} state={state} config_version={version} live_vms={live_vms} shards={shards}")
 }
 
-fn settings(
+fn daemon_settings(
     deployment: &Deployment,
     count: usize,
     behind_link_proxies: bool,
--- a/crates/pistachiotrack-standins/src/link.rs
+++ b/crates/pistachiotrack-standins/src/link.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
     /// Whether all traffic is dropped.
-    pub silent: bool,
+    pub blocked: bool,
     /// Share of the datagrams that are dropped.
     pub drop_share: f64,
     /// Delay added to all traffic.
@@ -70,11 +70,11 @@
 
     /// Drops all traffic between the VMs with indices below `boundary` and the others.
     pub fn partition(&self, vms: usize, boundary: usize) {
-        let silent = LinkFaults { silent: true, ..LinkFaults::default() };
+        let blocked = LinkFaults { blocked: true, ..LinkFaults::default() };
         for left in 0..boundary {
             for right in boundary..vms {
-                self.set(left, right, silent);
-                self.set(right, left, silent);
+                self.set(left, right, blocked);
+                self.set(right, left, blocked);
             }
         }
     }
@@ -83,7 +83,7 @@
     pub fn deliver_datagram(&self, from: Option<usize>, to: usize) -> Delivery {
         let mut state = self.lock();
         let link = state.link(from, to);
-        if link.silent || (link.drop_share > 0.0 && state.random.random::<f64>() < link.drop_share)
+        if link.blocked || (link.drop_share > 0.0 && state.random.random::<f64>() < link.drop_share)
         {
             return Delivery::Dropped;
         }
@@ -93,7 +93,7 @@
     /// Returns whether and when a part of a byte stream is delivered.
     pub fn deliver_stream(&self, from: Option<usize>, to: usize) -> Delivery {
         let link = self.lock().link(from, to);
-        if link.silent { Delivery::Dropped } else { Delivery::After(link.delay) }
+        if link.blocked { Delivery::Dropped } else { Delivery::After(link.delay) }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/pistachiotrack-standins/src/main.rs
+++ b/crates/pistachiotrack-standins/src/main.rs
@@ -19,11 +19,11 @@
                                         run both deployments with faults
   experiment NAME [--json] [--seed N]   run one experiment
   slopes [--json] [--only GROUP] [--rounds N]
-                                        measure what decisions cost
+                                        measure the cost of decisions
   soak [--seed N] [--seeds COUNT] [--seconds N] [--vms N] [--logs DIRECTORY]
-       [--plan FILE] [--show]           break real processes from outside and check
-                                        the promises; 1 if one is broken. --show
-                                        prints the plans only
+       [--plan FILE] [--show]           inject faults into real processes and check
+                                        invariants; exits with 1 on a violation.
+                                        --show only prints the plans
   help                                  show this text
 ";
 
--- a/crates/pistachiotrack-standins/src/platform.rs
+++ b/crates/pistachiotrack-standins/src/platform.rs
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if no port can be had.
+    /// Returns an error if no port can be bound.
     pub async fn start(deployment: &str) -> std::io::Result<Platform> {
         let state = State { deployment: deployment.to_owned(), ..State::default() };
         let (state, view) = watch::channel(state);
--- a/crates/pistachiotrack-standins/src/soak.rs
+++ b/crates/pistachiotrack-standins/src/soak.rs
@@ -22,9 +22,9 @@
     caller::PersistentCaller,
     clock::RunClock,
     environment::Environment,
-    oracle::{LoggedRefusals, RequestRecord, RunRecord, VersionSeen, Violation, violations},
+    oracle::{LoggedRefusals, ObservedVersion, RequestRecord, RunRecord, Violation, violations},
     plan::{Event, MAX_PROXIED_VMS, Plan},
-    vms::Vms,
+    vms::VmProcesses,
 };
 use crate::{
     caller::{Caller, RequestOutcome, Sample},
@@ -190,14 +190,14 @@
     let names: Vec<String> =
         fleet.daemons().iter().map(|daemon| daemon.settings().vm.clone()).collect();
     let daemons = names.iter().map(|vm| fleet.take(vm)).collect::<anyhow::Result<_>>()?;
-    let vms = Vms::new(daemons, binary, clock);
+    let vms = VmProcesses::new(daemons, binary, clock);
     let descriptors_before = vms.descriptors().into_iter().max().unwrap_or(0);
     let ids = WorkIds::default();
     let environment =
         Environment::new(deployment, vms.clone(), links, clock, addresses.clone(), ids.clone());
     let environment = Arc::new(environment);
 
-    let versions: Arc<Mutex<Vec<VersionSeen>>> = Arc::default();
+    let versions: Arc<Mutex<Vec<ObservedVersion>>> = Arc::default();
     let mut watchers = JoinSet::new();
     for vm in 0..plan.vms {
         watchers.spawn(vms.clone().supervise(vm));
@@ -219,7 +219,7 @@
     let (published, leaving_periods) = environment.operator_actions();
     let (rate_limit_periods, crash_runs_ms) = environment.endpoint_observations();
     let execution_counter = &environment.deployment.execution_counter;
-    let logged = logged_refusals(directory, names)?;
+    let logged_refusals = read_logged_refusals(directory, names)?;
     let record = RunRecord {
         executions: requests
             .iter()
@@ -233,7 +233,7 @@
         processes: vms.processes(),
         faults: faults(plan, |_| true),
         vm_faults: faults(plan, |event| !matches!(event, Event::CrashingRequest { .. })),
-        logged,
+        logged_refusals,
         end_ms,
         requests,
     };
@@ -250,7 +250,7 @@
     })
 }
 
-fn logged_refusals(directory: &Path, vms: Vec<String>) -> anyhow::Result<LoggedRefusals> {
+fn read_logged_refusals(directory: &Path, vms: Vec<String>) -> anyhow::Result<LoggedRefusals> {
     let mut logged = LoggedRefusals { vms, ..LoggedRefusals::default() };
     for entry in fs::read_dir(directory)? {
         let path = entry?.path();
--- a/crates/pistachiotrack-standins/src/soak/caller.rs
+++ b/crates/pistachiotrack-standins/src/soak/caller.rs
@@ -14,7 +14,7 @@
 
 use super::{clock::RunClock, oracle::RequestRecord};
 use crate::{
-    caller::{Exchange, Operation, RequestOutcome, classify_response, request},
+    caller::{Exchange, Operation, RequestOutcome, build_request, classify_response},
     load::WorkIds,
     work::WorkId,
 };
@@ -71,7 +71,7 @@
             let operation = &self.operations[requests.len() % self.operations.len()];
             let id = self.ids.next();
             let sent_ms = self.clock.now_ms();
-            let Ok(request) = request_to(self.address, operation, id) else { break };
+            let Ok(request) = build_direct_request(self.address, operation, id) else { break };
             let timeout = Duration::from_millis(operation.deadline_ms) + HANG_TIMEOUT;
             let exchange_result =
                 tokio::time::timeout(timeout, exchange(&mut sender, request, id)).await;
@@ -109,12 +109,12 @@
 }
 
 /// Builds a request for a direct connection to the VM, with its address as `Host`.
-fn request_to(
+fn build_direct_request(
     address: SocketAddr,
     operation: &Operation,
     id: WorkId,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let mut request = request(operation, id, operation.path.to_owned(), Bytes::new())?;
+    let mut request = build_request(operation, id, operation.path.to_owned(), Bytes::new())?;
     request.headers_mut().insert(HOST, HeaderValue::try_from(address.to_string())?);
     Ok(request)
 }
--- a/crates/pistachiotrack-standins/src/soak/environment.rs
+++ b/crates/pistachiotrack-standins/src/soak/environment.rs
@@ -14,7 +14,7 @@
     clock::RunClock,
     oracle::{LeavingPeriod, PublishedVersion, RateLimitPeriod},
     plan::{EndpointFault, Event, PlatformFault, Step},
-    vms::Vms,
+    vms::VmProcesses,
 };
 use crate::{
     caller::{Caller, Operation},
@@ -41,13 +41,13 @@
     deadline_ms: 2_000,
     rate_per_s: 0.0,
 };
-const BLOCKED: LinkFaults = LinkFaults { silent: true, drop_share: 0.0, delay: Duration::ZERO };
+const BLOCKED: LinkFaults = LinkFaults { blocked: true, drop_share: 0.0, delay: Duration::ZERO };
 
 /// The deployment under test, into which a plan's steps inject faults.
 #[derive(Debug)]
 pub(super) struct Environment {
     pub(super) deployment: Deployment,
-    pub(super) vms: Vms,
+    pub(super) vms: VmProcesses,
     links: Links,
     state: Mutex<State>,
     clock: RunClock,
@@ -73,7 +73,7 @@
 impl Environment {
     pub(super) fn new(
         deployment: Deployment,
-        vms: Vms,
+        vms: VmProcesses,
         links: Links,
         clock: RunClock,
         addresses: Vec<SocketAddr>,
@@ -109,7 +109,7 @@
                 self.vms.resume(*vm);
             }
             Event::Leave { endpoint, for_ms } => self.drain_endpoint(*endpoint, *for_ms).await,
-            Event::NameLimit { endpoint, tenths_per_second, for_ms } => {
+            Event::AnnounceRateLimit { endpoint, tenths_per_second, for_ms } => {
                 self.announce_rate_limit(*endpoint, f64::from(*tenths_per_second) / 10.0, *for_ms)
                     .await;
             }
@@ -125,30 +125,32 @@
             Event::CutOffPlatform { vm, for_ms } => {
                 self.cut_links(&[(*vm, PLATFORM), (PLATFORM, *vm)], *for_ms).await;
             }
-            Event::BadLinks { lost_percent, delay_ms, for_ms } => {
+            Event::DegradedLinks { lost_percent, delay_ms, for_ms } => {
                 let drop_share = f64::from(*lost_percent) / 100.0;
                 let delay = Duration::from_millis(*delay_ms);
-                self.degrade_links(LinkFaults { silent: false, drop_share, delay }, *for_ms).await;
+                self.degrade_links(LinkFaults { blocked: false, drop_share, delay }, *for_ms).await;
             }
-            Event::Sick { endpoint, how, for_ms } => {
+            Event::EndpointFault { endpoint, fault, for_ms } => {
                 let endpoint = &self.deployment.endpoints[*endpoint];
-                endpoint.set_faults(faults(*how));
+                endpoint.set_faults(faults(*fault));
                 sleep_ms(*for_ms).await;
                 endpoint.set_faults(Faults::default());
             }
-            Event::PlatformAway { how, for_ms } => self.interrupt_platform(*how, *for_ms).await,
+            Event::PlatformFault { fault, for_ms } => {
+                self.interrupt_platform(*fault, *for_ms).await
+            }
         }
     }
 
-    async fn interrupt_platform(&self, how: PlatformFault, for_ms: u64) {
+    async fn interrupt_platform(&self, fault: PlatformFault, for_ms: u64) {
         let platform = &self.deployment.platform;
-        match how {
+        match fault {
             PlatformFault::Refusing => platform.set_availability(Availability::Refusing),
             PlatformFault::Hanging => platform.set_availability(Availability::Hanging),
             PlatformFault::Stale => platform.set_stale(true),
         }
         sleep_ms(for_ms).await;
-        match how {
+        match fault {
             PlatformFault::Refusing | PlatformFault::Hanging => {
                 platform.set_availability(Availability::Up)
             }
@@ -298,8 +300,8 @@
     endpoints.filter(|it| it.name.as_str() == endpoint).for_each(|it| it.leaving = leaving);
 }
 
-fn faults(how: EndpointFault) -> Faults {
-    match how {
+fn faults(fault: EndpointFault) -> Faults {
+    match fault {
         EndpointFault::Gray => Faults::gray(),
         EndpointFault::Straggler => Faults::straggler(),
         EndpointFault::Hang => Faults::hang(),
--- a/crates/pistachiotrack-standins/src/soak/oracle.rs
+++ b/crates/pistachiotrack-standins/src/soak/oracle.rs
@@ -70,12 +70,12 @@
     /// The invariant.
     pub invariant: Invariant,
     /// Description of the violation, with times since the start of the load.
-    pub seen: String,
+    pub description: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.invariant, self.seen)
+        write!(f, "{:?}: {}", self.invariant, self.description)
     }
 }
 
@@ -100,7 +100,7 @@
 
 /// The active configuration version that a VM reported.
 #[derive(Clone, Copy, Debug)]
-pub struct VersionSeen {
+pub struct ObservedVersion {
     /// Time of the event.
     pub at_ms: u64,
     /// The VM.
@@ -169,7 +169,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LoggedRefusals {
     /// Ids of the requests whose refusal was logged.
-    pub requests: FxHashSet<Box<str>>,
+    pub request_ids: FxHashSet<Box<str>>,
     /// Whether a VM omitted log lines.
     pub has_omitted_lines: bool,
     /// Names of the VMs, which are the prefixes of their request ids.
@@ -181,9 +181,9 @@
     pub fn read(&mut self, log: &str) {
         for line in log.lines() {
             let has = |pair: &str| line.split_whitespace().any(|word| word == pair);
-            let request = line.split_whitespace().find_map(|word| word.strip_prefix("request="));
+            let request_id = line.split_whitespace().find_map(|word| word.strip_prefix("request="));
             if has("event=refused") && has("to=caller") {
-                self.requests.extend(request.map(Box::from));
+                self.request_ids.extend(request_id.map(Box::from));
             }
             self.has_omitted_lines |= has("event=log_lines_left_out");
         }
@@ -198,7 +198,7 @@
     /// Number of times that endpoints began to run each piece of work.
     pub executions: FxHashMap<WorkId, u32>,
     /// Active configuration versions in the order in which they were observed.
-    pub versions: Vec<VersionSeen>,
+    pub versions: Vec<ObservedVersion>,
     /// Published configurations in order.
     pub published: Vec<PublishedVersion>,
     /// Periods in which endpoints were leaving.
@@ -214,7 +214,7 @@
     /// Start and end times of the faults other than requests that crash endpoints.
     pub vm_faults: Vec<(u64, u64)>,
     /// The refusals that the VMs logged.
-    pub logged: LoggedRefusals,
+    pub logged_refusals: LoggedRefusals,
     /// End of the load.
     pub end_ms: u64,
 }
@@ -222,7 +222,8 @@
 /// Returns all violations of invariants in a run.
 pub fn violations(record: &RunRecord) -> Vec<Violation> {
     let mut found = Vec::new();
-    let mut report = |invariant, seen: String| found.push(Violation { invariant, seen });
+    let mut report =
+        |invariant, description: String| found.push(Violation { invariant, description });
     for request in &record.requests {
         if let Some((invariant, what)) = record.violated_by_request(request) {
             let RequestRecord { id, vm, sent_ms, ended_ms, outcome, request_id, .. } = request;
@@ -243,8 +244,8 @@
     record.check_unexpected_exits(&mut report);
     record.check_late_crash_runs(&mut report);
     record.check_rate_limits(&mut report);
-    if let Some(seen) = record.recovery_failure() {
-        report(Invariant::Recovery, seen);
+    if let Some(description) = record.recovery_failure() {
+        report(Invariant::Recovery, description);
     }
     found
 }
@@ -268,14 +269,14 @@
             RequestOutcome::RefusedNotRun | RequestOutcome::NoVm if executions > 0 => {
                 Some((Invariant::NotRunIsTrue, "ran though it was refused as not run"))
             }
-            RequestOutcome::WrongAnswer => Some((Invariant::OwnAnswer, "got another answer")),
+            RequestOutcome::WrongAnswer => Some((Invariant::OwnAnswer, "received another answer")),
             RequestOutcome::RefusedNotRun | RequestOutcome::Unknown
                 if !self.has_log_line(request) =>
             {
                 Some((Invariant::RefusalLogged, "was refused without a line in a log"))
             }
             RequestOutcome::Lost if self.is_interrupted_by_stop(request) => {
-                Some((Invariant::PlannedStop, "was cut by a planned stop"))
+                Some((Invariant::PlannedStop, "was interrupted by a planned stop"))
             }
             _ => None,
         }
@@ -285,14 +286,16 @@
     /// lines or was killed before it wrote the line.
     fn has_log_line(&self, request: &RequestRecord) -> bool {
         let Some(request_id) = request.request_id.as_deref() else { return false };
-        let vm = self.logged.vms.iter().position(|vm| {
+        let vm = self.logged_refusals.vms.iter().position(|vm| {
             request_id.strip_prefix(vm.as_str()).is_some_and(|rest| rest.starts_with('-'))
         });
         let was_killed = self.processes.iter().any(|process| {
             let unwritten = request.sent_ms..=request.ended_ms + LOG_FLUSH_MS;
             Some(process.vm) == vm && process.killed_ms.is_some_and(|at| unwritten.contains(&at))
         });
-        self.logged.has_omitted_lines || was_killed || self.logged.requests.contains(request_id)
+        self.logged_refusals.has_omitted_lines
+            || was_killed
+            || self.logged_refusals.request_ids.contains(request_id)
     }
 
     /// Returns whether a planned stop, and no fault, interrupted an accepted request.
@@ -314,11 +317,12 @@
 
     fn check_version_regressions(&self, report: &mut impl FnMut(Invariant, String)) {
         let mut last: FxHashMap<(usize, u32), Option<u64>> = FxHashMap::default();
-        for VersionSeen { at_ms, vm, process, version } in self.versions.iter().copied() {
+        for ObservedVersion { at_ms, vm, process, version } in self.versions.iter().copied() {
             let before = last.insert((vm, process), version).flatten();
             if version < before {
-                let seen = format!("vm={vm} went from {before:?} to {version:?} at {at_ms} ms");
-                report(Invariant::NeverOlder, seen);
+                let description =
+                    format!("vm={vm} went from {before:?} to {version:?} at {at_ms} ms");
+                report(Invariant::NeverOlder, description);
             }
         }
     }
@@ -335,7 +339,7 @@
                     && process.ended_ms.is_none_or(|at| at > due_ms)
             };
             for process in self.processes.iter().filter(lived) {
-                let of_process = |seen: &&VersionSeen| {
+                let of_process = |seen: &&ObservedVersion| {
                     seen.vm == process.vm && seen.process == process.number && seen.at_ms <= due_ms
                 };
                 let newest = self.versions.iter().filter(of_process).filter_map(|it| it.version);
@@ -362,7 +366,9 @@
                 let LeavingPeriod { endpoint, from_ms, .. } = period;
                 report(
                     Invariant::Leaving,
-                    format!("{endpoint}, leaving since {from_ms} ms, got work at {at_ms} ms"),
+                    format!(
+                        "{endpoint}, leaving since {from_ms} ms, received a request at {at_ms} ms"
+                    ),
                 );
             }
         }
@@ -398,11 +404,11 @@
         let late_ms: Vec<u64> = late.copied().collect();
         if late_ms.len() > MAX_LATE_RUNS {
             let (count, first_ms) = (late_ms.len(), late_ms[0]);
-            let seen = format!(
+            let description = format!(
                 "third crash at {quarantined_ms} ms, {count} further runs from {first_ms} ms on, \
                  {MAX_LATE_RUNS} allowed"
             );
-            report(Invariant::CrashesHeldBack, seen);
+            report(Invariant::CrashesHeldBack, description);
         }
     }
 
@@ -422,11 +428,11 @@
                 })
                 .max();
             if let Some((count, from_ms)) = worst.filter(|(count, _)| *count as f64 > allowed) {
-                let seen = format!(
-                    "{endpoint}, limit {per_second} a second, got {count} from {from_ms} ms on, \
+                let description = format!(
+                    "{endpoint}, limit {per_second} per second, received {count} requests from {from_ms} ms on, \
                      {allowed} allowed"
                 );
-                report(Invariant::LimitKept, seen);
+                report(Invariant::LimitKept, description);
             }
         }
     }
--- a/crates/pistachiotrack-standins/src/soak/plan.rs
+++ b/crates/pistachiotrack-standins/src/soak/plan.rs
@@ -57,7 +57,8 @@
         for_ms: u64,
     },
     /// An endpoint announces a rate limit for a time.
-    NameLimit {
+    #[serde(rename = "name_limit")]
+    AnnounceRateLimit {
         /// Index of the endpoint among all endpoints.
         endpoint: usize,
         /// The limit, in tenths of a request per second.
@@ -105,7 +106,8 @@
         for_ms: u64,
     },
     /// Datagrams between VMs are dropped at random, and all traffic is delayed.
-    BadLinks {
+    #[serde(rename = "bad_links")]
+    DegradedLinks {
         /// Percentage of the datagrams that are dropped.
         lost_percent: u32,
         /// Added delay.
@@ -114,11 +116,13 @@
         for_ms: u64,
     },
     /// An endpoint is faulty.
-    Sick {
+    #[serde(rename = "sick")]
+    EndpointFault {
         /// Index of the endpoint among all endpoints.
         endpoint: usize,
         /// The kind of fault.
-        how: EndpointFault,
+        #[serde(rename = "how")]
+        fault: EndpointFault,
         /// Duration.
         for_ms: u64,
     },
@@ -128,9 +132,11 @@
         for_ms: u64,
     },
     /// The platform's services fail.
-    PlatformAway {
+    #[serde(rename = "platform_away")]
+    PlatformFault {
         /// The kind of fault.
-        how: PlatformFault,
+        #[serde(rename = "how")]
+        fault: PlatformFault,
         /// Duration.
         for_ms: u64,
     },
@@ -221,7 +227,7 @@
             if step.event.needs_link_proxies() && self.vms > MAX_PROXIED_VMS {
                 let vms = self.vms;
                 return Some(format!(
-                    "steps[{index}]: links have faults among {MAX_PROXIED_VMS} VMs at most, not {vms}"
+                    "steps[{index}]: link faults need at most {MAX_PROXIED_VMS} VMs, not {vms}"
                 ));
             }
             let vm = step.event.vms().into_iter().find(|vm| *vm >= self.vms);
@@ -256,15 +262,15 @@
             Event::CutOneWay { .. }
                 | Event::CutOff { .. }
                 | Event::CutOffPlatform { .. }
-                | Event::BadLinks { .. }
+                | Event::DegradedLinks { .. }
         )
     }
 
     fn endpoint(&self) -> Option<usize> {
         match self {
             Event::Leave { endpoint, .. }
-            | Event::NameLimit { endpoint, .. }
-            | Event::Sick { endpoint, .. } => Some(*endpoint),
+            | Event::AnnounceRateLimit { endpoint, .. }
+            | Event::EndpointFault { endpoint, .. } => Some(*endpoint),
             _ => None,
         }
     }
@@ -276,14 +282,14 @@
             Event::Pause { for_ms, .. }
             | Event::CutOneWay { for_ms, .. }
             | Event::CutOff { for_ms, .. }
-            | Event::BadLinks { for_ms, .. }
-            | Event::Sick { for_ms, .. }
+            | Event::DegradedLinks { for_ms, .. }
+            | Event::EndpointFault { for_ms, .. }
             | Event::CrashingRequest { for_ms }
-            | Event::PlatformAway { for_ms, .. } => Some(*for_ms),
+            | Event::PlatformFault { for_ms, .. } => Some(*for_ms),
             Event::Terminate { .. }
             | Event::HangUp { .. }
             | Event::Leave { .. }
-            | Event::NameLimit { .. }
+            | Event::AnnounceRateLimit { .. }
             | Event::CutOffPlatform { .. }
             | Event::PublishInvalid => None,
         }
@@ -337,7 +343,7 @@
             10 if self.vms <= MAX_PROXIED_VMS => {
                 Event::CutOffPlatform { vm, for_ms: self.random.random_range(8_000..20_000) }
             }
-            _ => Event::NameLimit {
+            _ => Event::AnnounceRateLimit {
                 endpoint: self.endpoint(),
                 tenths_per_second: self.random.random_range(5..50),
                 for_ms: self.random.random_range(8_000..25_000),
@@ -362,27 +368,28 @@
             2..4 => Event::Pause { vm, for_ms },
             4..6 => Event::CutOneWay { from: vm, to: self.vm(), for_ms },
             6 => Event::CutOff { vm, for_ms },
-            7 => Event::BadLinks {
+            7 => Event::DegradedLinks {
                 lost_percent: self.random.random_range(1..30),
                 delay_ms: self.random.random_range(0..50),
                 for_ms,
             },
             12 => Event::CrashingRequest { for_ms: self.random.random_range(3_000..15_000) },
             8..10 => {
-                let how = [
+                let faults = [
                     EndpointFault::Gray,
                     EndpointFault::Straggler,
                     EndpointFault::Hang,
                     EndpointFault::Shed,
                     EndpointFault::SilentConnections,
                 ];
-                let how = *how.choose(&mut self.random).unwrap_or(&EndpointFault::Gray);
-                Event::Sick { endpoint: self.endpoint(), how, for_ms }
+                let fault = *faults.choose(&mut self.random).unwrap_or(&EndpointFault::Gray);
+                Event::EndpointFault { endpoint: self.endpoint(), fault, for_ms }
             }
             _ => {
-                let how = [PlatformFault::Refusing, PlatformFault::Hanging, PlatformFault::Stale];
-                let how = *how.choose(&mut self.random).unwrap_or(&PlatformFault::Refusing);
-                Event::PlatformAway { how, for_ms }
+                let faults =
+                    [PlatformFault::Refusing, PlatformFault::Hanging, PlatformFault::Stale];
+                let fault = *faults.choose(&mut self.random).unwrap_or(&PlatformFault::Refusing);
+                Event::PlatformFault { fault, for_ms }
             }
         }
     }
--- a/crates/pistachiotrack-standins/src/soak/vms.rs
+++ b/crates/pistachiotrack-standins/src/soak/vms.rs
@@ -7,7 +7,7 @@
 
 use super::{
     clock::RunClock,
-    oracle::{Process, VersionSeen},
+    oracle::{ObservedVersion, Process},
 };
 use crate::{
     admin::AdminClient,
@@ -21,7 +21,7 @@
 
 /// The VMs of a run.
 #[derive(Clone, Debug)]
-pub(super) struct Vms {
+pub(super) struct VmProcesses {
     vms: Arc<Vec<Mutex<Vm>>>,
     binary: DaemonBinary,
     clock: RunClock,
@@ -46,9 +46,9 @@
     }
 }
 
-impl Vms {
+impl VmProcesses {
     /// Takes over running daemons, in the order of their VMs.
-    pub(super) fn new(daemons: Vec<Daemon>, binary: DaemonBinary, clock: RunClock) -> Vms {
+    pub(super) fn new(daemons: Vec<Daemon>, binary: DaemonBinary, clock: RunClock) -> VmProcesses {
         let vm = |(index, daemon): (usize, Daemon)| {
             Mutex::new(Vm {
                 settings: daemon.settings().clone(),
@@ -58,7 +58,11 @@
                 restart_due: None,
             })
         };
-        Vms { vms: Arc::new(daemons.into_iter().enumerate().map(vm).collect()), binary, clock }
+        VmProcesses {
+            vms: Arc::new(daemons.into_iter().enumerate().map(vm).collect()),
+            binary,
+            clock,
+        }
     }
 
     /// Stops a VM gracefully; it is restarted `restart_after` its exit.
@@ -127,7 +131,7 @@
     }
 
     /// Polls a VM's active configuration version until the future is dropped.
-    pub(super) async fn watch_version(self, vm: usize, seen: Arc<Mutex<Vec<VersionSeen>>>) {
+    pub(super) async fn watch_version(self, vm: usize, seen: Arc<Mutex<Vec<ObservedVersion>>>) {
         let admin = AdminClient::default();
         loop {
             tokio::time::sleep(VERSION_POLL_INTERVAL).await;
@@ -139,7 +143,7 @@
             let at_ms = self.clock.now_ms();
             let version = status.config_version;
             let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-            seen.push(VersionSeen { at_ms, vm, process, version });
+            seen.push(ObservedVersion { at_ms, vm, process, version });
         }
     }
 
--- a/crates/pistachiotrack-standins/tests/endpoint.rs
+++ b/crates/pistachiotrack-standins/tests/endpoint.rs
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn work_is_run_once_and_its_answer_is_its_own() {
+async fn each_request_runs_once_and_receives_its_own_answer() {
     let (endpoint, execution_counter, caller) = endpoint(fast_settings()).await;
     for id in (0..20).map(WorkId) {
         let sample = caller.send(&OPERATION, id).await;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_cut_or_foreign_body_is_not_the_answer() {
+fn a_truncated_or_mismatched_body_is_not_the_answer() {
     let body = answer_body(WorkId(7));
     assert_eq!(body.len(), BODY_BYTES);
     assert!(is_answer_to(WorkId(7), &body));
@@ -58,7 +58,7 @@
 
 /// Gray failure: requests to the endpoint fail while its health check passes.
 #[tokio::test]
-async fn a_gray_endpoint_fails_work_only() {
+async fn gray_failure_affects_requests_but_not_health_checks() {
     let (endpoint, execution_counter, caller) = endpoint(fast_settings()).await;
     endpoint.set_faults(Faults::gray());
     assert_eq!(caller.send(&OPERATION, WorkId(1)).await.outcome, RequestOutcome::Failed);
@@ -72,7 +72,7 @@
 /// An endpoint receives more requests than its slots and queue hold: the rest is refused and
 /// was not run.
 #[tokio::test]
-async fn work_above_the_queue_is_shed_unrun() {
+async fn requests_beyond_the_queue_are_shed_without_running() {
     let settings = EndpointSettings { slots: 1, queue_limit: 1, ..EndpointSettings::default() };
     let (endpoint, execution_counter, caller) = endpoint(settings).await;
     endpoint.set_faults(Faults { slow_factor: 10.0, ..Faults::default() });
@@ -113,7 +113,7 @@
 /// A middlebox has lost the state of the open connections: requests on them are neither run
 /// nor answered, and requests on new connections succeed.
 #[tokio::test]
-async fn old_connections_go_silent_and_new_ones_work() {
+async fn old_connections_are_silent_and_new_ones_work() {
     let (endpoint, execution_counter, caller) = endpoint(fast_settings()).await;
     assert_eq!(caller.send(&OPERATION, WorkId(1)).await.outcome, RequestOutcome::Ok);
     endpoint.set_faults(Faults::silent_connections(Instant::now()));
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn work_stops_at_the_deadline() {
+async fn requests_stop_at_the_deadline() {
     let (endpoint, _, caller) = endpoint(fast_settings()).await;
     endpoint.set_faults(Faults { slow_factor: 1e6, ..Faults::default() });
     let short = Operation { deadline_ms: 20, ..OPERATION };
@@ -137,9 +137,9 @@
     let now = Instant::now();
     let after = |ms| now + std::time::Duration::from_millis(ms);
     let flapping = Faults::gray().flapping(now, 100);
-    assert_eq!(flapping.at(after(50)).failing_share, 1.0);
-    assert_eq!(flapping.at(after(150)), Faults::default());
-    assert_eq!(flapping.at(after(250)).failing_share, 1.0);
+    assert_eq!(flapping.active_at(after(50)).failing_share, 1.0);
+    assert_eq!(flapping.active_at(after(150)), Faults::default());
+    assert_eq!(flapping.active_at(after(250)).failing_share, 1.0);
     let cold = Faults::cold_start(now);
     assert_eq!(cold.latency_factor(now), COLD_START_FACTOR);
     assert!(cold.latency_factor(after(1_000)) < COLD_START_FACTOR);
--- a/crates/pistachiotrack-standins/tests/examples.rs
+++ b/crates/pistachiotrack-standins/tests/examples.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn sizes_are_those_of_the_deployments() {
+fn sizes_match_the_deployments() {
     let timeliten = config("timeliten.config.json");
     assert_eq!(
         sizes(&timeliten),
@@ -47,25 +47,25 @@
 }
 
 #[test]
-fn contracts_share_out_exactly_the_slots() {
+fn contracts_allocate_exactly_the_available_slots() {
     for name in ["timeliten.config.json", "tlmocnik.config.json"] {
         let config = config(name);
         for service in &config.services {
             let slots: u32 = service.endpoints.iter().map(|endpoint| endpoint.slots).sum();
-            let sold: u32 = config
+            let contracted: u32 = config
                 .customers
                 .iter()
                 .flat_map(|customer| &customer.contracts)
                 .filter(|contract| contract.service == service.name)
                 .map(|contract| contract.slots)
                 .sum();
-            assert_eq!(sold, slots, "{name}: {}", service.name);
+            assert_eq!(contracted, slots, "{name}: {}", service.name);
         }
     }
 }
 
 #[test]
-fn work_that_changes_something_is_never_repeated() {
+fn only_get_routes_are_idempotent_and_only_idempotent_routes_are_hedged() {
     for name in ["timeliten.config.json", "tlmocnik.config.json"] {
         for rule in config(name).rules {
             let RuleAction::Route(route) = rule.then else { continue };
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn daemon_settings_name_what_a_daemon_needs() {
+fn daemon_settings_have_exactly_the_required_keys() {
     for name in ["timeliten.daemon.json", "tlmocnik.daemon.json"] {
         let settings: serde_json::Value = serde_json::from_slice(&example(name)).expect("JSON");
         let keys: Vec<&str> =
--- a/crates/pistachiotrack-standins/tests/link_proxy.rs
+++ b/crates/pistachiotrack-standins/tests/link_proxy.rs
@@ -13,7 +13,7 @@
     net::{TcpListener, TcpSocket, TcpStream, UdpSocket},
 };
 
-const BLOCKED: LinkFaults = LinkFaults { silent: true, drop_share: 0.0, delay: Duration::ZERO };
+const BLOCKED: LinkFaults = LinkFaults { blocked: true, drop_share: 0.0, delay: Duration::ZERO };
 const SILENCE_CHECK: Duration = Duration::from_millis(50);
 
 /// Two VMs, 0 (left) and 1 (right), with a link proxy in front of VM 1.
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn datagrams_and_their_answers_pass() {
+async fn datagrams_and_their_answers_are_forwarded() {
     let pair = pair().await;
     pair.left.send_to(b"ping", pair.link_proxy.address()).await.expect("send");
     let (bytes, from) = receive(&pair.right).await;
@@ -68,7 +68,7 @@
 
 /// A link is blocked in one direction only: a ping arrives, its answer does not.
 #[tokio::test]
-async fn a_link_is_silent_in_one_direction() {
+async fn a_link_is_blocked_in_one_direction() {
     let pair = pair().await;
     pair.links.set(1, 0, BLOCKED);
     pair.left.send_to(b"ping", pair.link_proxy.address()).await.expect("send");
@@ -81,7 +81,7 @@
 }
 
 /// A partition begins while a connection is open: bytes sent on it are lost without an error,
-/// and it stays silent after the partition ends; a new connection works.
+/// and it stays blocked after the partition ends; a new connection works.
 #[tokio::test]
 async fn a_connection_that_lost_bytes_stays_silent() {
     let pair = pair().await;
--- a/crates/pistachiotrack-standins/tests/platform.rs
+++ b/crates/pistachiotrack-standins/tests/platform.rs
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn reads_answer_at_once() {
+async fn reads_return_immediately() {
     let platform = platform().await;
     let address = platform.address();
     assert_eq!(read(address, "/v1/config/timeliten").await, (200, "two".to_owned()));
@@ -63,7 +63,7 @@
 /// Watchers read the whole value at each change. The platform sends it compressed if the
 /// client accepts gzip, and uncompressed otherwise.
 #[tokio::test]
-async fn a_value_comes_compressed_to_a_reader_that_takes_it() {
+async fn a_value_is_compressed_for_clients_that_accept_gzip() {
     let platform = platform().await;
     let value = "pistachio".repeat(1_000);
     platform.publish_bytes(3, value.clone().into_bytes());
@@ -86,7 +86,7 @@
 /// The configuration service is restored from a backup: a daemon that reads it receives the
 /// value before the active one, and a watch finds nothing newer.
 #[tokio::test]
-async fn a_stale_platform_serves_the_value_before() {
+async fn a_stale_platform_serves_the_previous_value() {
     let platform = platform().await;
     platform.set_stale(true);
     let address = platform.address();
@@ -96,10 +96,10 @@
     assert_eq!(read(address, "/v1/config/timeliten").await, (200, "two".to_owned()));
 }
 
-/// The configuration service goes away while daemons watch it: their calls end
-/// with 503 or never end, until it is back.
+/// The configuration service fails while daemons watch it: their calls end with status 503 or
+/// hang until it recovers.
 #[tokio::test]
-async fn an_absent_platform_refuses_or_hangs() {
+async fn an_unavailable_platform_refuses_or_hangs() {
     let platform = platform().await;
     let address = platform.address();
     let path = format!("/v1/config/timeliten?after=2&{WAIT}");
--- a/crates/pistachiotrack-standins/tests/soak.rs
+++ b/crates/pistachiotrack-standins/tests/soak.rs
@@ -7,9 +7,9 @@
     caller::RequestOutcome,
     soak::{
         oracle::{
-            Invariant, LeavingPeriod, LoggedRefusals, PROPAGATION_LIMIT_MS, Process,
-            PublishedVersion, RECOVERY_LIMIT_MS, RateLimitPeriod, RequestRecord, RunRecord,
-            VersionSeen, violations,
+            Invariant, LeavingPeriod, LoggedRefusals, ObservedVersion, PROPAGATION_LIMIT_MS,
+            Process, PublishedVersion, RECOVERY_LIMIT_MS, RateLimitPeriod, RequestRecord,
+            RunRecord, violations,
         },
         plan::Plan,
     },
@@ -46,8 +46,8 @@
     }
 }
 
-fn seen(at_ms: u64, version: u64) -> VersionSeen {
-    VersionSeen { at_ms, vm: 0, process: 0, version: Some(version) }
+fn seen(at_ms: u64, version: u64) -> ObservedVersion {
+    ObservedVersion { at_ms, vm: 0, process: 0, version: Some(version) }
 }
 
 /// Returns the record of a run without violations.
@@ -76,8 +76,8 @@
         crash_runs_ms: vec![4_000, 4_100, 4_200, 6_900, 15_000, 16_000, 17_000],
         faults: Vec::new(),
         vm_faults: Vec::new(),
-        logged: LoggedRefusals {
-            requests: [Box::from(REQUEST)].into_iter().collect(),
+        logged_refusals: LoggedRefusals {
+            request_ids: [Box::from(REQUEST)].into_iter().collect(),
             vms: vec!["vm-01".to_owned(), "vm-02".to_owned()],
             has_omitted_lines: false,
         },
@@ -153,7 +153,7 @@
 #[test]
 fn a_refusal_without_a_log_line_is_found() {
     let mut unlogged = valid_run();
-    unlogged.logged.requests.clear();
+    unlogged.logged_refusals.request_ids.clear();
     assert_eq!(violated(&unlogged), [Invariant::RefusalLogged]);
     let mut nameless = valid_run();
     nameless.requests.iter_mut().for_each(|request| request.request_id = None);
@@ -174,7 +174,7 @@
     assert_eq!(violated(&unlogged), [Invariant::RefusalLogged]);
     unlogged.processes[0].killed_ms = Some(4_000);
     assert_eq!(violated(&unlogged), [Invariant::RefusalLogged]);
-    unlogged.logged.read("time=9 level=warn event=log_lines_left_out count=3");
+    unlogged.logged_refusals.read("time=9 level=warn event=log_lines_left_out count=3");
     assert_eq!(violated(&unlogged), []);
 }
 
--- a/crates/pistachiotrack-standins/tests/summary.rs
+++ b/crates/pistachiotrack-standins/tests/summary.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn repeated_work_that_may_be_repeated_is_not_doubled() {
+fn idempotent_work_that_ran_twice_is_not_counted_as_doubled() {
     let execution_counter = ExecutionCounter::default();
     execution_counter.record(WorkId(1));
     execution_counter.record(WorkId(1));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn work_has_stopped_before_the_first_quiet_time() {
+fn work_stopped_at_the_last_arrival_before_the_first_quiet_time() {
     let fault = Instant::now();
     let at = |ms| fault + Duration::from_millis(ms);
     let quiet_ms = MIN_QUIET_TIME.as_millis() as u64;
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn little_work_needs_a_longer_quiet_time() {
+fn a_low_request_rate_needs_a_longer_quiet_time() {
     assert_eq!(quiet_time(400, Duration::from_secs(5)), MIN_QUIET_TIME);
     assert_eq!(quiet_time(10, Duration::from_secs(5)), Duration::from_secs(10));
     assert_eq!(quiet_time(0, Duration::from_secs(5)), Duration::from_secs(100));
