--- a/crates/pistachiotrack-standins/src/admin.rs
+++ b/crates/pistachiotrack-standins/src/admin.rs
@@ -33,7 +33,7 @@
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn status(&self, address: SocketAddr) -> anyhow::Result<Status> {
-        self.get(address, "/status").await
+        self.fetch(address, "/status").await
     }
 
     /// Requests the endpoints of the shards that the VM owns.
@@ -42,7 +42,7 @@
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn endpoints(&self, address: SocketAddr) -> anyhow::Result<Vec<EndpointStatus>> {
-        self.get(address, "/endpoints").await
+        self.fetch(address, "/endpoints").await
     }
 
     /// Requests the VM's membership view.
@@ -51,10 +51,14 @@
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn members(&self, address: SocketAddr) -> anyhow::Result<Vec<MemberStatus>> {
-        self.get(address, "/members").await
+        self.fetch(address, "/members").await
     }
 
-    async fn get<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> anyhow::Result<T> {
+    async fn fetch<T: DeserializeOwned>(
+        &self,
+        address: SocketAddr,
+        path: &str,
+    ) -> anyhow::Result<T> {
         let uri = format!("http://{address}{path}").parse()?;
         let exchange = async {
             let answer = self.client.get(uri).await?;
--- a/crates/pistachiotrack-standins/src/demo.rs
+++ b/crates/pistachiotrack-standins/src/demo.rs
@@ -70,7 +70,7 @@
 }
 
 impl DemoSettings {
-    /// Takes the settings from the command line.
+    /// Parses the settings from the command line.
     ///
     /// # Errors
     ///
--- a/crates/pistachiotrack-standins/src/fleet.rs
+++ b/crates/pistachiotrack-standins/src/fleet.rs
@@ -214,10 +214,8 @@
     ///
     /// Returns an error if the list can't be published.
     pub fn publish_leaving(&mut self, deployment: &Deployment, vm: &str) -> anyhow::Result<()> {
-        for list_entry in
-            self.vm_list.vms.iter_mut().filter(|list_entry| list_entry.name.as_str() == vm)
-        {
-            list_entry.leaving = true;
+        for entry in self.vm_list.vms.iter_mut().filter(|entry| entry.name.as_str() == vm) {
+            entry.leaving = true;
         }
         self.vm_list.version += 1;
         Ok(deployment.platform.publish_vms(&self.vm_list)?)
--- a/crates/pistachiotrack-standins/src/soak.rs
+++ b/crates/pistachiotrack-standins/src/soak.rs
@@ -76,7 +76,7 @@
 }
 
 impl SoakSettings {
-    /// Takes the settings from the command line.
+    /// Parses the settings from the command line.
     ///
     /// # Errors
     ///
@@ -128,9 +128,9 @@
         let _ = fs::remove_dir_all(&directory);
         fs::create_dir_all(&directory)?;
         fs::write(directory.join("plan.json"), serde_json::to_vec_pretty(&plan)?)?;
-        let outcome = runtime::run(run_plan(&plan, &directory))?;
-        print(&plan, &outcome, &directory);
-        failed += u64::from(!outcome.violations.is_empty());
+        let result = runtime::run(run_plan(&plan, &directory))?;
+        print(&plan, &result, &directory);
+        failed += u64::from(!result.violations.is_empty());
     }
     Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
@@ -144,8 +144,8 @@
     }
 }
 
-fn print(plan: &Plan, outcome: &RunResult, directory: &Path) {
-    let RunResult { requests, served, starts, descriptors, violations } = outcome;
+fn print(plan: &Plan, result: &RunResult, directory: &Path) {
+    let RunResult { requests, served, starts, descriptors, violations } = result;
     println!(
         "seed={} vms={} dispatchers={} steps={} requests={requests} served={served} starts={starts} \
          descriptors_before={} descriptors_after={} broken={}",
--- a/crates/pistachiotrack-standins/tests/link_proxy.rs
+++ b/crates/pistachiotrack-standins/tests/link_proxy.rs
@@ -37,7 +37,7 @@
         left: UdpSocket::bind(left).await.expect("left"),
         right: UdpSocket::bind(right).await.expect("right"),
         right_listener: TcpListener::bind(right).await.expect("listener"),
-        link_proxy: link_proxy.await.expect("link_proxy"),
+        link_proxy: link_proxy.await.expect("link proxy"),
         links,
     }
 }
