--- a/crates/pistachiotrack-standins/src/demo.rs
+++ b/crates/pistachiotrack-standins/src/demo.rs
@@ -166,7 +166,7 @@
     let mut samples = Vec::new();
     for service in &deployment.config.services {
         let addresses = service.endpoints.iter().map(|endpoint| endpoint.address).collect();
-        let own: Vec<Operation> = operations
+        let service_operations: Vec<Operation> = operations
             .iter()
             .filter(|operation| operation.service == service.name.as_str())
             .cloned()
@@ -175,7 +175,8 @@
             duration: load.duration / deployment.config.services.len() as u32,
             ..load.clone()
         };
-        samples.extend(generate_load(&[Caller::direct(addresses)], &own, load).await);
+        samples
+            .extend(generate_load(&[Caller::direct(addresses)], &service_operations, load).await);
     }
     samples
 }
--- a/crates/pistachiotrack-standins/src/endpoint.rs
+++ b/crates/pistachiotrack-standins/src/endpoint.rs
@@ -218,8 +218,8 @@
             return std::future::pending().await;
         }
         let mut answer = match request.uri().path() {
-            DEFAULT_PROBE_PATH => self.probe().await,
-            _ => self.work(request, arrived).await,
+            DEFAULT_PROBE_PATH => self.handle_probe().await,
+            _ => self.handle_request(request, arrived).await,
         };
         if self.faults(Instant::now()).is_connection_silent(opened) {
             return std::future::pending().await;
@@ -228,7 +228,7 @@
         answer
     }
 
-    async fn probe(&self) -> Answer {
+    async fn handle_probe(&self) -> Answer {
         self.probes.fetch_add(1, Ordering::Relaxed);
         let Some(request_guard) = self.admit() else { return self.refuse() };
         let Ok(_permit) = request_guard.slot().await else { return empty(503) };
@@ -239,18 +239,18 @@
         empty(200)
     }
 
-    async fn work(&self, request: Request<Incoming>, arrived: Instant) -> Answer {
+    async fn handle_request(&self, request: Request<Incoming>, arrived: Instant) -> Answer {
         let Some(id) = work_id(request.headers()) else { return empty(400) };
         let crashes = request.uri().query() == Some(CRASH_QUERY);
         let deadline = remaining_time(request.headers()).map(|left| arrived + left);
         lock(&self.arrivals).push(arrived);
         let cancelled = CancellationGuard::new(&self.cancelled);
-        let answer = self.work_until_deadline(id, request, deadline, crashes).await;
+        let answer = self.run_until_deadline(id, request, deadline, crashes).await;
         cancelled.disarm();
         answer
     }
 
-    async fn work_until_deadline(
+    async fn run_until_deadline(
         &self,
         id: WorkId,
         request: Request<Incoming>,
@@ -277,12 +277,12 @@
             return std::future::pending().await;
         }
         tokio::select! {
-            answer = self.run(id) => answer,
+            answer = self.execute(id) => answer,
             () = deadline_reached(deadline) => empty(504),
         }
     }
 
-    async fn run(&self, id: WorkId) -> Answer {
+    async fn execute(&self, id: WorkId) -> Answer {
         let start = Instant::now();
         let faults = self.faults(start);
         if faults.hang {
@@ -291,8 +291,8 @@
         tokio::time::sleep(self.service_time(faults.latency_factor(start))).await;
         let failed = faults.failing_share > lock(&self.random).random::<f64>();
         let mut answer = if failed { empty(500) } else { Answer::new(Full::new(answer_body(id))) };
-        let spent_us = start.elapsed().as_micros() as u64;
-        answer.headers_mut().insert(SERVICE_US, HeaderValue::from(spent_us));
+        let service_us = start.elapsed().as_micros() as u64;
+        answer.headers_mut().insert(SERVICE_US, HeaderValue::from(service_us));
         answer
     }
 
--- a/crates/pistachiotrack-standins/src/fault.rs
+++ b/crates/pistachiotrack-standins/src/fault.rs
@@ -115,9 +115,9 @@
     pub fn latency_factor(&self, now: Instant) -> f64 {
         let Some(since) = self.cold_since else { return self.slow_factor };
         let age = now.saturating_duration_since(since);
-        let whole = Duration::from_millis(COLD_START_MS);
-        let left = 1.0 - (age.as_secs_f64() / whole.as_secs_f64()).min(1.0);
-        self.slow_factor * (1.0 + (COLD_START_FACTOR - 1.0) * left)
+        let cold_start_duration = Duration::from_millis(COLD_START_MS);
+        let remaining = 1.0 - (age.as_secs_f64() / cold_start_duration.as_secs_f64()).min(1.0);
+        self.slow_factor * (1.0 + (COLD_START_FACTOR - 1.0) * remaining)
     }
 
     /// Returns whether a connection opened at `opened` is silent.
--- a/crates/pistachiotrack-standins/src/fleet.rs
+++ b/crates/pistachiotrack-standins/src/fleet.rs
@@ -114,11 +114,11 @@
             }
             self.check_running()?;
             if start.elapsed() > limit {
-                let met = statuses.iter().filter(|status| ready(status)).count();
+                let ready_count = statuses.iter().filter(|status| ready(status)).count();
                 let all = self.daemons.len();
                 let others: Vec<String> =
                     statuses.iter().filter(|status| !ready(status)).map(summary).collect();
-                anyhow::bail!("{what}: {met} of {all} daemons after {limit:?}: {others:?}");
+                anyhow::bail!("{what}: {ready_count} of {all} daemons after {limit:?}: {others:?}");
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/pistachiotrack-standins/src/platform.rs
+++ b/crates/pistachiotrack-standins/src/platform.rs
@@ -71,12 +71,12 @@
     /// Returns an error if no port can be bound.
     pub async fn start(deployment: &str) -> std::io::Result<Platform> {
         let state = State { deployment: deployment.to_owned(), ..State::default() };
-        let (state, view) = watch::channel(state);
+        let (state, receiver) = watch::channel(state);
         let calls = Arc::new(AtomicU64::new(0));
         let counter = Arc::clone(&calls);
         let server = Server::start(move |request, _| {
             counter.fetch_add(1, Ordering::Relaxed);
-            answer(view.clone(), request)
+            answer(receiver.clone(), request)
         })
         .await?;
         Ok(Platform { state, calls, server })
@@ -152,12 +152,12 @@
     }
 }
 
-async fn answer(mut view: watch::Receiver<State>, request: Request<Incoming>) -> Answer {
+async fn answer(mut receiver: watch::Receiver<State>, request: Request<Incoming>) -> Answer {
     if request.method() != Method::GET {
         return empty(405);
     }
     let path = request.uri().path();
-    if view.borrow().value(path).is_none() {
+    if receiver.borrow().value(path).is_none() {
         return empty(404);
     }
     let query = request.uri().query().unwrap_or_default();
@@ -165,7 +165,7 @@
     let wait_ms = query_number(query, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
     let wait_deadline = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
     loop {
-        let state = view.borrow_and_update().clone();
+        let state = receiver.borrow_and_update().clone();
         let hanging = state.availability == Availability::Hanging;
         if state.availability == Availability::Refusing {
             return empty(503);
@@ -174,7 +174,7 @@
             return value_answer(found, accepts_gzip(&request));
         }
         tokio::select! {
-            changed = view.changed() => {
+            changed = receiver.changed() => {
                 if changed.is_err() {
                     return empty(503);
                 }
--- a/crates/pistachiotrack-standins/src/soak/oracle.rs
+++ b/crates/pistachiotrack-standins/src/soak/oracle.rs
@@ -308,10 +308,10 @@
             let ended_ms = process.ended_ms.unwrap_or(u64::MAX);
             Some((process.stop_requested_ms?, ended_ms.saturating_add(CLOSE_RACE_MS)))
         });
-        let mut overlapping =
+        let mut overlapping_stops =
             stops.filter(|(from, to)| *from <= request.ended_ms && request.sent_ms <= *to);
         was_accepted
-            && overlapping.next().is_some()
+            && overlapping_stops.next().is_some()
             && !self.overlaps_fault(request.sent_ms, request.ended_ms)
     }
 
@@ -333,12 +333,12 @@
             if due_ms > self.end_ms || self.overlaps_fault(at_ms, due_ms) {
                 continue;
             }
-            let lived = |process: &&Process| {
+            let ran_throughout = |process: &&Process| {
                 process.started_ms <= at_ms
                     && process.stop_requested_ms.is_none_or(|at| at > due_ms)
                     && process.ended_ms.is_none_or(|at| at > due_ms)
             };
-            for process in self.processes.iter().filter(lived) {
+            for process in self.processes.iter().filter(ran_throughout) {
                 let of_process = |seen: &&ObservedVersion| {
                     seen.vm == process.vm && seen.process == process.number && seen.at_ms <= due_ms
                 };
@@ -395,17 +395,17 @@
     }
 
     fn check_late_crash_runs(&self, report: &mut impl FnMut(Invariant, String)) {
-        let Some(quarantined_ms) = self.crash_runs_ms.get(CRASHES_BEFORE_QUARANTINE - 1) else {
+        let Some(third_crash_ms) = self.crash_runs_ms.get(CRASHES_BEFORE_QUARANTINE - 1) else {
             return;
         };
-        let deadline_ms = quarantined_ms + FAULT_GRACE_MS;
+        let deadline_ms = third_crash_ms + FAULT_GRACE_MS;
         let late =
             self.crash_runs_ms.iter().filter(|at| **at > deadline_ms && self.is_fault_free(**at));
         let late_ms: Vec<u64> = late.copied().collect();
         if late_ms.len() > MAX_LATE_RUNS {
             let (count, first_ms) = (late_ms.len(), late_ms[0]);
             let description = format!(
-                "third crash at {quarantined_ms} ms, {count} further runs from {first_ms} ms on, \
+                "third crash at {third_crash_ms} ms, {count} further runs from {first_ms} ms on, \
                  {MAX_LATE_RUNS} allowed"
             );
             report(Invariant::CrashesHeldBack, description);
@@ -419,8 +419,8 @@
             let Some(first_ms) = arrivals_ms.first() else { continue };
             let allowed = LIMIT_TOLERANCE.0 * per_second * (LIMIT_WINDOW_MS as f64 / 1_000.0)
                 + LIMIT_TOLERANCE.1;
-            let known = arrivals_ms.iter().filter(|at| **at >= first_ms + FAULT_GRACE_MS);
-            let worst = known
+            let after_grace = arrivals_ms.iter().filter(|at| **at >= first_ms + FAULT_GRACE_MS);
+            let worst = after_grace
                 .map(|from| {
                     let window = *from..(from + LIMIT_WINDOW_MS).min(*until_ms);
                     let in_window = arrivals_ms.iter().filter(|at| window.contains(at));
