--- a/crates/pistachiotrack-standins/src/admin.rs
+++ b/crates/pistachiotrack-standins/src/admin.rs
@@ -1,4 +1,4 @@
-//! Asks a daemon's admin port.
+//! Client of a daemon's admin port.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,50 +11,54 @@
 use pistachiotrack_core::admin::{EndpointStatus, MemberStatus, Status};
 use serde::de::DeserializeOwned;
 
-/// Time allowed for an answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A client of admin ports.
 #[derive(Clone, Debug)]
-pub struct Admin {
+pub struct AdminClient {
     client: Client<HttpConnector, Empty<Bytes>>,
 }
 
-impl Default for Admin {
-    fn default() -> Admin {
-        Admin { client: Client::builder(TokioExecutor::new()).build_http() }
+impl Default for AdminClient {
+    fn default() -> AdminClient {
+        AdminClient { client: Client::builder(TokioExecutor::new()).build_http() }
     }
 }
 
-impl Admin {
-    /// Asks for the status.
+impl AdminClient {
+    /// Requests the status.
     ///
     /// # Errors
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn status(&self, address: SocketAddr) -> anyhow::Result<Status> {
-        self.ask(address, "/status").await
+        self.fetch(address, "/status").await
     }
 
-    /// Asks for the endpoints of the shards that the VM owns.
+    /// Requests the endpoints of the shards that the VM owns.
     ///
     /// # Errors
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn endpoints(&self, address: SocketAddr) -> anyhow::Result<Vec<EndpointStatus>> {
-        self.ask(address, "/endpoints").await
+        self.fetch(address, "/endpoints").await
     }
 
-    /// Asks for the members that the VM knows.
+    /// Requests the VM's membership view.
     ///
     /// # Errors
     ///
     /// Returns an error if there is no valid answer in time.
     pub async fn members(&self, address: SocketAddr) -> anyhow::Result<Vec<MemberStatus>> {
-        self.ask(address, "/members").await
+        self.fetch(address, "/members").await
     }
 
-    async fn ask<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> anyhow::Result<T> {
+    async fn fetch<T: DeserializeOwned>(
+        &self,
+        address: SocketAddr,
+        path: &str,
+    ) -> anyhow::Result<T> {
         let uri = format!("http://{address}{path}").parse()?;
         let exchange = async {
             let answer = self.client.get(uri).await?;
--- a/crates/pistachiotrack-standins/src/demo.rs
+++ b/crates/pistachiotrack-standins/src/demo.rs
@@ -1,5 +1,5 @@
-//! The demo: both deployments with their real sizes, a sick endpoint and a
-//! planned stop in each, and what the callers saw of it.
+//! The demo: runs both deployments in their real sizes with a faulty endpoint and a planned
+//! stop in each, and reports the outcomes that the callers observed.
 
 use std::{
     path::PathBuf,
@@ -10,12 +10,12 @@
 use crate::{
     caller::{Caller, Operation},
     daemon::DaemonBinary,
-    demo::report::{DeploymentReport, Report, Stop},
+    demo::report::{DeploymentReport, PlannedStop, Report},
     deployment::{Deployment, Kind},
-    ejection::EjectionWatch,
+    ejection::EjectionMonitor,
     fault::Faults,
     fleet::{Fleet, stop_gracefully},
-    load::{LoadSettings, WorkIds, drive},
+    load::{LoadSettings, WorkIds, generate_load},
     runtime,
     workload::operations,
 };
@@ -25,35 +25,35 @@
 /// Settings of the demo.
 #[derive(Clone, Debug)]
 pub struct DemoSettings {
-    /// VMs of each deployment.
+    /// Number of VMs in each deployment.
     pub vms: usize,
-    /// Time of the load.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Share of the slots that the load uses.
+    /// Share of the slots that the load occupies.
     pub load: f64,
     /// Seed of the load and of the endpoints.
     pub seed: u64,
     /// Directory that the daemons' logs are written to.
     pub log_directory: Option<PathBuf>,
-    /// Whether the last line is the report as JSON.
+    /// Whether to print the report as JSON in the last line.
     pub json: bool,
 }
 
-/// VMs of each deployment in the small demo.
+/// Number of VMs in each deployment of the small demo.
 const VMS: usize = 6;
-/// VMs of each deployment in the full one.
+/// Number of VMs in each deployment of the full demo.
 const FULL_VMS: usize = 44;
-/// Share of the slots that the direct baseline uses.
+/// Share of the slots that the direct baseline occupies.
 const DIRECT_LOAD: f64 = 0.1;
-/// Time of the direct baseline.
+/// Duration of the direct baseline.
 const DIRECT_DURATION: Duration = Duration::from_secs(3);
-/// Separate callers of each deployment that are steered; one more is not.
+/// Steered callers of each deployment; there is one more that isn't steered.
 const CALLERS: usize = 4;
-/// Time allowed for the daemons to serve.
+/// Time limit for the daemons to start serving.
 const START_LIMIT: Duration = Duration::from_secs(60);
-/// Time allowed for a planned stop.
+/// Time limit for a planned stop.
 const STOP_LIMIT: Duration = Duration::from_secs(60);
-/// Lag of the platform's list of VMs behind a planned stop.
+/// Time after a planned stop at which the platform's list of VMs is updated.
 const LIST_LAG: Duration = Duration::from_millis(1_500);
 
 impl Default for DemoSettings {
@@ -70,7 +70,7 @@
 }
 
 impl DemoSettings {
-    /// Takes the settings from the command line.
+    /// Parses the settings from the command line.
     ///
     /// # Errors
     ///
@@ -100,8 +100,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if something can't be started or a daemon doesn't become
-/// ready.
+/// Returns an error if a process or server can't be started or a daemon doesn't become ready.
 pub fn run(settings: DemoSettings) -> anyhow::Result<ExitCode> {
     let report = runtime::run(measure(&settings))?;
     print!("{report}");
@@ -138,27 +137,27 @@
     callers.push(Caller::unsteered(fleet.caller_addresses()));
     let operations = operations(kind.work(), &deployment.config, settings.load);
     let load = LoadSettings { duration: settings.duration, ..load };
-    let watch = EjectionWatch::start(fleet.admin_addresses());
+    let monitor = EjectionMonitor::start(fleet.admin_addresses());
     let start = Instant::now();
-    let (samples, disturbed) = tokio::join!(
-        drive(&callers, &operations, load),
-        disturb(&deployment, &mut fleet, settings.duration)
+    let (samples, injected) = tokio::join!(
+        generate_load(&callers, &operations, load),
+        inject_faults(&deployment, &mut fleet, settings.duration)
     );
-    let disturbed = disturbed?;
+    let injected = injected?;
     Ok(DeploymentReport::new(report::Run {
         deployment: &deployment,
         ready,
         direct,
         samples,
-        ejections: watch.ejections(),
-        fault: disturbed.fault,
+        ejections: monitor.ejections(),
+        fault_at: injected.fault_at,
         start,
         end: start + settings.duration,
-        stop: disturbed.stop,
+        stop: injected.stop,
     }))
 }
 
-/// Sends a little work straight to the endpoints of each service.
+/// Sends a small load directly to the endpoints of each service.
 async fn direct_baseline(
     deployment: &Deployment,
     load: &LoadSettings,
@@ -167,7 +166,7 @@
     let mut samples = Vec::new();
     for service in &deployment.config.services {
         let addresses = service.endpoints.iter().map(|endpoint| endpoint.address).collect();
-        let own: Vec<Operation> = operations
+        let service_operations: Vec<Operation> = operations
             .iter()
             .filter(|operation| operation.service == service.name.as_str())
             .cloned()
@@ -176,27 +175,28 @@
             duration: load.duration / deployment.config.services.len() as u32,
             ..load.clone()
         };
-        samples.extend(drive(&[Caller::direct(addresses)], &own, load).await);
+        samples
+            .extend(generate_load(&[Caller::direct(addresses)], &service_operations, load).await);
     }
     samples
 }
 
-/// What was done to a deployment during the load.
-struct Disturbance {
-    fault: Instant,
-    stop: Stop,
+/// Faults that were injected into a deployment during the load.
+struct InjectedFaults {
+    fault_at: Instant,
+    stop: PlannedStop,
 }
 
-/// Makes one endpoint fail grayly after a quarter of the time and stops one VM
+/// Injects a gray failure into one endpoint after a quarter of the duration and stops one VM
 /// after half of it.
-async fn disturb(
+async fn inject_faults(
     deployment: &Deployment,
     fleet: &mut Fleet,
     duration: Duration,
-) -> anyhow::Result<Disturbance> {
+) -> anyhow::Result<InjectedFaults> {
     tokio::time::sleep(duration / 4).await;
-    let fault = Instant::now();
-    deployment.endpoint(sick_endpoint(deployment.kind))?.set_faults(Faults::gray());
+    let fault_at = Instant::now();
+    deployment.endpoint(faulty_endpoint(deployment.kind))?.set_faults(Faults::gray());
     tokio::time::sleep(duration / 4).await;
     let vm = fleet.busiest().await?;
     let mut daemon = fleet.take(&vm)?;
@@ -205,13 +205,13 @@
         fleet.publish_leaving(deployment, &vm)
     });
     listed?;
-    let (status, took) = ended?;
+    let (status, duration) = ended?;
     let vm = vm.to_string();
-    Ok(Disturbance { fault, stop: Stop { vm, exit_code: status.code(), took } })
+    Ok(InjectedFaults { fault_at, stop: PlannedStop { vm, exit_code: status.code(), duration } })
 }
 
-/// Returns the endpoint that is made sick.
-pub(crate) fn sick_endpoint(kind: Kind) -> &'static str {
+/// Returns the endpoint into which the fault is injected.
+pub(crate) fn faulty_endpoint(kind: Kind) -> &'static str {
     match kind {
         Kind::Tlmocnik => "availability-calendar-02",
         Kind::Timeliten => "slot-search-03",
--- a/crates/pistachiotrack-standins/src/demo/report.rs
+++ b/crates/pistachiotrack-standins/src/demo/report.rs
@@ -7,57 +7,57 @@
 
 use serde::Serialize;
 
-use super::sick_endpoint;
+use super::faulty_endpoint;
 use crate::{
     caller::Sample,
     deployment::Deployment,
     ejection::{Ejection, quiet_time, work_stopped_after},
-    summary::{Added, Counts},
+    summary::{AddedLatency, Counts},
 };
 
 /// A planned stop.
 #[derive(Clone, Debug)]
-pub(super) struct Stop {
+pub(super) struct PlannedStop {
     pub(super) vm: String,
     pub(super) exit_code: Option<i32>,
-    pub(super) took: Duration,
+    pub(super) duration: Duration,
 }
 
-/// Everything seen of one deployment.
+/// Observations of one deployment's run.
 pub(super) struct Run<'a> {
     pub(super) deployment: &'a Deployment,
     pub(super) ready: Duration,
     pub(super) direct: Vec<Sample>,
     pub(super) samples: Vec<Sample>,
     pub(super) ejections: Vec<Ejection>,
-    pub(super) fault: Instant,
+    pub(super) fault_at: Instant,
     pub(super) start: Instant,
     pub(super) end: Instant,
-    pub(super) stop: Stop,
+    pub(super) stop: PlannedStop,
 }
 
-/// What came of one deployment.
+/// Results of one deployment.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct DeploymentReport {
     deployment: String,
     ready_ms: u64,
     #[serde(flatten)]
     counts: Counts,
-    /// Time from the fault to the last work that the sick endpoint got.
+    /// Time from the fault to the last request that the faulty endpoint received.
     detect_ms: Option<u64>,
-    /// Time from the fault until an admin port showed the ejection.
+    /// Time from the fault until an admin port reported the ejection.
     ejection_seen_ms: Option<u64>,
-    /// Ejections of endpoints that were well.
+    /// Ejections of healthy endpoints.
     false_ejections: u64,
-    /// Added by the fleet before the fault, to steered callers.
-    steady: Added,
-    /// The same over the whole run.
-    added: Added,
-    /// The same over the whole run, to callers that aren't steered.
-    unsteered: Added,
-    /// Added by a direct connection.
-    direct: Added,
-    /// Work above an endpoint's slots at its worst moment, probes included.
+    /// Latency added by the fleet for steered callers, before the fault.
+    steady: AddedLatency,
+    /// Latency added for steered callers over the whole run.
+    added: AddedLatency,
+    /// Latency added for unsteered callers over the whole run.
+    unsteered: AddedLatency,
+    /// Latency added by a direct connection to the endpoint.
+    direct: AddedLatency,
+    /// Largest number of requests, probes included, beyond an endpoint's slots.
     slot_overshoot: u32,
     shed: u64,
     probes: u64,
@@ -70,19 +70,20 @@
 impl DeploymentReport {
     pub(super) fn new(run: Run<'_>) -> DeploymentReport {
         let deployment = run.deployment;
-        let sick = sick_endpoint(deployment.kind);
-        let arrivals = deployment.arrivals_since(sick, run.start).unwrap_or_default();
+        let faulty = faulty_endpoint(deployment.kind);
+        let arrivals = deployment.arrivals_since(faulty, run.start).unwrap_or_default();
         let (before, after): (Vec<_>, Vec<_>) =
-            arrivals.into_iter().partition(|arrival| *arrival < run.fault);
-        let quiet = quiet_time(before.len(), run.fault - run.start);
-        let seen = run
-            .ejections
-            .iter()
-            .find(|ejection| ejection.endpoint.as_str() == sick && ejection.at >= run.fault);
+            arrivals.into_iter().partition(|arrival| *arrival < run.fault_at);
+        let quiet = quiet_time(before.len(), run.fault_at - run.start);
+        let seen = run.ejections.iter().find(|ejection| {
+            ejection.endpoint.as_str() == faulty && ejection.observed_at >= run.fault_at
+        });
         let false_ejections = run
             .ejections
             .iter()
-            .filter(|ejection| ejection.endpoint.as_str() != sick || ejection.at < run.fault)
+            .filter(|ejection| {
+                ejection.endpoint.as_str() != faulty || ejection.observed_at < run.fault_at
+            })
             .count();
         let counts: Vec<_> =
             deployment.endpoints.iter().map(|endpoint| endpoint.counts()).collect();
@@ -90,26 +91,26 @@
         DeploymentReport {
             deployment: deployment.config.deployment.to_string(),
             ready_ms: millis(run.ready),
-            counts: Counts::of(&run.samples, &deployment.ledger),
-            detect_ms: work_stopped_after(&after, run.fault, run.end, quiet).map(millis),
-            ejection_seen_ms: seen.map(|ejection| millis(ejection.at - run.fault)),
+            counts: Counts::of(&run.samples, &deployment.execution_counter),
+            detect_ms: work_stopped_after(&after, run.fault_at, run.end, quiet).map(millis),
+            ejection_seen_ms: seen.map(|ejection| millis(ejection.observed_at - run.fault_at)),
             false_ejections: false_ejections as u64,
-            steady: Added::of(steered().filter(|sample| sample.sent < run.fault)),
-            added: Added::of(steered()),
-            unsteered: Added::of(run.samples.iter().filter(|sample| !sample.steered)),
-            direct: Added::of(&run.direct),
+            steady: AddedLatency::of(steered().filter(|sample| sample.sent < run.fault_at)),
+            added: AddedLatency::of(steered()),
+            unsteered: AddedLatency::of(run.samples.iter().filter(|sample| !sample.steered)),
+            direct: AddedLatency::of(&run.direct),
             slot_overshoot: deployment.slot_overshoot(),
             shed: counts.iter().map(|counts| counts.shed).sum(),
             probes: counts.iter().map(|counts| counts.probes).sum(),
             platform_calls: deployment.platform.calls(),
             stopped_vm: run.stop.vm,
-            stop_ms: millis(run.stop.took),
+            stop_ms: millis(run.stop.duration),
             stop_exit_code: run.stop.exit_code,
         }
     }
 }
 
-/// What came of the demo.
+/// Results of the demo.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Report {
     vms_per_deployment: usize,
@@ -125,8 +126,7 @@
 }
 
 impl Report {
-    /// Puts the deployments together: counts are added up, and of the times the
-    /// worst one is taken.
+    /// Combines the deployments: adds the counts and takes the worst of the times.
     pub(super) fn new(deployments: Vec<DeploymentReport>, vms_per_deployment: usize) -> Report {
         let mut counts = Counts::default();
         deployments.iter().for_each(|report| counts.merge(&report.counts));
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Returns whether no request came to harm and all planned stops were clean.
+    /// Returns whether the counts are clean and all planned stops exited with code 0.
     pub(super) fn is_clean(&self) -> bool {
         let stopped = self.deployments.iter().all(|report| report.stop_exit_code == Some(0));
         self.counts.is_clean() && self.counts.ok > 0 && stopped
@@ -194,7 +194,7 @@
     }
 }
 
-/// Returns what a row of the table shows of a deployment.
+/// Formats a deployment's value in a row of the table.
 type Cell = fn(&DeploymentReport) -> String;
 
 fn row<T: fmt::Display>(
@@ -209,7 +209,7 @@
     writeln!(f)
 }
 
-fn added(added: Added) -> String {
+fn added(added: AddedLatency) -> String {
     format!("{:.2} / {:.2}", added.p50_ms, added.p99_ms)
 }
 
--- a/crates/pistachiotrack-standins/src/deployment.rs
+++ b/crates/pistachiotrack-standins/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment's platform and endpoints, with its example configuration.
+//! The platform and the endpoints of a deployment, with its example configuration.
 
 use std::{sync::Arc, time::Instant};
 
@@ -7,17 +7,17 @@
 
 use crate::{
     endpoint::{Endpoint, EndpointSettings},
-    ledger::Ledger,
+    execution_counter::ExecutionCounter,
     platform::Platform,
     workload::{SIGMA, ServiceWork, TIMELITEN, TLMOCNIK},
 };
 
-/// Which of the deployments.
+/// The example deployments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The court interpreters' rosters.
+    /// Rosters of court interpreters.
     Tlmocnik,
-    /// The job centres' meetings.
+    /// Meetings at job centres.
     Timeliten,
 }
 
@@ -25,7 +25,7 @@
     /// Both deployments.
     pub const ALL: [Kind; 2] = [Kind::Timeliten, Kind::Tlmocnik];
 
-    /// Returns what the callers ask for.
+    /// Returns the workload.
     pub fn work(self) -> &'static [ServiceWork] {
         match self {
             Kind::Tlmocnik => TLMOCNIK,
@@ -58,25 +58,25 @@
 pub struct Deployment {
     /// Which deployment.
     pub kind: Kind,
-    /// Configuration with the endpoints' real addresses, as published first.
+    /// The first published configuration, with the endpoints' actual addresses.
     pub config: Config,
     /// The platform.
     pub platform: Platform,
     /// The endpoints, in the order of the configuration.
     pub endpoints: Vec<Endpoint>,
-    /// What was really run.
-    pub ledger: Arc<Ledger>,
+    /// Executions recorded by the endpoints.
+    pub execution_counter: Arc<ExecutionCounter>,
 }
 
 impl Deployment {
-    /// Starts the endpoints and a platform that holds their configuration.
+    /// Starts the endpoints and a platform that serves their configuration.
     ///
     /// # Errors
     ///
-    /// Returns an error if the example is not valid or a port can't be had.
+    /// Returns an error if the example is not valid or a port can't be bound.
     pub async fn start(kind: Kind, seed: u64) -> anyhow::Result<Deployment> {
         let mut config = kind.config()?;
-        let ledger = Arc::new(Ledger::default());
+        let execution_counter = Arc::new(ExecutionCounter::default());
         let mut endpoints = Vec::new();
         for service in &mut config.services {
             let median_ms = kind
@@ -84,7 +84,7 @@
                 .iter()
                 .find(|work| work.service == service.name.as_str())
                 .map(|work| work.median_ms)
-                .with_context(|| format!("no work for service {}", service.name))?;
+                .with_context(|| format!("no workload for service {}", service.name))?;
             for endpoint in &mut service.endpoints {
                 let settings = EndpointSettings {
                     name: endpoint.name.to_string(),
@@ -94,14 +94,14 @@
                     seed: seed + endpoints.len() as u64,
                     ..EndpointSettings::default()
                 };
-                let running = Endpoint::start(settings, Arc::clone(&ledger)).await?;
+                let running = Endpoint::start(settings, Arc::clone(&execution_counter)).await?;
                 endpoint.address = running.address();
                 endpoints.push(running);
             }
         }
         let platform = Platform::start(&config.deployment).await?;
         platform.publish(&config)?;
-        Ok(Deployment { kind, config, platform, endpoints, ledger })
+        Ok(Deployment { kind, config, platform, endpoints, execution_counter })
     }
 
     /// Returns an endpoint by name.
@@ -113,7 +113,7 @@
         self.endpoints
             .iter()
             .find(|endpoint| endpoint.name() == name)
-            .with_context(|| format!("no endpoint {name}"))
+            .with_context(|| format!("no endpoint named {name}"))
     }
 
     /// Returns the number of shards of all services.
@@ -121,7 +121,7 @@
         self.config.services.iter().map(|service| shard_count(service) as usize).sum()
     }
 
-    /// Returns the most requests above its slots that an endpoint ever held.
+    /// Returns the largest number of requests in flight at an endpoint beyond its slots.
     pub fn slot_overshoot(&self) -> u32 {
         let settings = self.config.services.iter().flat_map(|service| &service.endpoints);
         let overshoot = self
@@ -132,7 +132,7 @@
         overshoot.max().unwrap_or(0)
     }
 
-    /// Returns the work that arrived at an endpoint since a moment.
+    /// Returns the times at which requests arrived at an endpoint, from `since` on.
     ///
     /// # Errors
     ///
--- a/crates/pistachiotrack-standins/src/fleet.rs
+++ b/crates/pistachiotrack-standins/src/fleet.rs
@@ -17,20 +17,20 @@
 };
 
 use crate::{
-    admin::Admin,
+    admin::AdminClient,
     daemon::{Daemon, DaemonBinary, DaemonSettings, free_ports},
     deployment::Deployment,
     link::{Links, PLATFORM},
-    relay::{Relay, Senders},
+    link_proxy::{LinkProxy, Senders},
 };
 
-/// Time between two looks at daemons that aren't ready yet.
-const LOOK_INTERVAL: Duration = Duration::from_millis(25);
-/// Time without any change after which a fleet counts as settled; a new owner
-/// is careful with its endpoints at first.
-const SETTLED: Duration = Duration::from_secs(3);
-/// Ports of a daemon: for callers, for peers, for its operators, for the relay
-/// before it and for the one before its platform.
+/// Time between two polls of daemons that aren't ready yet.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Time without any change after which a fleet counts as settled. A new owner uses only half
+/// of its endpoints' slots during the takeover grace period.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Ports of a daemon: for callers, for peers, for the admin port, and for the link proxies in
+/// front of its peer address and of its platform address.
 const PORTS: usize = 5;
 
 /// The running daemons of a deployment.
@@ -38,14 +38,14 @@
 pub struct Fleet {
     daemons: Vec<Daemon>,
     binary: DaemonBinary,
-    list: VmList,
-    admin: Admin,
-    _relays: Vec<Relay>,
+    vm_list: VmList,
+    admin: AdminClient,
+    _link_proxies: Vec<LinkProxy>,
 }
 
 impl Fleet {
-    /// Publishes a list of `count` VMs and starts their daemons, behind relays
-    /// where `links` are given.
+    /// Publishes a list of `count` VMs and starts their daemons, with link proxies if `links`
+    /// are given.
     ///
     /// # Errors
     ///
@@ -56,16 +56,16 @@
         count: usize,
         links: Option<&Links>,
     ) -> anyhow::Result<Fleet> {
-        let settings = settings(deployment, count, links.is_some())?;
-        let relays = relays(&settings, links, deployment.platform.address()).await?;
-        let list = VmList { version: 1, vms: settings.iter().map(listed).collect() };
-        deployment.platform.publish_vms(&list)?;
+        let settings = daemon_settings(deployment, count, links.is_some())?;
+        let link_proxies = link_proxies(&settings, links, deployment.platform.address()).await?;
+        let vm_list = VmList { version: 1, vms: settings.iter().map(list_entry).collect() };
+        deployment.platform.publish_vms(&vm_list)?;
         let mut fleet = Fleet {
             daemons: Vec::new(),
             binary: binary.clone(),
-            list,
-            admin: Admin::default(),
-            _relays: relays,
+            vm_list,
+            admin: AdminClient::default(),
+            _link_proxies: link_proxies,
         };
         for settings in settings {
             fleet.daemons.push(binary.start(settings).await?);
@@ -78,7 +78,7 @@
         &self.daemons
     }
 
-    /// Returns the addresses that callers may ask.
+    /// Returns the addresses that callers connect to.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.settings().caller_address).collect()
     }
@@ -88,7 +88,7 @@
         self.daemons.iter().map(|daemon| daemon.settings().admin_address).collect()
     }
 
-    /// Asks all daemons for their status; those that don't answer are missing.
+    /// Requests the status of all daemons; omits those that don't answer.
     pub async fn statuses(&self) -> Vec<Status> {
         let asked =
             self.daemons.iter().map(|daemon| self.admin.status(daemon.settings().admin_address));
@@ -114,22 +114,22 @@
             }
             self.check_running()?;
             if start.elapsed() > limit {
-                let met = statuses.iter().filter(|status| ready(status)).count();
+                let ready_count = statuses.iter().filter(|status| ready(status)).count();
                 let all = self.daemons.len();
                 let others: Vec<String> =
-                    statuses.iter().filter(|status| !ready(status)).map(brief).collect();
-                anyhow::bail!("{what}: {met} of {all} daemons after {limit:?}: {others:?}");
+                    statuses.iter().filter(|status| !ready(status)).map(summary).collect();
+                anyhow::bail!("{what}: {ready_count} of {all} daemons after {limit:?}: {others:?}");
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until all daemons serve, know each other and have owned each of the
-    /// `shards` shards once for a while. Returns the time until that began.
+    /// Waits until all daemons serve, list each other as live, and each of the `shards` shards
+    /// has had exactly one owner for `SETTLE_TIME`. Returns the time until this state began.
     ///
     /// # Errors
     ///
-    /// Returns an error if that is not so within `limit`.
+    /// Returns an error if this is not the case within `limit`.
     pub async fn wait_until_settled(
         &mut self,
         shards: usize,
@@ -146,29 +146,29 @@
                     && status.live_vms as usize >= count
             });
             let owned: Vec<&Name> = statuses.iter().flat_map(|status| &status.shards).collect();
-            if serving.count() < count || !each_once(&owned, shards) {
+            if serving.count() < count || !are_owned_once(&owned, shards) {
                 settled = None;
-            } else if settled.get_or_insert_with(Instant::now).elapsed() >= SETTLED {
-                return Ok(start.elapsed() - SETTLED);
+            } else if settled.get_or_insert_with(Instant::now).elapsed() >= SETTLE_TIME {
+                return Ok(start.elapsed() - SETTLE_TIME);
             }
             self.check_running()?;
             if start.elapsed() > limit {
-                let seen: Vec<String> = statuses.iter().map(brief).collect();
+                let seen: Vec<String> = statuses.iter().map(summary).collect();
                 anyhow::bail!("not settled after {limit:?}: {seen:?}");
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     fn check_running(&mut self) -> anyhow::Result<()> {
         for daemon in &mut self.daemons {
             let vm = daemon.settings().vm.clone();
-            anyhow::ensure!(daemon.is_running(), "the daemon of {vm} has ended");
+            anyhow::ensure!(daemon.is_running(), "the daemon of VM {vm} exited");
         }
         Ok(())
     }
 
-    /// Returns the VM that owns most shards.
+    /// Returns the VM that owns the most shards.
     ///
     /// # Errors
     ///
@@ -176,10 +176,10 @@
     pub async fn busiest(&self) -> anyhow::Result<Name> {
         let statuses = self.statuses().await;
         let busiest = statuses.into_iter().max_by_key(|status| status.shards.len());
-        Ok(busiest.context("no daemon answers")?.vm)
+        Ok(busiest.context("no daemon responded")?.vm)
     }
 
-    /// Takes the daemon of a VM out of the fleet.
+    /// Removes the daemon of a VM from the fleet.
     ///
     /// # Errors
     ///
@@ -189,16 +189,16 @@
             .daemons
             .iter()
             .position(|daemon| daemon.settings().vm == vm)
-            .with_context(|| format!("no VM {vm}"))?;
+            .with_context(|| format!("no VM named {vm}"))?;
         Ok(self.daemons.remove(index))
     }
 
-    /// Puts a daemon that was taken out back into the fleet.
+    /// Adds a removed daemon to the fleet again.
     pub fn put_back(&mut self, daemon: Daemon) {
         self.daemons.push(daemon);
     }
 
-    /// Starts a daemon for a VM that was taken out, with the same settings.
+    /// Starts a daemon for a removed VM with the given settings.
     ///
     /// # Errors
     ///
@@ -214,11 +214,11 @@
     ///
     /// Returns an error if the list can't be published.
     pub fn publish_leaving(&mut self, deployment: &Deployment, vm: &str) -> anyhow::Result<()> {
-        for listed in self.list.vms.iter_mut().filter(|listed| listed.name.as_str() == vm) {
-            listed.leaving = true;
+        for entry in self.vm_list.vms.iter_mut().filter(|entry| entry.name.as_str() == vm) {
+            entry.leaving = true;
         }
-        self.list.version += 1;
-        Ok(deployment.platform.publish_vms(&self.list)?)
+        self.vm_list.version += 1;
+        Ok(deployment.platform.publish_vms(&self.vm_list)?)
     }
 }
 
@@ -239,21 +239,21 @@
     Ok((status, start.elapsed()))
 }
 
-fn each_once(owned: &[&Name], shards: usize) -> bool {
+fn are_owned_once(owned: &[&Name], shards: usize) -> bool {
     let distinct: BTreeSet<&Name> = owned.iter().copied().collect();
     owned.len() == shards && distinct.len() == shards
 }
 
-fn brief(status: &Status) -> String {
+fn summary(status: &Status) -> String {
     let Status { vm, state, config_version, live_vms, shards, .. } = status;
     let (version, shards) = (config_version.unwrap_or(0), shards.len());
     format!("vm={vm} state={state} config_version={version} live_vms={live_vms} shards={shards}")
 }
 
-fn settings(
+fn daemon_settings(
     deployment: &Deployment,
     count: usize,
-    behind_relays: bool,
+    behind_link_proxies: bool,
 ) -> anyhow::Result<Vec<DaemonSettings>> {
     let ports = free_ports(count * PORTS)?;
     let centres = &deployment.config.data_centres;
@@ -263,13 +263,13 @@
         data_centre: centres[index % centres.len()].name.to_string(),
         deployment: deployment.config.deployment.to_string(),
         caller_address: local(ports[0]),
-        peer_address: match behind_relays {
-            true => SocketAddr::from((own_ip(index), ports[1])),
+        peer_address: match behind_link_proxies {
+            true => SocketAddr::from((vm_ip(index), ports[1])),
             false => local(ports[1]),
         },
-        advertised_peer_address: behind_relays.then_some(local(ports[3])),
+        advertised_peer_address: behind_link_proxies.then_some(local(ports[3])),
         admin_address: local(ports[2]),
-        platform_address: match behind_relays {
+        platform_address: match behind_link_proxies {
             true => local(ports[4]),
             false => deployment.platform.address(),
         },
@@ -278,42 +278,42 @@
     Ok(settings.collect())
 }
 
-/// Returns a loopback address for one VM alone, so that relays can tell from
-/// which VM something comes.
-fn own_ip(index: usize) -> Ipv4Addr {
+/// Returns a loopback address that only one VM uses, so that link proxies can identify the
+/// sender.
+fn vm_ip(index: usize) -> Ipv4Addr {
     let [_, _, high, low] = (index as u32 + 1).to_be_bytes();
     Ipv4Addr::new(127, 1, high, low)
 }
 
-/// Starts a relay before each VM, and one before the platform for each VM.
-async fn relays(
+/// Starts for each VM a proxy in front of its peer address and one in front of the platform.
+async fn link_proxies(
     settings: &[DaemonSettings],
     links: Option<&Links>,
     platform: SocketAddr,
-) -> anyhow::Result<Vec<Relay>> {
+) -> anyhow::Result<Vec<LinkProxy>> {
     let ips = settings.iter().enumerate().map(|(index, vm)| (vm.peer_address.ip(), index));
     let senders: Senders = Arc::new(ips.collect());
-    let mut relays = Vec::new();
+    let mut link_proxies = Vec::new();
     for (index, vm) in settings.iter().enumerate() {
         let Some((links, address)) = links.zip(vm.advertised_peer_address) else { break };
         let to_vm =
-            Relay::start(address, index, vm.peer_address, links.clone(), Arc::clone(&senders));
-        relays.push(to_vm.await?);
-        // Nobody but this VM uses the address.
+            LinkProxy::start(address, index, vm.peer_address, links.clone(), Arc::clone(&senders));
+        link_proxies.push(to_vm.await?);
+        // Only this VM connects to this proxy.
         let only_sender = [(IpAddr::V4(Ipv4Addr::LOCALHOST), index)].into_iter().collect();
-        let to_platform = Relay::start(
+        let to_platform = LinkProxy::start(
             vm.platform_address,
             PLATFORM,
             platform,
             links.clone(),
             Arc::new(only_sender),
         );
-        relays.push(to_platform.await?);
+        link_proxies.push(to_platform.await?);
     }
-    Ok(relays)
+    Ok(link_proxies)
 }
 
-fn listed(settings: &DaemonSettings) -> ListedVm {
+fn list_entry(settings: &DaemonSettings) -> ListedVm {
     ListedVm {
         name: Name::from(settings.vm.as_str()),
         data_centre: Name::from(settings.data_centre.as_str()),
--- a/crates/pistachiotrack-standins/src/load.rs
+++ b/crates/pistachiotrack-standins/src/load.rs
@@ -1,4 +1,4 @@
-//! Sends work at a given rate, whatever becomes of it.
+//! Open-loop load: sends requests at a given rate, regardless of their outcomes.
 
 use std::{
     sync::{
@@ -17,52 +17,56 @@
     work::WorkId,
 };
 
-/// Hands out identities of work that are unique in the run.
+/// Generates work ids that are unique in a run.
 #[derive(Clone, Debug, Default)]
 pub struct WorkIds(Arc<AtomicU64>);
 
 impl WorkIds {
-    /// Returns an identity that nothing else has.
+    /// Returns a new unique id.
     pub fn next(&self) -> WorkId {
         WorkId(self.0.fetch_add(1, Ordering::Relaxed))
     }
 }
 
-/// Settings of a load.
+/// Settings of the load.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Time for which new work is sent.
+    /// Time for which new requests are sent.
     pub duration: Duration,
-    /// Identities of the work.
+    /// Source of work ids.
     pub ids: WorkIds,
     /// Seed of the times between requests.
     pub seed: u64,
 }
 
-/// Sends each operation at its rate and returns what came of the work.
+/// Sends each operation at its rate and returns the samples.
 ///
-/// Work is sent without waiting for earlier answers, by the callers in turn.
-pub async fn drive(
+/// Requests are sent without waiting for earlier answers, by the callers in turn.
+pub async fn generate_load(
     callers: &[Caller],
     operations: &[Operation],
     settings: LoadSettings,
 ) -> Vec<Sample> {
-    let mut streams = JoinSet::new();
+    let mut senders = JoinSet::new();
     for (index, operation) in operations.iter().enumerate() {
         let settings = LoadSettings { seed: settings.seed + index as u64, ..settings.clone() };
-        streams.spawn(stream(callers.to_vec(), operation.clone(), settings));
+        senders.spawn(send_at_rate(callers.to_vec(), operation.clone(), settings));
     }
-    streams.join_all().await.into_iter().flatten().collect()
+    senders.join_all().await.into_iter().flatten().collect()
 }
 
-async fn stream(callers: Vec<Caller>, operation: Operation, settings: LoadSettings) -> Vec<Sample> {
+async fn send_at_rate(
+    callers: Vec<Caller>,
+    operation: Operation,
+    settings: LoadSettings,
+) -> Vec<Sample> {
     let mut random = Pcg64Mcg::seed_from_u64(settings.seed);
     let end = Instant::now() + settings.duration;
     let mut next = Instant::now();
-    let mut sends = JoinSet::new();
+    let mut requests = JoinSet::new();
     let operation = Arc::new(operation);
     loop {
-        next += gap(&mut random, operation.rate_per_s);
+        next += next_interval(&mut random, operation.rate_per_s);
         if next >= end {
             break;
         }
@@ -70,17 +74,17 @@
         let id = settings.ids.next();
         let caller = callers[id.0 as usize % callers.len()].clone();
         let operation = Arc::clone(&operation);
-        sends.spawn(async move { caller.send(&operation, id).await });
+        requests.spawn(async move { caller.send(&operation, id).await });
     }
-    sends.join_all().await
+    requests.join_all().await
 }
 
 /// Returns the time to the next request of a Poisson process.
-fn gap(random: &mut Pcg64Mcg, rate_per_s: f64) -> Duration {
+fn next_interval(random: &mut Pcg64Mcg, rate_per_s: f64) -> Duration {
     let uniform: f64 = random.random();
-    let gap_s = -(1.0 - uniform).ln() / rate_per_s;
-    Duration::try_from_secs_f64(gap_s).unwrap_or(MAX_GAP).min(MAX_GAP)
+    let interval_s = -(1.0 - uniform).ln() / rate_per_s;
+    Duration::try_from_secs_f64(interval_s).unwrap_or(MAX_INTERVAL).min(MAX_INTERVAL)
 }
 
-/// Longest time between two requests, so that a rate of zero ends as well.
-const MAX_GAP: Duration = Duration::from_secs(3_600);
+/// Longest time between two requests, so that a rate of zero gives a finite time.
+const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
--- a/crates/pistachiotrack-standins/src/platform.rs
+++ b/crates/pistachiotrack-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform: the configuration service and the list of VMs.
+//! Test stand-in for the platform: the configuration service and the list of VMs.
 
 use std::{
     io::Write,
@@ -26,16 +26,16 @@
 /// How the platform's services answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
-    /// As they should.
+    /// Normally.
     #[default]
     Up,
-    /// With 503.
+    /// With status 503.
     Refusing,
-    /// Not at all.
+    /// Requests stay unanswered.
     Hanging,
 }
 
-/// Longest time that a watch waits.
+/// Longest time that a watch request waits for a newer value.
 pub const MAX_WAIT_MS: u64 = 60_000;
 
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
     json: Bytes,
 }
 
-/// The values that the platform holds and how it answers.
+/// The stored values, and how the platform answers.
 #[derive(Clone, Debug, Default)]
 struct State {
     deployment: String,
@@ -55,7 +55,7 @@
     availability: Availability,
 }
 
-/// A running platform; only the tool itself can change what it holds.
+/// A running platform; its values can be changed only through this handle.
 #[derive(Debug)]
 pub struct Platform {
     state: watch::Sender<State>,
@@ -64,19 +64,19 @@
 }
 
 impl Platform {
-    /// Starts a platform that holds nothing yet.
+    /// Starts a platform without values.
     ///
     /// # Errors
     ///
-    /// Returns an error if no port can be had.
+    /// Returns an error if no port can be bound.
     pub async fn start(deployment: &str) -> std::io::Result<Platform> {
         let state = State { deployment: deployment.to_owned(), ..State::default() };
-        let (state, view) = watch::channel(state);
+        let (state, receiver) = watch::channel(state);
         let calls = Arc::new(AtomicU64::new(0));
         let counter = Arc::clone(&calls);
         let server = Server::start(move |request, _| {
             counter.fetch_add(1, Ordering::Relaxed);
-            answer(view.clone(), request)
+            answer(receiver.clone(), request)
         })
         .await?;
         Ok(Platform { state, calls, server })
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Publishes a value that may not be a valid configuration.
+    /// Publishes bytes as the configuration, without checking that they are valid.
     pub fn publish_bytes(&self, version: u64, json: Vec<u8>) {
         let value = Value { version, json: Bytes::from(json) };
         self.state.send_modify(|state| {
@@ -111,12 +111,12 @@
         });
     }
 
-    /// Serves the value before the newest one, or the newest one again.
+    /// Sets whether the configuration before the newest one is served instead of the newest.
     pub fn set_stale(&self, stale: bool) {
         self.state.send_modify(|state| state.stale = stale);
     }
 
-    /// Publishes a list of VMs; a list that isn't published lags.
+    /// Publishes a list of VMs. Publishing it late simulates a list that lags.
     ///
     /// # Errors
     ///
@@ -152,34 +152,34 @@
     }
 }
 
-async fn answer(mut view: watch::Receiver<State>, request: Request<Incoming>) -> Answer {
+async fn answer(mut receiver: watch::Receiver<State>, request: Request<Incoming>) -> Answer {
     if request.method() != Method::GET {
         return empty(405);
     }
     let path = request.uri().path();
-    if view.borrow().value(path).is_none() {
+    if receiver.borrow().value(path).is_none() {
         return empty(404);
     }
     let query = request.uri().query().unwrap_or_default();
-    let after = number(query, "after");
-    let wait_ms = number(query, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
-    let give_up = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
+    let after = query_number(query, "after");
+    let wait_ms = query_number(query, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
+    let wait_deadline = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
     loop {
-        let state = view.borrow_and_update().clone();
+        let state = receiver.borrow_and_update().clone();
         let hanging = state.availability == Availability::Hanging;
         if state.availability == Availability::Refusing {
             return empty(503);
         }
         if !hanging && let Some(found) = newer_than(&state, path, after) {
-            return value_answer(found, takes_gzip(&request));
+            return value_answer(found, accepts_gzip(&request));
         }
         tokio::select! {
-            changed = view.changed() => {
+            changed = receiver.changed() => {
                 if changed.is_err() {
                     return empty(503);
                 }
             }
-            () = tokio::time::sleep_until(give_up), if !hanging => {
+            () = tokio::time::sleep_until(wait_deadline), if !hanging => {
                 return if after.is_some() { empty(204) } else { empty(404) };
             }
         }
@@ -194,7 +194,7 @@
     Some(value.json)
 }
 
-fn takes_gzip(request: &Request<Incoming>) -> bool {
+fn accepts_gzip(request: &Request<Incoming>) -> bool {
     let codings = request.headers().get_all(ACCEPT_ENCODING).iter();
     codings
         .filter_map(|codings| codings.to_str().ok())
@@ -202,7 +202,7 @@
         .any(|coding| coding.trim().eq_ignore_ascii_case("gzip"))
 }
 
-/// Returns the answer with a value, compressed if the reader takes that.
+/// Returns the answer with a value, compressed if requested.
 fn value_answer(json: Bytes, compressed: bool) -> Answer {
     if !compressed {
         return Answer::new(Full::new(json));
@@ -216,7 +216,7 @@
     answer
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
+fn query_number(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
--- a/crates/pistachiotrack-standins/src/soak.rs
+++ b/crates/pistachiotrack-standins/src/soak.rs
@@ -1,12 +1,12 @@
-//! A soak: real daemons as processes of their own, faults from outside in random order
-//! and overlapping, and promises checked by what callers and endpoints saw.
+//! Soak test: runs real daemon processes, injects random and overlapping faults from outside,
+//! and checks invariants against what callers and endpoints observed.
 
 mod caller;
 mod clock;
+mod environment;
 pub mod oracle;
 pub mod plan;
 mod vms;
-mod world;
 
 use std::{
     fs,
@@ -19,64 +19,64 @@
 use tokio::{sync::watch, task::JoinSet};
 
 use self::{
-    caller::KeptCaller,
+    caller::PersistentCaller,
     clock::RunClock,
-    oracle::{Asked, LoggedRefusals, Record, VersionSeen, Violation, violations},
-    plan::{Event, MAX_RELAYED_VMS, Plan},
-    vms::Vms,
-    world::World,
+    environment::Environment,
+    oracle::{LoggedRefusals, ObservedVersion, RequestRecord, RunRecord, Violation, violations},
+    plan::{Event, MAX_PROXIED_VMS, Plan},
+    vms::VmProcesses,
 };
 use crate::{
-    caller::{Caller, Ending, Sample},
+    caller::{Caller, RequestOutcome, Sample},
     daemon::DaemonBinary,
     deployment::{Deployment, Kind},
     fleet::Fleet,
     link::Links,
-    load::{LoadSettings, WorkIds, drive},
+    load::{LoadSettings, WorkIds, generate_load},
     runtime,
     workload::operations,
 };
 
-/// VMs, where nothing else is asked for.
+/// Default number of VMs.
 const VMS: usize = 6;
-/// Length of the load.
+/// Default duration of the load, in seconds.
 const SECONDS: u64 = 60;
-/// Share of the slots that the load uses: processes share one machine here.
+/// Share of the slots that the load uses; low because all processes share one machine.
 const LOAD: f64 = 0.04;
-/// Callers that take the addresses they are told; one more takes the last of them.
+/// Callers that use the first entry address that a VM returns; one more caller uses the last.
 const STEERED_CALLERS: usize = 3;
-/// VMs to which callers keep a connection of their own.
-const KEPT_CALLERS: usize = 24;
-/// Time allowed for the VMs to serve.
+/// VMs that have a caller with a persistent connection.
+const PERSISTENT_CALLERS: usize = 24;
+/// Time limit for all VMs to start serving.
 const START_LIMIT: Duration = Duration::from_secs(120);
-/// Time after the load in which late work would still begin.
-const AFTERMATH: Duration = Duration::from_secs(3);
-/// Broken promises that are printed.
-const PRINTED: usize = 10;
-/// Where plans and logs of failed runs go.
+/// Wait after the load for requests that an endpoint would begin to run late.
+const LATE_EXECUTION_WAIT: Duration = Duration::from_secs(3);
+/// Largest number of violations that are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 10;
+/// Default directory for plans and logs.
 const DIRECTORY: &str = "target/soak";
 
-/// Settings of a soak.
+/// Settings of a soak test.
 #[derive(Clone, Debug)]
 pub struct SoakSettings {
     /// First seed.
     pub seed: u64,
     /// Number of seeds, one after the other.
     pub seeds: u64,
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Length of each run's load.
+    /// Duration of each run's load.
     pub seconds: u64,
-    /// Plan to be played in place of one from a seed.
+    /// Plan file to run instead of a plan generated from the seed.
     pub plan: Option<PathBuf>,
     /// Directory for plans and logs.
     pub directory: PathBuf,
-    /// Whether plans are printed and nothing is run.
+    /// Whether to print the plans without running them.
     pub show: bool,
 }
 
 impl SoakSettings {
-    /// Takes the settings from the command line.
+    /// Parses the settings from the command line.
     ///
     /// # Errors
     ///
@@ -101,16 +101,17 @@
     }
 }
 
-/// What came of a run.
-struct Outcome {
-    asked: usize,
+/// Result of a run.
+struct RunResult {
+    requests: usize,
     served: usize,
     starts: usize,
     descriptors: (usize, usize),
     violations: Vec<Violation>,
 }
 
-/// Plays the seeds asked for, a line each; the code is 1 if a promise was broken.
+/// Runs the requested seeds and prints one line for each; the exit code is 1 if an invariant
+/// was violated.
 ///
 /// # Errors
 ///
@@ -127,9 +128,9 @@
         let _ = fs::remove_dir_all(&directory);
         fs::create_dir_all(&directory)?;
         fs::write(directory.join("plan.json"), serde_json::to_vec_pretty(&plan)?)?;
-        let outcome = runtime::run(play(&plan, &directory))?;
-        print(&plan, &outcome, &directory);
-        failed += u64::from(!outcome.violations.is_empty());
+        let result = runtime::run(run_plan(&plan, &directory))?;
+        print(&plan, &result, &directory);
+        failed += u64::from(!result.violations.is_empty());
     }
     Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
@@ -143,10 +144,10 @@
     }
 }
 
-fn print(plan: &Plan, outcome: &Outcome, directory: &Path) {
-    let Outcome { asked, served, starts, descriptors, violations } = outcome;
+fn print(plan: &Plan, result: &RunResult, directory: &Path) {
+    let RunResult { requests, served, starts, descriptors, violations } = result;
     println!(
-        "seed={} vms={} dispatchers={} steps={} requests={asked} served={served} starts={starts} \
+        "seed={} vms={} dispatchers={} steps={} requests={requests} served={served} starts={starts} \
          descriptors_before={} descriptors_after={} broken={}",
         plan.seed,
         plan.vms,
@@ -156,30 +157,30 @@
         descriptors.1,
         violations.len()
     );
-    for violation in violations.iter().take(PRINTED) {
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  {violation}");
     }
-    if violations.len() > PRINTED {
-        println!("  and {} more", violations.len() - PRINTED);
+    if violations.len() > MAX_PRINTED_VIOLATIONS {
+        println!("  and {} more", violations.len() - MAX_PRINTED_VIOLATIONS);
     }
     if !violations.is_empty() {
         println!("  plan and logs: {}", directory.display());
     }
 }
 
-async fn play(plan: &Plan, directory: &Path) -> anyhow::Result<Outcome> {
+async fn run_plan(plan: &Plan, directory: &Path) -> anyhow::Result<RunResult> {
     let binary = DaemonBinary::find(Some(directory.to_owned()))?;
     let mut deployment = Deployment::start(Kind::Timeliten, plan.seed).await?;
     for service in &mut deployment.config.services {
         service.dispatchers_per_data_centre = plan.dispatchers_per_data_centre;
-        // Several endpoints may leave at the same time.
+        // Lets several endpoints leave at the same time.
         service.floor = service.floor.min(1);
     }
     deployment.config.version += 1;
     deployment.platform.publish(&deployment.config)?;
     let links = Links::new(plan.seed);
-    let relayed = (plan.vms <= MAX_RELAYED_VMS).then_some(&links);
-    let mut fleet = Fleet::start(&binary, &deployment, plan.vms, relayed).await?;
+    let proxied_links = (plan.vms <= MAX_PROXIED_VMS).then_some(&links);
+    let mut fleet = Fleet::start(&binary, &deployment, plan.vms, proxied_links).await?;
     let serves = |status: &pistachiotrack_core::admin::Status| {
         status.state.as_str() == "serving" && status.config_version.is_some()
     };
@@ -189,13 +190,14 @@
     let names: Vec<String> =
         fleet.daemons().iter().map(|daemon| daemon.settings().vm.clone()).collect();
     let daemons = names.iter().map(|vm| fleet.take(vm)).collect::<anyhow::Result<_>>()?;
-    let vms = Vms::new(daemons, binary, clock);
+    let vms = VmProcesses::new(daemons, binary, clock);
     let descriptors_before = vms.descriptors().into_iter().max().unwrap_or(0);
     let ids = WorkIds::default();
-    let world = World::new(deployment, vms.clone(), links, clock, addresses.clone(), ids.clone());
-    let world = Arc::new(world);
+    let environment =
+        Environment::new(deployment, vms.clone(), links, clock, addresses.clone(), ids.clone());
+    let environment = Arc::new(environment);
 
-    let versions: Arc<Mutex<Vec<VersionSeen>>> = Arc::default();
+    let versions: Arc<Mutex<Vec<ObservedVersion>>> = Arc::default();
     let mut watchers = JoinSet::new();
     for vm in 0..plan.vms {
         watchers.spawn(vms.clone().supervise(vm));
@@ -203,45 +205,52 @@
     }
     let mut steps = JoinSet::new();
     for step in plan.steps.clone() {
-        let (world, vms) = (Arc::clone(&world), plan.vms);
-        steps.spawn(async move { world.play(&step, vms).await });
+        let (environment, vms) = (Arc::clone(&environment), plan.vms);
+        steps.spawn(async move { environment.run_step(&step, vms).await });
     }
-    let mut asked = load(plan, &world, addresses, clock, ids).await;
+    let mut requests = load(plan, &environment, addresses, clock, ids).await;
     let end_ms = clock.now_ms();
     while steps.join_next().await.is_some() {}
-    tokio::time::sleep(AFTERMATH).await;
+    tokio::time::sleep(LATE_EXECUTION_WAIT).await;
     let descriptors_after = vms.descriptors().into_iter().max().unwrap_or(0);
     watchers.shutdown().await;
 
-    asked.sort_by_key(|asked| asked.sent_ms);
-    let (published, left) = world.published();
-    let (limited, crash_runs_ms) = world.endpoints_seen();
-    let ledger = &world.deployment.ledger;
-    let logged = logged_refusals(directory, names)?;
-    let record = Record {
-        executions: asked.iter().map(|it| (it.id, ledger.executions(it.id))).collect(),
+    requests.sort_by_key(|request| request.sent_ms);
+    let (published, leaving_periods) = environment.operator_actions();
+    let (rate_limit_periods, crash_runs_ms) = environment.endpoint_observations();
+    let execution_counter = &environment.deployment.execution_counter;
+    let logged_refusals = read_logged_refusals(directory, names)?;
+    let record = RunRecord {
+        executions: requests
+            .iter()
+            .map(|it| (it.id, execution_counter.executions(it.id)))
+            .collect(),
         versions: versions.lock().unwrap_or_else(PoisonError::into_inner).clone(),
         published,
-        left,
-        limited,
+        leaving_periods,
+        rate_limit_periods,
         crash_runs_ms,
         processes: vms.processes(),
         faults: faults(plan, |_| true),
         vm_faults: faults(plan, |event| !matches!(event, Event::CrashingRequest { .. })),
-        logged,
+        logged_refusals,
         end_ms,
-        asked,
+        requests,
     };
-    Ok(Outcome {
-        asked: record.asked.len(),
-        served: record.asked.iter().filter(|asked| asked.ending == Ending::Ok).count(),
+    Ok(RunResult {
+        requests: record.requests.len(),
+        served: record
+            .requests
+            .iter()
+            .filter(|request| request.outcome == RequestOutcome::Ok)
+            .count(),
         starts: record.processes.len(),
         descriptors: (descriptors_before, descriptors_after),
         violations: violations(&record),
     })
 }
 
-fn logged_refusals(directory: &Path, vms: Vec<String>) -> anyhow::Result<LoggedRefusals> {
+fn read_logged_refusals(directory: &Path, vms: Vec<String>) -> anyhow::Result<LoggedRefusals> {
     let mut logged = LoggedRefusals { vms, ..LoggedRefusals::default() };
     for entry in fs::read_dir(directory)? {
         let path = entry?.path();
@@ -252,49 +261,50 @@
     Ok(logged)
 }
 
-/// Returns from when to when the faults among a plan's events last that `counts` holds for.
+/// Returns the start and end times of the plan's faults whose event matches `counts`.
 fn faults(plan: &Plan, counts: impl Fn(&Event) -> bool) -> Vec<(u64, u64)> {
     let fault = |step: &plan::Step| Some((step.at_ms, step.at_ms + step.event.fault_ms()?));
     plan.steps.iter().filter(|step| counts(&step.event)).filter_map(fault).collect()
 }
 
-/// Sends requests for as long as the plan says, and returns what came of them.
+/// Sends requests for the plan's duration and returns their records.
 async fn load(
     plan: &Plan,
-    world: &World,
+    environment: &Environment,
     addresses: Vec<std::net::SocketAddr>,
     clock: RunClock,
     ids: WorkIds,
-) -> Vec<Asked> {
-    let operations = operations(Kind::Timeliten.work(), &world.deployment.config, LOAD);
-    let (ends, ended) = watch::channel(false);
-    let mut kept = JoinSet::new();
-    for (vm, address) in addresses.iter().copied().enumerate().take(KEPT_CALLERS) {
+) -> Vec<RequestRecord> {
+    let operations = operations(Kind::Timeliten.work(), &environment.deployment.config, LOAD);
+    let (stop, stopped) = watch::channel(false);
+    let mut persistent = JoinSet::new();
+    for (vm, address) in addresses.iter().copied().enumerate().take(PERSISTENT_CALLERS) {
         let operations = Arc::new(operations.clone());
-        let caller = KeptCaller { vm, address, operations, ids: ids.clone(), clock };
-        kept.spawn(caller.run(ended.clone()));
+        let caller = PersistentCaller { vm, address, operations, ids: ids.clone(), clock };
+        persistent.spawn(caller.run(stopped.clone()));
     }
     let mut callers: Vec<Caller> =
         (0..STEERED_CALLERS).map(|_| Caller::new(addresses.clone())).collect();
     callers.push(Caller::unsteered(addresses));
     let duration = Duration::from_secs(plan.seconds);
     let settings = LoadSettings { duration, ids, seed: plan.seed };
-    let samples = drive(&callers, &operations, settings).await;
-    ends.send_replace(true);
-    let mut asked: Vec<Asked> = samples.iter().map(|sample| asked_by(sample, clock)).collect();
-    asked.extend(kept.join_all().await.into_iter().flatten());
-    asked
+    let samples = generate_load(&callers, &operations, settings).await;
+    stop.send_replace(true);
+    let mut requests: Vec<RequestRecord> =
+        samples.iter().map(|sample| request_record(sample, clock)).collect();
+    requests.extend(persistent.join_all().await.into_iter().flatten());
+    requests
 }
 
-fn asked_by(sample: &Sample, clock: RunClock) -> Asked {
+fn request_record(sample: &Sample, clock: RunClock) -> RequestRecord {
     let sent_ms = clock.ms(sample.sent);
-    Asked {
+    RequestRecord {
         id: sample.id,
         non_idempotent: sample.non_idempotent,
         vm: None,
         sent_ms,
         ended_ms: sent_ms + sample.latency_us / 1_000,
-        ending: sample.ending,
-        request: sample.request.clone(),
+        outcome: sample.outcome,
+        request_id: sample.request_id.clone(),
     }
 }
--- /dev/null
+++ b/crates/pistachiotrack-standins/src/soak/environment.rs
@@ -0,0 +1,315 @@
+//! The deployment under test, and the injection of faults into it.
+
+use std::{
+    collections::BTreeSet,
+    net::SocketAddr,
+    sync::{Mutex, MutexGuard, PoisonError},
+    time::{Duration, Instant},
+};
+
+use pistachiotrack_core::{config::Config, request::Class};
+use tokio::task::JoinSet;
+
+use super::{
+    clock::RunClock,
+    oracle::{LeavingPeriod, PublishedVersion, RateLimitPeriod},
+    plan::{EndpointFault, Event, PlatformFault, Step},
+    vms::VmProcesses,
+};
+use crate::{
+    caller::{Caller, Operation},
+    deployment::Deployment,
+    endpoint::Endpoint,
+    fault::Faults,
+    link::{LinkFaults, Links, PLATFORM},
+    load::WorkIds,
+    platform::Availability,
+};
+
+/// Time after which a valid configuration replaces an invalid one.
+const INVALID_CONFIG_DURATION: Duration = Duration::from_millis(1_500);
+/// Time between two requests that crash endpoints.
+const CRASH_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
+/// A lookup that crashes the endpoint that runs it.
+const CRASH_REQUEST: Operation = Operation {
+    customer: "timeliten",
+    service: "centre-calendars",
+    method: "GET",
+    path: "/calendars/majorstuen?crash",
+    class: Class::Interactive,
+    non_idempotent: false,
+    deadline_ms: 2_000,
+    rate_per_s: 0.0,
+};
+const BLOCKED: LinkFaults = LinkFaults { blocked: true, drop_share: 0.0, delay: Duration::ZERO };
+
+/// The deployment under test, into which a plan's steps inject faults.
+#[derive(Debug)]
+pub(super) struct Environment {
+    pub(super) deployment: Deployment,
+    pub(super) vms: VmProcesses,
+    links: Links,
+    state: Mutex<State>,
+    clock: RunClock,
+    /// Caller addresses of the VMs.
+    addresses: Vec<SocketAddr>,
+    ids: WorkIds,
+}
+
+#[derive(Debug)]
+struct State {
+    config: Config,
+    published: Vec<PublishedVersion>,
+    leaving_periods: Vec<LeavingPeriod>,
+    /// Endpoints that currently announce a rate limit.
+    limited_endpoints: BTreeSet<usize>,
+    rate_limit_periods: Vec<RateLimitPeriod>,
+    /// Blocked link directions; one entry for each event that blocks the direction.
+    cut_directions: Vec<(usize, usize)>,
+    /// Currently active faults that apply to all links.
+    link_faults: Vec<LinkFaults>,
+}
+
+impl Environment {
+    pub(super) fn new(
+        deployment: Deployment,
+        vms: VmProcesses,
+        links: Links,
+        clock: RunClock,
+        addresses: Vec<SocketAddr>,
+        ids: WorkIds,
+    ) -> Environment {
+        let state = State {
+            config: deployment.config.clone(),
+            published: Vec::new(),
+            leaving_periods: Vec::new(),
+            limited_endpoints: BTreeSet::new(),
+            rate_limit_periods: Vec::new(),
+            cut_directions: Vec::new(),
+            link_faults: Vec::new(),
+        };
+        Environment { deployment, vms, links, state: Mutex::new(state), clock, addresses, ids }
+    }
+
+    /// Waits for a step's start time, injects its event, and reverts it after its duration.
+    pub(super) async fn run_step(&self, step: &Step, vms: usize) {
+        self.clock.wait_until_ms(step.at_ms).await;
+        match &step.event {
+            Event::Terminate { vm, restart_after_ms } => {
+                self.vms.terminate(*vm, Duration::from_millis(*restart_after_ms));
+            }
+            Event::HangUp { vm } => self.vms.hang_up(*vm),
+            Event::Kill { vms, restart_after_ms } => {
+                let restart_after = Duration::from_millis(*restart_after_ms);
+                vms.iter().for_each(|vm| self.vms.kill(*vm, restart_after));
+            }
+            Event::Pause { vm, for_ms } => {
+                self.vms.pause(*vm);
+                sleep_ms(*for_ms).await;
+                self.vms.resume(*vm);
+            }
+            Event::Leave { endpoint, for_ms } => self.drain_endpoint(*endpoint, *for_ms).await,
+            Event::AnnounceRateLimit { endpoint, tenths_per_second, for_ms } => {
+                self.announce_rate_limit(*endpoint, f64::from(*tenths_per_second) / 10.0, *for_ms)
+                    .await;
+            }
+            Event::CrashingRequest { for_ms } => self.send_crash_requests(*for_ms).await,
+            Event::PublishInvalid => self.publish_invalid().await,
+            Event::CutOneWay { from, to, for_ms } => self.cut_links(&[(*from, *to)], *for_ms).await,
+            Event::CutOff { vm, for_ms } => {
+                let others = (0..vms).filter(|other| other != vm);
+                let cut_directions: Vec<(usize, usize)> =
+                    others.flat_map(|other| [(*vm, other), (other, *vm)]).collect();
+                self.cut_links(&cut_directions, *for_ms).await;
+            }
+            Event::CutOffPlatform { vm, for_ms } => {
+                self.cut_links(&[(*vm, PLATFORM), (PLATFORM, *vm)], *for_ms).await;
+            }
+            Event::DegradedLinks { lost_percent, delay_ms, for_ms } => {
+                let drop_share = f64::from(*lost_percent) / 100.0;
+                let delay = Duration::from_millis(*delay_ms);
+                self.degrade_links(LinkFaults { blocked: false, drop_share, delay }, *for_ms).await;
+            }
+            Event::EndpointFault { endpoint, fault, for_ms } => {
+                let endpoint = &self.deployment.endpoints[*endpoint];
+                endpoint.set_faults(faults(*fault));
+                sleep_ms(*for_ms).await;
+                endpoint.set_faults(Faults::default());
+            }
+            Event::PlatformFault { fault, for_ms } => {
+                self.interrupt_platform(*fault, *for_ms).await
+            }
+        }
+    }
+
+    async fn interrupt_platform(&self, fault: PlatformFault, for_ms: u64) {
+        let platform = &self.deployment.platform;
+        match fault {
+            PlatformFault::Refusing => platform.set_availability(Availability::Refusing),
+            PlatformFault::Hanging => platform.set_availability(Availability::Hanging),
+            PlatformFault::Stale => platform.set_stale(true),
+        }
+        sleep_ms(for_ms).await;
+        match fault {
+            PlatformFault::Refusing | PlatformFault::Hanging => {
+                platform.set_availability(Availability::Up)
+            }
+            PlatformFault::Stale => platform.set_stale(false),
+        }
+    }
+
+    async fn drain_endpoint(&self, endpoint: usize, for_ms: u64) {
+        let name = self.deployment.endpoints[endpoint].name().to_owned();
+        let from = Instant::now();
+        if !self.publish(|config| set_leaving(config, &name, true)) {
+            return;
+        }
+        sleep_ms(for_ms).await;
+        let until_ms = self.clock.now_ms();
+        self.publish(|config| set_leaving(config, &name, false));
+        let arrivals_ms = self.arrivals_ms(endpoint, from);
+        let from_ms = self.clock.ms(from);
+        let period = LeavingPeriod { endpoint: name, from_ms, until_ms, arrivals_ms };
+        self.lock().leaving_periods.push(period);
+    }
+
+    async fn announce_rate_limit(&self, endpoint: usize, per_second: f64, for_ms: u64) {
+        let limited = &self.deployment.endpoints[endpoint];
+        if !self.lock().limited_endpoints.insert(endpoint) {
+            return;
+        }
+        let from = Instant::now();
+        limited.set_rate_limit(Some(per_second));
+        sleep_ms(for_ms).await;
+        let until_ms = self.clock.now_ms();
+        limited.set_rate_limit(None);
+        let arrivals_ms = self.arrivals_ms(endpoint, from);
+        let endpoint_name = limited.name().to_owned();
+        let mut state = self.lock();
+        state.limited_endpoints.remove(&endpoint);
+        state.rate_limit_periods.push(RateLimitPeriod {
+            endpoint: endpoint_name,
+            per_second,
+            until_ms,
+            arrivals_ms,
+        });
+    }
+
+    fn arrivals_ms(&self, endpoint: usize, since: Instant) -> Vec<u64> {
+        let arrivals = self.deployment.endpoints[endpoint].arrivals_since(since);
+        arrivals.into_iter().map(|at| self.clock.ms(at)).collect()
+    }
+
+    /// Sends requests that crash endpoints to the VMs in turn.
+    async fn send_crash_requests(&self, for_ms: u64) {
+        let until = Instant::now() + Duration::from_millis(for_ms);
+        let mut sent = JoinSet::new();
+        for address in self.addresses.iter().cycle() {
+            if Instant::now() >= until {
+                break;
+            }
+            let caller = Caller::direct(vec![*address]);
+            let id = self.ids.next();
+            sent.spawn(async move { caller.send(&CRASH_REQUEST, id).await });
+            tokio::time::sleep(CRASH_REQUEST_INTERVAL).await;
+        }
+        sent.join_all().await;
+    }
+
+    async fn publish_invalid(&self) {
+        {
+            let mut state = self.lock();
+            state.config.version += 1;
+            let version = state.config.version;
+            let value = format!("{{\"version\": {version}, \"services\": 3}}");
+            self.deployment.platform.publish_bytes(version, value.into_bytes());
+        }
+        tokio::time::sleep(INVALID_CONFIG_DURATION).await;
+        self.publish(|_| {});
+    }
+
+    /// Publishes a changed configuration if it is valid; returns whether it was published.
+    fn publish(&self, change: impl FnOnce(&mut Config)) -> bool {
+        let mut state = self.lock();
+        let mut config = state.config.clone();
+        change(&mut config);
+        config.version += 1;
+        if !config.check("soak").is_empty() || self.deployment.platform.publish(&config).is_err() {
+            return false;
+        }
+        let published = PublishedVersion { at_ms: self.clock.now_ms(), version: config.version };
+        state.published.push(published);
+        state.config = config;
+        true
+    }
+
+    async fn cut_links(&self, cut_directions: &[(usize, usize)], for_ms: u64) {
+        self.lock().cut_directions.extend_from_slice(cut_directions);
+        self.set_links();
+        sleep_ms(for_ms).await;
+        let mut state = self.lock();
+        for direction in cut_directions {
+            if let Some(position) = state.cut_directions.iter().position(|it| it == direction) {
+                state.cut_directions.swap_remove(position);
+            }
+        }
+        drop(state);
+        self.set_links();
+    }
+
+    async fn degrade_links(&self, link: LinkFaults, for_ms: u64) {
+        self.lock().link_faults.push(link);
+        self.set_links();
+        sleep_ms(for_ms).await;
+        let mut state = self.lock();
+        state.link_faults.retain(|it| *it != link);
+        drop(state);
+        self.set_links();
+    }
+
+    fn set_links(&self) {
+        let state = self.lock();
+        self.links.set_all(state.link_faults.last().copied().unwrap_or_default());
+        for (from, to) in &state.cut_directions {
+            self.links.set(*from, *to, BLOCKED);
+        }
+    }
+
+    /// Returns the periods in which endpoints announced a rate limit, and the times at which a
+    /// request that crashes endpoints began to run.
+    pub(super) fn endpoint_observations(&self) -> (Vec<RateLimitPeriod>, Vec<u64>) {
+        let runs = self.deployment.endpoints.iter().flat_map(Endpoint::crash_runs);
+        let mut runs_ms: Vec<u64> = runs.map(|at| self.clock.ms(at)).collect();
+        runs_ms.sort_unstable();
+        (self.lock().rate_limit_periods.clone(), runs_ms)
+    }
+
+    /// Returns the published configurations and the periods in which endpoints were leaving.
+    pub(super) fn operator_actions(&self) -> (Vec<PublishedVersion>, Vec<LeavingPeriod>) {
+        let state = self.lock();
+        (state.published.clone(), state.leaving_periods.clone())
+    }
+
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+fn set_leaving(config: &mut Config, endpoint: &str, leaving: bool) {
+    let endpoints = config.services.iter_mut().flat_map(|service| &mut service.endpoints);
+    endpoints.filter(|it| it.name.as_str() == endpoint).for_each(|it| it.leaving = leaving);
+}
+
+fn faults(fault: EndpointFault) -> Faults {
+    match fault {
+        EndpointFault::Gray => Faults::gray(),
+        EndpointFault::Straggler => Faults::straggler(),
+        EndpointFault::Hang => Faults::hang(),
+        EndpointFault::Shed => Faults::shedding(),
+        EndpointFault::SilentConnections => Faults::silent_connections(Instant::now()),
+    }
+}
+
+async fn sleep_ms(for_ms: u64) {
+    tokio::time::sleep(Duration::from_millis(for_ms)).await;
+}
--- a/crates/pistachiotrack-standins/src/soak/plan.rs
+++ b/crates/pistachiotrack-standins/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, and when: made from a seed, written and read as JSON.
+//! Plans of soak runs: generated from a seed, written and read as JSON.
 
 use std::{fs, path::Path};
 
@@ -7,198 +7,208 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// A run: how large, how long, and what happens.
+/// The size, duration and events of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// Seed of the plan and of the load.
     pub seed: u64,
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// VMs of each data centre that dispatch side by side; 0 for one owner.
+    /// Concurrent dispatchers in each data centre; 0 selects a single owner.
     pub dispatchers_per_data_centre: u32,
     /// Time for which callers send requests.
     pub seconds: u64,
-    /// What happens, in any order.
+    /// Events with their times, in any order.
     pub steps: Vec<Step>,
 }
 
-/// One thing that happens.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// Time from the beginning of the load.
+    /// Time since the start of the load.
     pub at_ms: u64,
-    /// What happens.
+    /// The event.
     pub event: Event,
 }
 
-/// What may happen.
+/// Events that a plan can contain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Event {
-    /// A VM is asked to stop, and starts again after its end.
+    /// A VM is stopped gracefully and restarted after its exit.
     Terminate {
         /// The VM.
         vm: usize,
-        /// Time from its end to its start.
+        /// Time from its exit to its restart.
         restart_after_ms: u64,
     },
-    /// A VM gets a hang-up signal.
+    /// A VM receives SIGHUP and reloads its settings.
     HangUp {
         /// The VM.
         vm: usize,
     },
-    /// Operators mark an endpoint as leaving, and take that back.
+    /// The operators' configuration marks an endpoint as leaving for a time.
     Leave {
-        /// Position of the endpoint among all.
+        /// Index of the endpoint among all endpoints.
         endpoint: usize,
-        /// Time until it is taken back.
+        /// Duration.
         for_ms: u64,
     },
-    /// An endpoint names a limit in requests a second, and takes it back.
-    NameLimit {
-        /// Position of the endpoint among all.
+    /// An endpoint announces a rate limit for a time.
+    #[serde(rename = "name_limit")]
+    AnnounceRateLimit {
+        /// Index of the endpoint among all endpoints.
         endpoint: usize,
-        /// The limit, in tenths of a request.
+        /// The limit, in tenths of a request per second.
         tenths_per_second: u32,
-        /// Time until it is taken back.
+        /// Duration.
         for_ms: u64,
     },
-    /// A VM is cut off from the platform, which the others reach.
+    /// One VM can't reach the platform; the other VMs can.
     CutOffPlatform {
         /// The VM.
         vm: usize,
-        /// Time until it reaches the platform again.
+        /// Duration.
         for_ms: u64,
     },
-    /// Operators publish something that isn't valid.
+    /// An invalid configuration is published.
     PublishInvalid,
-    /// VMs are killed, and start again.
+    /// VMs are killed and restarted.
     Kill {
         /// The VMs.
         vms: Vec<usize>,
-        /// Time until their start.
+        /// Time from their exit to their restart.
         restart_after_ms: u64,
     },
-    /// A VM stands still.
+    /// A VM's process is paused.
     Pause {
         /// The VM.
         vm: usize,
-        /// Time until it goes on.
+        /// Duration.
         for_ms: u64,
     },
-    /// Nothing passes from one VM to another; the other way works.
+    /// All traffic from one VM to another is dropped; the reverse direction works.
     CutOneWay {
-        /// The VM that is not heard.
+        /// The sending VM.
         from: usize,
-        /// The VM that does not hear it.
+        /// The receiving VM.
         to: usize,
-        /// Time until it passes again.
+        /// Duration.
         for_ms: u64,
     },
-    /// Nothing passes between a VM and all others.
+    /// All traffic between a VM and all other VMs is dropped.
     CutOff {
         /// The VM.
         vm: usize,
-        /// Time until it passes again.
+        /// Duration.
         for_ms: u64,
     },
-    /// Datagrams between VMs are lost, and all takes longer.
-    BadLinks {
-        /// Datagrams that are lost.
+    /// Datagrams between VMs are dropped at random, and all traffic is delayed.
+    #[serde(rename = "bad_links")]
+    DegradedLinks {
+        /// Percentage of the datagrams that are dropped.
         lost_percent: u32,
-        /// Time that everything takes longer.
+        /// Added delay.
         delay_ms: u64,
-        /// Time until the links are well.
+        /// Duration.
         for_ms: u64,
     },
-    /// An endpoint is sick.
-    Sick {
-        /// Position of the endpoint among all.
+    /// An endpoint is faulty.
+    #[serde(rename = "sick")]
+    EndpointFault {
+        /// Index of the endpoint among all endpoints.
         endpoint: usize,
-        /// What it does.
-        how: Sickness,
-        /// Time until it is well.
+        /// The kind of fault.
+        #[serde(rename = "how")]
+        fault: EndpointFault,
+        /// Duration.
         for_ms: u64,
     },
-    /// A request that crashes the endpoints that run it comes again and again.
+    /// A request that crashes the endpoints that run it is sent repeatedly.
     CrashingRequest {
-        /// Time for which it does.
+        /// Duration.
         for_ms: u64,
     },
     /// The platform's services fail.
-    PlatformAway {
-        /// What they do.
-        how: Absence,
-        /// Time until they are back.
+    #[serde(rename = "platform_away")]
+    PlatformFault {
+        /// The kind of fault.
+        #[serde(rename = "how")]
+        fault: PlatformFault,
+        /// Duration.
         for_ms: u64,
     },
 }
 
-/// What a sick endpoint does.
+/// Faults of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sickness {
-    /// It fails all work while its health check passes.
+pub enum EndpointFault {
+    /// All requests fail while the health check passes.
     Gray,
-    /// It is slow.
+    /// Requests are slow.
     Straggler,
-    /// It takes everything and answers nothing.
+    /// Requests and health checks are accepted and never answered.
     Hang,
-    /// It refuses all work.
+    /// All requests are refused.
     Shed,
-    /// Connections that are open go silent.
+    /// Open connections become silent; new connections work.
     SilentConnections,
 }
 
-/// How the platform's services fail.
+/// Faults of the platform's services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Absence {
-    /// They refuse.
+pub enum PlatformFault {
+    /// Requests are refused with status 503.
     Refusing,
-    /// They don't answer.
+    /// Requests are not answered.
     Hanging,
-    /// They answer with the value before the newest.
+    /// Answers contain the configuration before the newest one.
     Stale,
 }
 
-/// Parts of a run in tenths: planned work alone, then faults on top of it, then
-/// planned work alone again, in which everything has to recover.
-const PLANNED_ALONE_TENTHS: u64 = 3;
+/// Phase boundaries in tenths of a run: planned events only, then faults in addition, then
+/// planned events only, in which the fleet has to recover.
+const FAULTS_START_TENTHS: u64 = 3;
 const FAULTS_END_TENTHS: u64 = 6;
-/// Mean time between two planned steps, and between two faults.
-const PLANNED_GAP_MS: u64 = 900;
-const FAULT_GAP_MS: u64 = 700;
-/// Time before the end in which nothing begins.
-const QUIET_END_MS: u64 = 5_000;
-/// Most VMs that have relays between them: a relay holds a descriptor for each VM that
-/// sends to it, and 200 VMs took more than the 20,000 that a process may have.
-pub const MAX_RELAYED_VMS: usize = 120;
-/// One fault in so many kills all VMs.
+/// Mean time between two planned events, and between two faults.
+const MEAN_PLANNED_GAP_MS: u64 = 900;
+const MEAN_FAULT_GAP_MS: u64 = 700;
+/// Time before the end of the load in which no event starts.
+const FINAL_QUIET_MS: u64 = 5_000;
+/// Largest number of VMs with proxied links. A proxy holds a file descriptor for each VM that
+/// sends to it, and 200 VMs exceeded the limit of 20,000 descriptors of a process.
+pub const MAX_PROXIED_VMS: usize = 120;
+/// One in this many kill events kills all VMs.
 const KILL_ALL_ONE_IN: u32 = 15;
 
 impl Plan {
-    /// Makes a plan from a seed.
+    /// Generates a plan from a seed.
     pub fn new(seed: u64, vms: usize, seconds: u64, endpoints: usize) -> Plan {
-        let mut maker =
-            Maker { random: Pcg64Mcg::seed_from_u64(seed), vms, endpoints, steps: Vec::new() };
-        let whole_ms = seconds * 1_000;
-        let end_ms = whole_ms.saturating_sub(QUIET_END_MS);
-        maker.fill(0, end_ms, PLANNED_GAP_MS, Maker::planned);
-        let faults = (whole_ms * PLANNED_ALONE_TENTHS / 10, whole_ms * FAULTS_END_TENTHS / 10);
-        maker.fill(faults.0, faults.1, FAULT_GAP_MS, Maker::fault);
-        maker.steps.sort_by_key(|step| step.at_ms);
+        let mut generator = PlanGenerator {
+            random: Pcg64Mcg::seed_from_u64(seed),
+            vms,
+            endpoints,
+            steps: Vec::new(),
+        };
+        let total_ms = seconds * 1_000;
+        let end_ms = total_ms.saturating_sub(FINAL_QUIET_MS);
+        generator.add_events(0, end_ms, MEAN_PLANNED_GAP_MS, PlanGenerator::planned_event);
+        let faults = (total_ms * FAULTS_START_TENTHS / 10, total_ms * FAULTS_END_TENTHS / 10);
+        generator.add_events(faults.0, faults.1, MEAN_FAULT_GAP_MS, PlanGenerator::fault_event);
+        generator.steps.sort_by_key(|step| step.at_ms);
         let dispatchers_per_data_centre = if seed.is_multiple_of(2) { 0 } else { 2 };
-        Plan { seed, vms, dispatchers_per_data_centre, seconds, steps: maker.steps }
+        Plan { seed, vms, dispatchers_per_data_centre, seconds, steps: generator.steps }
     }
 
     /// Reads a plan from a file.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the file and what is wrong in it.
+    /// Returns an error that names the file and its invalid field.
     pub fn read(file: &Path, endpoints: usize) -> anyhow::Result<Plan> {
         let json = fs::read(file).with_context(|| file.display().to_string())?;
         let plan: Plan =
@@ -214,10 +224,10 @@
             return Some(format!("vms: {}, seconds: {}: not above 0", self.vms, self.seconds));
         }
         self.steps.iter().enumerate().find_map(|(index, step)| {
-            if step.event.needs_relays() && self.vms > MAX_RELAYED_VMS {
+            if step.event.needs_link_proxies() && self.vms > MAX_PROXIED_VMS {
                 let vms = self.vms;
                 return Some(format!(
-                    "steps[{index}]: links have faults among {MAX_RELAYED_VMS} VMs at most, not {vms}"
+                    "steps[{index}]: link faults need at most {MAX_PROXIED_VMS} VMs, not {vms}"
                 ));
             }
             let vm = step.event.vms().into_iter().find(|vm| *vm >= self.vms);
@@ -231,7 +241,7 @@
 }
 
 impl Event {
-    /// Returns the VMs that it is about.
+    /// Returns the VMs that the event affects.
     pub fn vms(&self) -> Vec<usize> {
         match self {
             Event::Terminate { vm, .. }
@@ -245,56 +255,62 @@
         }
     }
 
-    /// Returns whether it is about the links between VMs.
-    fn needs_relays(&self) -> bool {
+    /// Returns whether the event affects links, which requires proxies on them.
+    fn needs_link_proxies(&self) -> bool {
         matches!(
             self,
             Event::CutOneWay { .. }
                 | Event::CutOff { .. }
                 | Event::CutOffPlatform { .. }
-                | Event::BadLinks { .. }
+                | Event::DegradedLinks { .. }
         )
     }
 
     fn endpoint(&self) -> Option<usize> {
         match self {
             Event::Leave { endpoint, .. }
-            | Event::NameLimit { endpoint, .. }
-            | Event::Sick { endpoint, .. } => Some(*endpoint),
+            | Event::AnnounceRateLimit { endpoint, .. }
+            | Event::EndpointFault { endpoint, .. } => Some(*endpoint),
             _ => None,
         }
     }
 
-    /// Returns how long it disturbs more than planned work does, if it does.
+    /// Returns the duration of a fault, or `None` for a planned event.
     pub fn fault_ms(&self) -> Option<u64> {
         match self {
             Event::Kill { restart_after_ms, .. } => Some(*restart_after_ms),
             Event::Pause { for_ms, .. }
             | Event::CutOneWay { for_ms, .. }
             | Event::CutOff { for_ms, .. }
-            | Event::BadLinks { for_ms, .. }
-            | Event::Sick { for_ms, .. }
+            | Event::DegradedLinks { for_ms, .. }
+            | Event::EndpointFault { for_ms, .. }
             | Event::CrashingRequest { for_ms }
-            | Event::PlatformAway { for_ms, .. } => Some(*for_ms),
+            | Event::PlatformFault { for_ms, .. } => Some(*for_ms),
             Event::Terminate { .. }
             | Event::HangUp { .. }
             | Event::Leave { .. }
-            | Event::NameLimit { .. }
+            | Event::AnnounceRateLimit { .. }
             | Event::CutOffPlatform { .. }
             | Event::PublishInvalid => None,
         }
     }
 }
 
-struct Maker {
+struct PlanGenerator {
     random: Pcg64Mcg,
     vms: usize,
     endpoints: usize,
     steps: Vec<Step>,
 }
 
-impl Maker {
-    fn fill(&mut self, from_ms: u64, to_ms: u64, gap_ms: u64, event: fn(&mut Maker) -> Event) {
+impl PlanGenerator {
+    fn add_events(
+        &mut self,
+        from_ms: u64,
+        to_ms: u64,
+        gap_ms: u64,
+        event: fn(&mut PlanGenerator) -> Event,
+    ) {
         let mut at_ms = from_ms;
         loop {
             at_ms += self.random.random_range(1..2 * gap_ms);
@@ -314,7 +330,7 @@
         self.random.random_range(0..self.endpoints)
     }
 
-    fn planned(&mut self) -> Event {
+    fn planned_event(&mut self) -> Event {
         let vm = self.vm();
         match self.random.random_range(0..13) {
             0..5 => Event::Terminate { vm, restart_after_ms: self.random.random_range(50..2_000) },
@@ -324,10 +340,10 @@
                 for_ms: self.random.random_range(500..20_000),
             },
             9 => Event::PublishInvalid,
-            10 if self.vms <= MAX_RELAYED_VMS => {
+            10 if self.vms <= MAX_PROXIED_VMS => {
                 Event::CutOffPlatform { vm, for_ms: self.random.random_range(8_000..20_000) }
             }
-            _ => Event::NameLimit {
+            _ => Event::AnnounceRateLimit {
                 endpoint: self.endpoint(),
                 tenths_per_second: self.random.random_range(5..50),
                 for_ms: self.random.random_range(8_000..25_000),
@@ -335,16 +351,16 @@
         }
     }
 
-    fn fault(&mut self) -> Event {
+    fn fault_event(&mut self) -> Event {
         loop {
-            let event = self.any_fault();
-            if self.vms <= MAX_RELAYED_VMS || !event.needs_relays() {
+            let event = self.random_fault();
+            if self.vms <= MAX_PROXIED_VMS || !event.needs_link_proxies() {
                 return event;
             }
         }
     }
 
-    fn any_fault(&mut self) -> Event {
+    fn random_fault(&mut self) -> Event {
         let vm = self.vm();
         let for_ms = self.random.random_range(200..5_000);
         match self.random.random_range(0..13) {
@@ -352,27 +368,28 @@
             2..4 => Event::Pause { vm, for_ms },
             4..6 => Event::CutOneWay { from: vm, to: self.vm(), for_ms },
             6 => Event::CutOff { vm, for_ms },
-            7 => Event::BadLinks {
+            7 => Event::DegradedLinks {
                 lost_percent: self.random.random_range(1..30),
                 delay_ms: self.random.random_range(0..50),
                 for_ms,
             },
             12 => Event::CrashingRequest { for_ms: self.random.random_range(3_000..15_000) },
             8..10 => {
-                let how = [
-                    Sickness::Gray,
-                    Sickness::Straggler,
-                    Sickness::Hang,
-                    Sickness::Shed,
-                    Sickness::SilentConnections,
+                let faults = [
+                    EndpointFault::Gray,
+                    EndpointFault::Straggler,
+                    EndpointFault::Hang,
+                    EndpointFault::Shed,
+                    EndpointFault::SilentConnections,
                 ];
-                let how = *how.choose(&mut self.random).unwrap_or(&Sickness::Gray);
-                Event::Sick { endpoint: self.endpoint(), how, for_ms }
+                let fault = *faults.choose(&mut self.random).unwrap_or(&EndpointFault::Gray);
+                Event::EndpointFault { endpoint: self.endpoint(), fault, for_ms }
             }
             _ => {
-                let how = [Absence::Refusing, Absence::Hanging, Absence::Stale];
-                let how = *how.choose(&mut self.random).unwrap_or(&Absence::Refusing);
-                Event::PlatformAway { how, for_ms }
+                let faults =
+                    [PlatformFault::Refusing, PlatformFault::Hanging, PlatformFault::Stale];
+                let fault = *faults.choose(&mut self.random).unwrap_or(&PlatformFault::Refusing);
+                Event::PlatformFault { fault, for_ms }
             }
         }
     }
--- a/crates/pistachiotrack-standins/src/soak/vms.rs
+++ b/crates/pistachiotrack-standins/src/soak/vms.rs
@@ -1,4 +1,4 @@
-//! The VMs' processes: signals from outside, ends, and starts after them.
+//! The VMs' processes: signals, exits and restarts.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -7,21 +7,21 @@
 
 use super::{
     clock::RunClock,
-    oracle::{Process, VersionSeen},
+    oracle::{ObservedVersion, Process},
 };
 use crate::{
-    admin::Admin,
+    admin::AdminClient,
     daemon::{Daemon, DaemonBinary, DaemonSettings},
 };
 
-/// Time between two looks at a process.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two questions for the version in force.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time between two checks of whether a process is running.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between two polls of the active configuration version.
+const VERSION_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The VMs of a run.
 #[derive(Clone, Debug)]
-pub(super) struct Vms {
+pub(super) struct VmProcesses {
     vms: Arc<Vec<Mutex<Vm>>>,
     binary: DaemonBinary,
     clock: RunClock,
@@ -37,18 +37,18 @@
 }
 
 impl Vm {
-    /// Notes that the end of the process that runs now is meant.
-    fn mean_end(&mut self, restart_after: Duration) -> Option<&mut Process> {
+    /// Records that the exit of the current process is expected.
+    fn expect_exit(&mut self, restart_after: Duration) -> Option<&mut Process> {
         self.restart_after = restart_after;
         let process = self.processes.last_mut()?;
-        process.end_was_meant = true;
+        process.exit_expected = true;
         Some(process)
     }
 }
 
-impl Vms {
+impl VmProcesses {
     /// Takes over running daemons, in the order of their VMs.
-    pub(super) fn new(daemons: Vec<Daemon>, binary: DaemonBinary, clock: RunClock) -> Vms {
+    pub(super) fn new(daemons: Vec<Daemon>, binary: DaemonBinary, clock: RunClock) -> VmProcesses {
         let vm = |(index, daemon): (usize, Daemon)| {
             Mutex::new(Vm {
                 settings: daemon.settings().clone(),
@@ -58,49 +58,53 @@
                 restart_due: None,
             })
         };
-        Vms { vms: Arc::new(daemons.into_iter().enumerate().map(vm).collect()), binary, clock }
+        VmProcesses {
+            vms: Arc::new(daemons.into_iter().enumerate().map(vm).collect()),
+            binary,
+            clock,
+        }
     }
 
-    /// Stops a VM gracefully; it starts again `restart_after` its end.
+    /// Stops a VM gracefully; it is restarted `restart_after` its exit.
     pub(super) fn terminate(&self, vm: usize, restart_after: Duration) {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
-        if let Some(process) = vm.mean_end(restart_after) {
-            process.asked_to_stop_ms.get_or_insert(now_ms);
+        if let Some(process) = vm.expect_exit(restart_after) {
+            process.stop_requested_ms.get_or_insert(now_ms);
         }
         vm.daemon.terminate();
     }
 
-    /// Ends a VM at once; it starts again `restart_after` its end.
+    /// Kills a VM; it is restarted `restart_after` its exit.
     pub(super) fn kill(&self, vm: usize, restart_after: Duration) {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
-        if let Some(process) = vm.mean_end(restart_after) {
+        if let Some(process) = vm.expect_exit(restart_after) {
             process.killed_ms.get_or_insert(now_ms);
         }
-        vm.daemon.end_now();
+        vm.daemon.start_kill();
     }
 
-    /// Makes a VM stand still.
+    /// Pauses a VM's process.
     pub(super) fn pause(&self, vm: usize) {
         self.lock(vm).daemon.pause();
     }
 
-    /// Lets a VM go on.
+    /// Resumes a VM's process.
     pub(super) fn resume(&self, vm: usize) {
         self.lock(vm).daemon.resume();
     }
 
-    /// Has a VM read its settings again.
+    /// Sends SIGHUP to a VM, which makes it reload its settings.
     pub(super) fn hang_up(&self, vm: usize) {
         self.lock(vm).daemon.hang_up();
     }
 
-    /// Notes ends and starts VMs again, for as long as it is polled.
+    /// Records exits of a VM and restarts it, until the future is dropped.
     pub(super) async fn supervise(self, vm: usize) {
         loop {
-            tokio::time::sleep(LOOK_INTERVAL).await;
-            let Some(settings) = self.due_to_start(vm) else { continue };
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let Some(settings) = self.poll_restart(vm) else { continue };
             let started_ms = self.clock.now_ms();
             let Ok(daemon) = self.binary.start(settings).await else { continue };
             let mut state = self.lock(vm);
@@ -111,8 +115,8 @@
         }
     }
 
-    /// Notes the end of a process; returns the settings once its start is due.
-    fn due_to_start(&self, vm: usize) -> Option<DaemonSettings> {
+    /// Records the exit of a process; returns the settings once the restart is due.
+    fn poll_restart(&self, vm: usize) -> Option<DaemonSettings> {
         let now_ms = self.clock.now_ms();
         let mut vm = self.lock(vm);
         if vm.daemon.is_running() {
@@ -126,11 +130,11 @@
         (Instant::now() >= due).then(|| vm.settings.clone())
     }
 
-    /// Asks a VM for the version in force again and again, for as long as it is polled.
-    pub(super) async fn watch_version(self, vm: usize, seen: Arc<Mutex<Vec<VersionSeen>>>) {
-        let admin = Admin::default();
+    /// Polls a VM's active configuration version until the future is dropped.
+    pub(super) async fn watch_version(self, vm: usize, seen: Arc<Mutex<Vec<ObservedVersion>>>) {
+        let admin = AdminClient::default();
         loop {
-            tokio::time::sleep(ASK_INTERVAL).await;
+            tokio::time::sleep(VERSION_POLL_INTERVAL).await;
             let (address, process) = self.address_and_process(vm);
             let Ok(status) = admin.status(address).await else { continue };
             if self.address_and_process(vm).1 != process {
@@ -139,7 +143,7 @@
             let at_ms = self.clock.now_ms();
             let version = status.config_version;
             let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-            seen.push(VersionSeen { at_ms, vm, process, version });
+            seen.push(ObservedVersion { at_ms, vm, process, version });
         }
     }
 
@@ -148,12 +152,12 @@
         (vm.settings.admin_address, vm.processes.len() as u32 - 1)
     }
 
-    /// Returns the processes so far.
+    /// Returns all processes started so far.
     pub(super) fn processes(&self) -> Vec<Process> {
         (0..self.vms.len()).flat_map(|vm| self.lock(vm).processes.clone()).collect()
     }
 
-    /// Returns the number of descriptors that the process of each VM has open.
+    /// Returns the number of open file descriptors of each VM's process.
     pub(super) fn descriptors(&self) -> Vec<usize> {
         (0..self.vms.len()).filter_map(|vm| self.lock(vm).daemon.descriptors()).collect()
     }
@@ -168,9 +172,9 @@
         vm,
         number,
         started_ms,
-        asked_to_stop_ms: None,
+        stop_requested_ms: None,
         killed_ms: None,
         ended_ms: None,
-        end_was_meant: false,
+        exit_expected: false,
     }
 }
--- a/crates/pistachiotrack-standins/src/summary.rs
+++ b/crates/pistachiotrack-standins/src/summary.rs
@@ -1,12 +1,12 @@
-//! What a run's requests came to, checked against what was really run.
+//! Counts of a run's requests, checked against the recorded executions.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
 use crate::{
-    caller::{Ending, Sample},
-    ledger::Ledger,
+    caller::{RequestOutcome, Sample},
+    execution_counter::ExecutionCounter,
 };
 
 /// Counts of a run's requests.
@@ -14,7 +14,7 @@
 pub struct Counts {
     /// Requests sent.
     pub requests: u64,
-    /// Whole answers with success.
+    /// Complete and successful answers.
     pub ok: u64,
     /// Failures answered by endpoints.
     pub endpoint_failed: u64,
@@ -24,14 +24,14 @@
     pub unknown: u64,
     /// Requests for which no VM could be connected to.
     pub no_vm: u64,
-    /// Requests that got neither a whole answer nor a refusal, and successes
-    /// that no endpoint ran.
+    /// Requests with neither a complete answer nor a refusal, and successes that no endpoint
+    /// ran.
     pub lost: u64,
-    /// Requests not to be repeated that ran more than once.
+    /// Non-idempotent requests that ran more than once.
     pub doubled: u64,
-    /// Whole answers that belong to another request.
+    /// Complete answers that belong to another request.
     pub wrong_answer: u64,
-    /// Refusals that wrongly say the request was not run.
+    /// Refusals that say the request was not run although it ran.
     pub false_not_run: u64,
     /// Refused and lost requests by reason.
     pub reasons: BTreeMap<String, u64>,
@@ -39,10 +39,10 @@
 
 impl Counts {
     /// Counts the samples of one deployment.
-    pub fn of(samples: &[Sample], ledger: &Ledger) -> Counts {
+    pub fn of(samples: &[Sample], execution_counter: &ExecutionCounter) -> Counts {
         let mut counts = Counts::default();
         for sample in samples {
-            counts.add(sample, ledger.executions(sample.id));
+            counts.add(sample, execution_counter.executions(sample.id));
         }
         counts
     }
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Returns whether nothing was lost, doubled, wrongly answered or wrongly
-    /// called not run.
+    /// Returns whether no request was lost, run twice, answered with another request's answer
+    /// or wrongly reported as not run.
     pub fn is_clean(&self) -> bool {
         self.lost + self.doubled + self.wrong_answer + self.false_not_run == 0
     }
 
-    /// Returns the share of requests that ended in success.
+    /// Returns the share of requests that succeeded.
     pub fn goodput(&self) -> f64 {
         self.ok as f64 / self.requests.max(1) as f64
     }
@@ -80,17 +80,17 @@
         if sample.non_idempotent && executions > 1 {
             self.doubled += 1;
         }
-        match sample.ending {
-            Ending::Ok if executions == 0 => self.lost += 1,
-            Ending::Ok => self.ok += 1,
-            Ending::Failed => self.endpoint_failed += 1,
-            Ending::WrongAnswer => self.wrong_answer += 1,
-            Ending::RefusedNotRun => self.refused_not_run += 1,
-            Ending::Unknown => self.unknown += 1,
-            Ending::NoVm => self.no_vm += 1,
-            Ending::Lost => self.lost += 1,
+        match sample.outcome {
+            RequestOutcome::Ok if executions == 0 => self.lost += 1,
+            RequestOutcome::Ok => self.ok += 1,
+            RequestOutcome::Failed => self.endpoint_failed += 1,
+            RequestOutcome::WrongAnswer => self.wrong_answer += 1,
+            RequestOutcome::RefusedNotRun => self.refused_not_run += 1,
+            RequestOutcome::Unknown => self.unknown += 1,
+            RequestOutcome::NoVm => self.no_vm += 1,
+            RequestOutcome::Lost => self.lost += 1,
         }
-        if sample.ending == Ending::RefusedNotRun && executions > 0 {
+        if sample.outcome == RequestOutcome::RefusedNotRun && executions > 0 {
             self.false_not_run += 1;
         }
         if let Some(reason) = &sample.reason {
@@ -99,29 +99,33 @@
     }
 }
 
-/// Percentiles of the time that the way to the endpoint and back adds.
+/// Percentiles of the latency added between the caller and the endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Added {
+pub struct AddedLatency {
     /// Median.
     pub p50_ms: f64,
     /// 99th percentile.
     pub p99_ms: f64,
 }
 
-impl Added {
-    /// Takes the time at the caller minus the endpoint's own, of all successes.
-    pub fn of<'a>(samples: impl IntoIterator<Item = &'a Sample>) -> Added {
+impl AddedLatency {
+    /// Computes the percentiles of the caller's latency minus the endpoint's service time, over
+    /// all successful requests.
+    pub fn of<'a>(samples: impl IntoIterator<Item = &'a Sample>) -> AddedLatency {
         let mut added_us: Vec<u64> = samples
             .into_iter()
-            .filter(|sample| sample.ending == Ending::Ok)
+            .filter(|sample| sample.outcome == RequestOutcome::Ok)
             .filter_map(|sample| Some(sample.latency_us.saturating_sub(sample.service_us?)))
             .collect();
         added_us.sort_unstable();
-        Added { p50_ms: percentile_ms(&added_us, 0.5), p99_ms: percentile_ms(&added_us, 0.99) }
+        AddedLatency {
+            p50_ms: percentile_ms(&added_us, 0.5),
+            p99_ms: percentile_ms(&added_us, 0.99),
+        }
     }
 }
 
-/// Returns a percentile of sorted microseconds in milliseconds, by nearest rank.
+/// Returns the nearest-rank percentile of sorted microseconds, in milliseconds.
 pub fn percentile_ms(sorted_us: &[u64], share: f64) -> f64 {
     let rank = (share * sorted_us.len() as f64).ceil() as usize;
     let value_us = sorted_us.get(rank.saturating_sub(1)).copied().unwrap_or(0);
--- a/crates/pistachiotrack-standins/src/workload.rs
+++ b/crates/pistachiotrack-standins/src/workload.rs
@@ -1,24 +1,24 @@
-//! What the callers of the two deployments ask for.
+//! Workloads of the two example deployments.
 
 use pistachiotrack_core::{config::Config, request::Class};
 
 use crate::caller::Operation;
 
-/// The work of one service.
+/// Workload of one service.
 #[derive(Clone, Debug)]
 pub struct ServiceWork {
     /// The service.
     pub service: &'static str,
-    /// Median time of a piece of work.
+    /// Median service time.
     pub median_ms: f64,
-    /// The kinds of requests, with their shares of the service's load.
+    /// Operations with their shares of the service's load.
     pub mix: &'static [(f64, Operation)],
 }
 
-/// Spread of the logarithm of the time that work takes.
+/// Standard deviation of the logarithm of the service time.
 pub const SIGMA: f64 = 0.3;
 
-/// The deployment of the court interpreters' rosters.
+/// Workload of the court interpreters' roster deployment.
 pub const TLMOCNIK: &[ServiceWork] = &[
     ServiceWork {
         service: "availability-calendar",
@@ -39,12 +39,12 @@
         median_ms: 30.0,
         mix: &[
             (0.8, lookup("tlmocnik", "interpreter-register", "/interpreters/sk-uk", 2_500)),
-            (0.2, pull("interpreters", "interpreter-register", "/interpreters/all")),
+            (0.2, batch_lookup("interpreters", "interpreter-register", "/interpreters/all")),
         ],
     },
 ];
 
-/// The deployment of the job centres' meetings.
+/// Workload of the job centres' meeting deployment.
 pub const TIMELITEN: &[ServiceWork] = &[
     ServiceWork {
         service: "slot-search",
@@ -64,7 +64,7 @@
         median_ms: 30.0,
         mix: &[
             (0.6, lookup("timeliten", "centre-calendars", "/calendars/majorstuen", 2_000)),
-            (0.4, pull("job-centres", "centre-calendars", "/calendars/all")),
+            (0.4, batch_lookup("job-centres", "centre-calendars", "/calendars/all")),
         ],
     },
 ];
@@ -92,12 +92,16 @@
     Operation { method: "POST", non_idempotent: true, ..lookup }
 }
 
-const fn pull(customer: &'static str, service: &'static str, path: &'static str) -> Operation {
+const fn batch_lookup(
+    customer: &'static str,
+    service: &'static str,
+    path: &'static str,
+) -> Operation {
     let lookup = lookup(customer, service, path, 10_000);
     Operation { class: Class::Batch, ..lookup }
 }
 
-/// Returns the operations with rates that use `load` of the slots, from 0 to 1.
+/// Returns the operations with rates that occupy the share `load` of the slots, from 0 to 1.
 pub fn operations(work: &[ServiceWork], config: &Config, load: f64) -> Vec<Operation> {
     work.iter()
         .flat_map(|work| {
@@ -110,7 +114,7 @@
         .collect()
 }
 
-/// Returns the requests a second that keep all slots of a service busy.
+/// Returns the requests per second that keep all slots of a service busy.
 fn capacity_per_s(work: &ServiceWork, config: &Config) -> f64 {
     let slots: u32 = config
         .service(work.service)
