--- a/crates/pistachiotrackd/src/admin.rs
+++ b/crates/pistachiotrackd/src/admin.rs
@@ -35,9 +35,9 @@
         "/members" => answer::json(&members(&context)),
         "/quarantine" => answer::json(&context.quarantine.statuses()),
         "/metrics" => metrics(&context, &fleet).await,
-        "/histograms" => answer::json(&context.total.statuses()),
-        "/histograms/added" => answer::json(&context.added.statuses()),
-        "/histograms/queued" => answer::json(&context.queued.statuses()),
+        "/histograms" => answer::json(&context.total_latency.statuses()),
+        "/histograms/added" => answer::json(&context.added_latency.statuses()),
+        "/histograms/queued" => answer::json(&context.queue_latency.statuses()),
         _ => answer::plain(StatusCode::NOT_FOUND),
     })
 }
@@ -68,7 +68,7 @@
     Status {
         vm: context.me.name.clone(),
         data_centre: context.me.data_centre.clone(),
-        state: Name::from(context.life_state().as_str()),
+        state: Name::from(context.lifecycle_state().as_str()),
         deployment: context.settings.deployment.clone(),
         config_version: view.active.as_ref().map(|active| active.config.version),
         config_error: config.error,
--- a/crates/pistachiotrackd/src/connection.rs
+++ b/crates/pistachiotrackd/src/connection.rs
@@ -158,7 +158,8 @@
         give_up: Time,
     ) -> Result<Connection, ConnectError> {
         let stream = self.connect_within(address, give_up.since(self.clock.now())).await?;
-        socket::guard_outgoing(&stream).map_err(|source| ConnectError::Io { address, source })?;
+        socket::configure_outgoing(&stream)
+            .map_err(|source| ConnectError::Io { address, source })?;
         let guard = ExchangeGuard::new(self.clock, self.gate.clone());
         let stream = GuardedStream::new(stream, Arc::clone(&guard));
         let (sender, driver) = http1::Builder::new()
--- a/crates/pistachiotrackd/src/context.rs
+++ b/crates/pistachiotrackd/src/context.rs
@@ -11,12 +11,13 @@
 use crate::{
     clock::Clock, connection_pool::ConnectionPool, dialect::Dialect, forward_record::ForwardRecord,
     histogram::Histograms, metrics::Metrics, quarantine::QuarantineGate, settings::Settings,
-    shard_table::ShardTable, source::Source, timer::PauseGate, traffic::Traffic, view::FleetView,
+    shard_table::ShardTable, source::ConfigSource, timer::PauseGate, traffic::Traffic,
+    view::FleetView,
 };
 
 /// State of the daemon's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LifeState {
+pub(crate) enum LifecycleState {
     /// There is no configuration yet.
     Starting,
     /// Requests are served.
@@ -25,13 +26,13 @@
     Leaving,
 }
 
-impl LifeState {
+impl LifecycleState {
     /// Returns the name shown at the admin port.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            LifeState::Starting => "starting",
-            LifeState::Serving => "serving",
-            LifeState::Leaving => "leaving",
+            LifecycleState::Starting => "starting",
+            LifecycleState::Serving => "serving",
+            LifecycleState::Leaving => "leaving",
         }
     }
 }
@@ -68,13 +69,13 @@
     /// What this VM says to and hears from others.
     pub(crate) traffic: Arc<Traffic>,
     /// Time for which a request waits before it is sent to an endpoint for the first time.
-    pub(crate) queued: Histograms,
+    pub(crate) queue_latency: Histograms,
     /// Where configurations come from; the platform's own service where it is missing.
-    pub(crate) source: Option<Arc<dyn Source>>,
+    pub(crate) source: Option<Arc<dyn ConfigSource>>,
     /// Time from a request's arrival to its answer's head.
-    pub(crate) total: Histograms,
+    pub(crate) total_latency: Histograms,
     /// The part of that time which no endpoint had a hand in.
-    pub(crate) added: Histograms,
+    pub(crate) added_latency: Histograms,
     /// Number of the next request.
     pub(crate) next_request: AtomicU64,
 }
@@ -96,13 +97,13 @@
     }
 
     /// Returns the state of the life cycle.
-    pub(crate) fn life_state(&self) -> LifeState {
+    pub(crate) fn lifecycle_state(&self) -> LifecycleState {
         if *self.leaving.borrow() {
-            return LifeState::Leaving;
+            return LifecycleState::Leaving;
         }
         match self.view.borrow().active {
-            Some(_) => LifeState::Serving,
-            None => LifeState::Starting,
+            Some(_) => LifecycleState::Serving,
+            None => LifecycleState::Starting,
         }
     }
 }
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -31,19 +31,19 @@
     context::Context,
     dialect::{Dialect, OwnDialect},
     entries,
-    fleet::{Fleet, FleetArgs, Leave, NewSeeds, TICK_INTERVAL},
+    fleet::{Fleet, FleetArgs, Leave, SetSeeds, TICK_INTERVAL},
     forward_record::ForwardRecord,
     histogram::Histograms,
     listener::Listener,
     metrics::Metrics,
-    news_link::NewsLink,
     path_check::PathCheck,
     peer_service, proxy,
     quarantine::{QuarantineGate, QuarantineLink, QuarantineRounds},
     settings::{Settings, SettingsFile},
     shard_table::{ShardTable, ShardTableArgs},
-    source::Source,
-    timer::{PauseGate, SubscribeSlowly, TimerArgs, TimerService},
+    shard_update_link::ShardUpdateLink,
+    source::ConfigSource,
+    timer::{PauseGate, SubscribeWithInterval, TimerArgs, TimerService},
     traffic::Traffic,
     udp,
     view::FleetView,
@@ -81,7 +81,7 @@
     pub dialect: Arc<dyn Dialect>,
     /// Where configurations come from; the platform's own service where it is
     /// missing.
-    pub source: Option<Arc<dyn Source>>,
+    pub source: Option<Arc<dyn ConfigSource>>,
 }
 
 impl Default for Adapter {
@@ -153,7 +153,7 @@
         let traffic = Arc::new(Traffic::default());
         let path_check = PathCheck::new(me.clone(), view.clone());
         let socket = Arc::new(sockets.membership);
-        let news = Arc::new(NewsLink::new(
+        let news = Arc::new(ShardUpdateLink::new(
             me.clone(),
             &settings.deployment,
             clock,
@@ -198,10 +198,10 @@
             quarantine: Arc::clone(&quarantine),
             metrics,
             traffic: Arc::clone(&traffic),
-            queued: Histograms::default(),
+            queue_latency: Histograms::default(),
             source: adapter.source,
-            total: Histograms::default(),
-            added: Histograms::default(),
+            total_latency: Histograms::default(),
+            added_latency: Histograms::default(),
             next_request: AtomicU64::new(1),
             dialect: adapter.dialect,
             settings,
@@ -216,14 +216,19 @@
         let fleet = Fleet::spawn_with_mailbox(fleet_args, mailbox::unbounded());
         // The timer service has just been started.
         let _ = timer
-            .tell(SubscribeSlowly { recipient: fleet.clone().recipient(), interval: TICK_INTERVAL })
+            .tell(SubscribeWithInterval {
+                recipient: fleet.clone().recipient(),
+                interval: TICK_INTERVAL,
+            })
             .try_send();
         let interval = Duration::from_millis(context.settings.quarantine.round_ms);
         let rounds = QuarantineRounds::spawn_with_mailbox(
             QuarantineRounds(quarantine),
             mailbox::unbounded(),
         );
-        let _ = timer.tell(SubscribeSlowly { recipient: rounds.recipient(), interval }).try_send();
+        let _ = timer
+            .tell(SubscribeWithInterval { recipient: rounds.recipient(), interval })
+            .try_send();
         tokio::spawn(udp::receive(socket, fleet.clone(), Arc::clone(&context), news));
         let admin_address = local_address("admin_address", &sockets.admin)?;
         let readiness_address = optional_address("readiness_address", &sockets.readiness)?;
@@ -382,7 +387,7 @@
                 log::info!("event=settings_changed asked={asked}");
                 let seeds = settings.seeds(self.peer_address().port());
                 // The fleet actor stops only with the process.
-                let _ = self.fleet.tell(NewSeeds(seeds)).try_send();
+                let _ = self.fleet.tell(SetSeeds(seeds)).try_send();
             }
             Ok(None) if asked => log::info!("event=settings_unchanged"),
             Ok(None) => {}
--- a/crates/pistachiotrackd/src/entries.rs
+++ b/crates/pistachiotrackd/src/entries.rs
@@ -13,7 +13,7 @@
 use crate::{
     answer,
     body::AnswerBody,
-    context::{Context, LifeState},
+    context::{Context, LifecycleState},
     dialect::OwnDialect,
     headers,
 };
@@ -88,8 +88,8 @@
     context: Arc<Context>,
     _: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
-    Ok(answer::plain(match context.life_state() {
-        LifeState::Serving => StatusCode::OK,
-        LifeState::Starting | LifeState::Leaving => StatusCode::SERVICE_UNAVAILABLE,
+    Ok(answer::plain(match context.lifecycle_state() {
+        LifecycleState::Serving => StatusCode::OK,
+        LifecycleState::Starting | LifecycleState::Leaving => StatusCode::SERVICE_UNAVAILABLE,
     }))
 }
--- a/crates/pistachiotrackd/src/exposition.rs
+++ b/crates/pistachiotrackd/src/exposition.rs
@@ -60,9 +60,9 @@
             "Part of it in which no endpoint had a hand",
             "Time until a request is first sent to an endpoint",
         ];
-        latencies(&mut encoder, "latency_us", total, context.total.statuses())?;
-        latencies(&mut encoder, "added_latency_us", added, context.added.statuses())?;
-        latencies(&mut encoder, "queued_us", queued, context.queued.statuses())
+        latencies(&mut encoder, "latency_us", total, context.total_latency.statuses())?;
+        latencies(&mut encoder, "added_latency_us", added, context.added_latency.statuses())?;
+        latencies(&mut encoder, "queued_us", queued, context.queue_latency.statuses())
     }
 }
 
--- a/crates/pistachiotrackd/src/fleet.rs
+++ b/crates/pistachiotrackd/src/fleet.rs
@@ -42,9 +42,9 @@
     platform::Platform,
     shard_actor::{NewConfig, Retire},
     shard_table::shard_name,
-    source::{Published, Source as ConfigSource, SourceError},
+    source::{ConfigSource, PublishedConfig, SourceError},
     timer::TimerEvent,
-    traffic::{Place, Topic},
+    traffic::{Locality, Topic},
     udp,
     view::{ActiveConfig, FleetView},
 };
@@ -121,7 +121,11 @@
         let source = context.source.clone().unwrap_or_else(|| {
             let platform = Platform::new(settings, Arc::clone(&context.traffic));
             let list_reads = ListReadSchedule::new(sync_settings.clone(), seed);
-            tokio::spawn(platform.clone().keep_vms(actor_ref.clone(), is_watching, list_reads));
+            tokio::spawn(platform.clone().maintain_vm_list(
+                actor_ref.clone(),
+                is_watching,
+                list_reads,
+            ));
             Arc::new(platform)
         });
         Ok(Fleet {
@@ -180,20 +184,24 @@
 }
 
 /// The platform's answer to a watch of the configuration.
-pub(crate) struct PlatformValue(pub(crate) Result<Option<Published>, SourceError>);
+pub(crate) struct SourceResponse(pub(crate) Result<Option<PublishedConfig>, SourceError>);
 
-impl Message<PlatformValue> for Fleet {
+impl Message<SourceResponse> for Fleet {
     type Reply = ();
 
-    async fn handle(&mut self, message: PlatformValue, _: &mut MessageContext<Self, ()>) {
+    async fn handle(&mut self, message: SourceResponse, _: &mut MessageContext<Self, ()>) {
         let now = self.context.clock.now();
         self.watching.send_replace(false);
         match message.0 {
             Ok(value) => {
                 self.membership.on_platform_response(now);
                 let actions = match value {
-                    Some(Published::Made(config)) => self.sync.on_platform_config(now, *config),
-                    Some(Published::Value(value)) => self.sync.on_platform_value(now, Some(&value)),
+                    Some(PublishedConfig::Assembled(config)) => {
+                        self.sync.on_platform_config(now, *config)
+                    }
+                    Some(PublishedConfig::Encoded(value)) => {
+                        self.sync.on_platform_value(now, Some(&value))
+                    }
                     None => self.sync.on_platform_value(now, None),
                 };
                 self.apply_config(now, actions);
@@ -210,12 +218,12 @@
 }
 
 /// The platform's list of VMs.
-pub(crate) struct VmsListed(pub(crate) VmList);
+pub(crate) struct VmListReceived(pub(crate) VmList);
 
-impl Message<VmsListed> for Fleet {
+impl Message<VmListReceived> for Fleet {
     type Reply = ();
 
-    async fn handle(&mut self, message: VmsListed, _: &mut MessageContext<Self, ()>) {
+    async fn handle(&mut self, message: VmListReceived, _: &mut MessageContext<Self, ()>) {
         let now = self.context.clock.now();
         let me = &self.context.me.name;
         let others = message.0.vms.iter().filter(|vm| vm.name != *me).count();
@@ -229,26 +237,26 @@
 }
 
 /// Changes the addresses of VMs that may know the fleet.
-pub(crate) struct NewSeeds(pub(crate) Vec<SocketAddr>);
+pub(crate) struct SetSeeds(pub(crate) Vec<SocketAddr>);
 
-impl Message<NewSeeds> for Fleet {
+impl Message<SetSeeds> for Fleet {
     type Reply = ();
 
-    async fn handle(&mut self, message: NewSeeds, _: &mut MessageContext<Self, ()>) {
+    async fn handle(&mut self, message: SetSeeds, _: &mut MessageContext<Self, ()>) {
         self.membership.set_seeds(message.0);
     }
 }
 
 /// Answers another VM that asks for a newer configuration; `None` if its
 /// question can't be decoded.
-pub(crate) struct AnswerPull(pub(crate) Bytes);
+pub(crate) struct HandlePull(pub(crate) Bytes);
 
-impl Message<AnswerPull> for Fleet {
+impl Message<HandlePull> for Fleet {
     type Reply = Option<Vec<u8>>;
 
     async fn handle(
         &mut self,
-        message: AnswerPull,
+        message: HandlePull,
         _: &mut MessageContext<Self, Self::Reply>,
     ) -> Option<Vec<u8>> {
         self.sync.handle_pull(self.context.clock.now(), &message.0).ok()
@@ -256,17 +264,17 @@
 }
 
 /// Another VM's answer about the configuration; `None` if none came.
-pub(crate) struct Pulled {
+pub(crate) struct PullFinished {
     /// The VM that was asked.
     pub(crate) vm: Name,
     /// Its encoded answer.
     pub(crate) answer: Option<Bytes>,
 }
 
-impl Message<Pulled> for Fleet {
+impl Message<PullFinished> for Fleet {
     type Reply = ();
 
-    async fn handle(&mut self, message: Pulled, _: &mut MessageContext<Self, ()>) {
+    async fn handle(&mut self, message: PullFinished, _: &mut MessageContext<Self, ()>) {
         let now = self.context.clock.now();
         let actions = self.sync.on_pull_response(now, &message.vm, message.answer.as_deref());
         self.apply_config(now, actions);
@@ -295,7 +303,7 @@
         for action in actions {
             match action {
                 MembershipAction::Send { to, bytes } => {
-                    let place = self.context.view.borrow().place(to);
+                    let place = self.context.view.borrow().locality(to);
                     let about = (Topic::Membership, place);
                     udp::send(&self.socket, to, &bytes, &self.context.traffic, about);
                 }
@@ -367,10 +375,11 @@
     fn pull(&self, vm: Vm, question: Vec<u8>) {
         let Some(fleet) = self.actor_ref.upgrade() else { return };
         let traffic = Arc::clone(&self.context.traffic);
-        let place = Place::of(&vm.data_centre, &self.context.me.data_centre);
+        let place = Locality::of(&vm.data_centre, &self.context.me.data_centre);
         tokio::spawn(async move {
             traffic.sent(Topic::Configuration, place, question.len());
-            let answer = peer_client::ask(vm.peer_address, CONFIG_PATH, question, PULL_TIMEOUT);
+            let answer =
+                peer_client::send_request(vm.peer_address, CONFIG_PATH, question, PULL_TIMEOUT);
             let answer = answer
                 .await
                 .inspect(|answer| traffic.received(Topic::Configuration, place, answer.len()))
@@ -380,7 +389,7 @@
                 })
                 .ok();
             // The fleet actor stops only with the process.
-            let _ = fleet.tell(Pulled { vm: vm.name, answer }).try_send();
+            let _ = fleet.tell(PullFinished { vm: vm.name, answer }).try_send();
         });
     }
 
@@ -395,7 +404,7 @@
         self.replace_watch(tokio::spawn(async move {
             let value = source.config(after, wait).await;
             // The fleet actor stops only with the process.
-            let _ = fleet.tell(PlatformValue(value)).try_send();
+            let _ = fleet.tell(SourceResponse(value)).try_send();
         }));
     }
 
@@ -409,7 +418,7 @@
     fn put_in_force(&mut self, now: Time, config: Arc<Config>) {
         log::info!("event=config_in_force version={} rules={}", config.version, config.rules.len());
         self.membership.set_config_version(config.version);
-        self.source.on_in_force(&config);
+        self.source.on_active_config(&config);
         for (_, shard) in self.context.shards.running() {
             // A shard whose actor has stopped starts anew with this one.
             let _ = shard.tell(NewConfig(Arc::clone(&config))).try_send();
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -22,7 +22,7 @@
     metrics::Event,
     peer_word::{PeerAnswer, PeerWord, RefusalWord},
     request_task::Served,
-    traffic::{Place, Topic},
+    traffic::{Locality, Topic},
 };
 
 /// Time after the deadline for which the owner's own refusal is waited for.
@@ -209,7 +209,7 @@
             give_up: GiveUp::default(),
         };
         let head = request_head(context, inbound);
-        let place = Place::of(&owner.data_centre, &context.me.data_centre);
+        let place = Locality::of(&owner.data_centre, &context.me.data_centre);
         context.traffic.sent(Topic::Forwarded, place, inbound.body.known_bytes());
         let ended = exchange::run(&context.peers, context.clock, target, head, &inbound.body).await;
         let mut answer = match ended {
--- a/crates/pistachiotrackd/src/guarded_stream.rs
+++ b/crates/pistachiotrackd/src/guarded_stream.rs
@@ -80,7 +80,7 @@
         }
         let now = self.clock.now();
         let too_late = now.as_micros() > self.not_after_us.load(Ordering::Acquire);
-        if too_late || self.gate.is_shut(now) {
+        if too_late || self.gate.is_closed(now) {
             self.held_back.store(true, Ordering::Release);
             return Err(io::Error::other("too late to send"));
         }
--- a/crates/pistachiotrackd/src/hand_over.rs
+++ b/crates/pistachiotrackd/src/hand_over.rs
@@ -27,7 +27,12 @@
         }
     };
     for tries in 1..=TRIES {
-        let sent = peer_client::ask(to.peer_address, HAND_OVER_PATH, message.clone(), TRY_TIMEOUT);
+        let sent = peer_client::send_request(
+            to.peer_address,
+            HAND_OVER_PATH,
+            message.clone(),
+            TRY_TIMEOUT,
+        );
         match sent.await {
             Ok(_) => {
                 log::info!("event=hand_over_sent shard={shard} to={} tries={tries}", to.name);
--- a/crates/pistachiotrackd/src/http_call.rs
+++ b/crates/pistachiotrackd/src/http_call.rs
@@ -95,7 +95,7 @@
     request: Request<Full<Bytes>>,
 ) -> Result<(Response<Incoming>, AbortOnDrop), CallError> {
     let stream = TcpStream::connect(address).await?;
-    socket::guard_outgoing(&stream)?;
+    socket::configure_outgoing(&stream)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = tokio::spawn(connection);
     let closes = AbortOnDrop(connection.abort_handle());
--- a/crates/pistachiotrackd/src/listener.rs
+++ b/crates/pistachiotrackd/src/listener.rs
@@ -59,7 +59,7 @@
                 }
             };
             let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
-                context.metrics.count(Event::ConnectionTurnedAway);
+                context.metrics.count(Event::ConnectionRejected);
                 continue;
             };
             let context = Arc::clone(&context);
@@ -79,7 +79,7 @@
     H: Fn(Arc<Context>, Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Result<Response<AnswerBody>, Infallible>> + Send + 'static,
 {
-    if let Err(error) = socket::guard_incoming(&stream) {
+    if let Err(error) = socket::configure_incoming(&stream) {
         log::debug!("event=connection_ended error={:?}", error.to_string());
         return;
     }
--- a/crates/pistachiotrackd/src/main.rs
+++ b/crates/pistachiotrackd/src/main.rs
@@ -13,7 +13,9 @@
         Ok(Command::Help) => print!("{}", cli::HELP),
         Ok(Command::Version) => println!("pistachiotrackd {}", env!("CARGO_PKG_VERSION")),
         Ok(Command::Check { settings }) => {
-            return process::read(&settings).map_or_else(|code| code, |_| ExitCode::Success).into();
+            return process::read_settings(&settings)
+                .map_or_else(|code| code, |_| ExitCode::Success)
+                .into();
         }
         Ok(Command::Run { settings }) => {
             return process::run(&settings, |_| Adapter::default()).into();
--- a/crates/pistachiotrackd/src/metrics.rs
+++ b/crates/pistachiotrackd/src/metrics.rs
@@ -44,12 +44,12 @@
     /// A health check was sent.
     Probe,
     /// A connection was turned away because too many are open.
-    ConnectionTurnedAway,
+    ConnectionRejected,
     /// A configuration was read and not accepted.
     ConfigRejected,
     /// A datagram of another dispatcher was of another version or deployment, or couldn't
     /// be read.
-    NewsUnused,
+    ShardDatagramDropped,
     /// An endpoint broke a request's connection and takes no new ones.
     EndpointCrash,
 }
@@ -68,9 +68,9 @@
         Event::Dispatch,
         Event::HeldBack,
         Event::Probe,
-        Event::ConnectionTurnedAway,
+        Event::ConnectionRejected,
         Event::ConfigRejected,
-        Event::NewsUnused,
+        Event::ShardDatagramDropped,
         Event::EndpointCrash,
     ];
 
@@ -88,9 +88,9 @@
             Event::Dispatch => "dispatches",
             Event::HeldBack => "held_back",
             Event::Probe => "probes",
-            Event::ConnectionTurnedAway => "connections_turned_away",
+            Event::ConnectionRejected => "connections_turned_away",
             Event::ConfigRejected => "configs_rejected",
-            Event::NewsUnused => "news_unused",
+            Event::ShardDatagramDropped => "news_unused",
             Event::EndpointCrash => "endpoint_crashes",
         }
     }
--- a/crates/pistachiotrackd/src/path_check.rs
+++ b/crates/pistachiotrackd/src/path_check.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     peer_client,
-    peer_message::{REACH_PATH, ReachAnswer, ReachQuestion},
+    peer_message::{REACH_PATH, ReachRequest, ReachResponse},
     view::FleetView,
 };
 
@@ -38,7 +38,7 @@
     /// Asks the witnesses and returns what they say, together with the first of
     /// them that reaches the endpoint, if one does.
     pub(crate) async fn ask(&self, endpoint: Name, address: SocketAddr) -> (PathAnswer, Vec<Name>) {
-        let Ok(question) = postcard::to_stdvec(&ReachQuestion { endpoint, address }) else {
+        let Ok(question) = postcard::to_stdvec(&ReachRequest { endpoint, address }) else {
             return (PathAnswer::NoAnswer, Vec::new());
         };
         let mut asked: FuturesUnordered<_> = self
@@ -52,9 +52,11 @@
         let mut answer = PathAnswer::NoAnswer;
         while let Some((reply, witness)) = asked.next().await {
             match reply {
-                Some(ReachAnswer::Reached) => return (PathAnswer::ReachedByOthers, vec![witness]),
-                Some(ReachAnswer::Unreachable) => answer = PathAnswer::UnreachableByOthers,
-                Some(ReachAnswer::Unknown) | None => {}
+                Some(ReachResponse::Reached) => {
+                    return (PathAnswer::ReachedByOthers, vec![witness]);
+                }
+                Some(ReachResponse::Unreachable) => answer = PathAnswer::UnreachableByOthers,
+                Some(ReachResponse::Unknown) | None => {}
             }
         }
         (answer, Vec::new())
@@ -81,7 +83,8 @@
     }
 }
 
-async fn ask_one(vm: &Vm, question: Vec<u8>) -> Option<ReachAnswer> {
-    let answer = peer_client::ask(vm.peer_address, REACH_PATH, question, ASK_TIMEOUT).await;
+async fn ask_one(vm: &Vm, question: Vec<u8>) -> Option<ReachResponse> {
+    let answer =
+        peer_client::send_request(vm.peer_address, REACH_PATH, question, ASK_TIMEOUT).await;
     postcard::from_bytes(&answer.ok()?).ok()
 }
--- a/crates/pistachiotrackd/src/peer_client.rs
+++ b/crates/pistachiotrackd/src/peer_client.rs
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// Returns an error if no whole answer comes within `timeout`.
-pub(crate) async fn ask(
+pub(crate) async fn send_request(
     peer: SocketAddr,
     path: &str,
     question: Vec<u8>,
--- a/crates/pistachiotrackd/src/peer_message.rs
+++ b/crates/pistachiotrackd/src/peer_message.rs
@@ -17,7 +17,7 @@
 
 /// Asks whether the VM reaches an endpoint of the configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct ReachQuestion {
+pub(crate) struct ReachRequest {
     /// Name of the endpoint.
     pub(crate) endpoint: Name,
     /// Address of the endpoint.
@@ -26,7 +26,7 @@
 
 /// Whether the VM reaches the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum ReachAnswer {
+pub(crate) enum ReachResponse {
     /// A connection opened.
     Reached,
     /// No connection opened in time.
--- a/crates/pistachiotrackd/src/peer_service.rs
+++ b/crates/pistachiotrackd/src/peer_service.rs
@@ -16,14 +16,14 @@
     answer,
     body::AnswerBody,
     context::Context,
-    fleet::{AnswerPull, Fleet},
+    fleet::{Fleet, HandlePull},
     peer_message::{
-        CONFIG_PATH, HAND_OVER_PATH, MAX_MESSAGE_BYTES, REACH_PATH, ReachAnswer, ReachQuestion,
+        CONFIG_PATH, HAND_OVER_PATH, MAX_MESSAGE_BYTES, REACH_PATH, ReachRequest, ReachResponse,
     },
     proxy,
     shard_actor::TakeHandOver,
     shard_table::shard_name,
-    traffic::{Place, Topic},
+    traffic::{Locality, Topic},
     view::ActiveConfig,
 };
 
@@ -50,14 +50,14 @@
         return Ok(answer::plain(StatusCode::BAD_REQUEST));
     };
     // The address of a TCP connection is not the one that VMs are known by.
-    context.traffic.received(topic, Place::Unknown, question.len());
+    context.traffic.received(topic, Locality::Unknown, question.len());
     let reply = match path {
         CONFIG_PATH => pull(&fleet, question).await,
         HAND_OVER_PATH => take_hand_over(&context, &question),
         _ => reach(&context, &question).await,
     };
     if let Ok(reply) = &reply {
-        context.traffic.sent(topic, Place::Unknown, reply.len());
+        context.traffic.sent(topic, Locality::Unknown, reply.len());
     }
     Ok(reply.map_or_else(answer::plain, answer::octets))
 }
@@ -69,7 +69,7 @@
 }
 
 async fn pull(fleet: &ActorRef<Fleet>, question: Bytes) -> Result<Vec<u8>, StatusCode> {
-    match fleet.ask(AnswerPull(question)).await {
+    match fleet.ask(HandlePull(question)).await {
         Ok(Some(reply)) => Ok(reply),
         Ok(None) => Err(StatusCode::BAD_REQUEST),
         Err(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
@@ -94,23 +94,23 @@
 }
 
 async fn reach(context: &Context, question: &[u8]) -> Result<Vec<u8>, StatusCode> {
-    let question: ReachQuestion =
+    let question: ReachRequest =
         postcard::from_bytes(question).map_err(|_| StatusCode::BAD_REQUEST)?;
     let known = context.view().active.as_ref().is_some_and(|active| has(active, &question));
-    let reply = if known { connect(&question).await } else { ReachAnswer::Unknown };
+    let reply = if known { connect(&question).await } else { ReachResponse::Unknown };
     postcard::to_stdvec(&reply).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
 }
 
 /// Returns whether the configuration has the endpoint that is asked about, so
 /// that a stray message can't have this VM connect to anything else.
-fn has(active: &ActiveConfig, question: &ReachQuestion) -> bool {
+fn has(active: &ActiveConfig, question: &ReachRequest) -> bool {
     let mut endpoints = active.config.services.iter().flat_map(|service| &service.endpoints);
     endpoints.any(|known| known.name == question.endpoint && known.address == question.address)
 }
 
-async fn connect(question: &ReachQuestion) -> ReachAnswer {
+async fn connect(question: &ReachRequest) -> ReachResponse {
     match tokio::time::timeout(REACH_TIMEOUT, TcpStream::connect(question.address)).await {
-        Ok(Ok(_)) => ReachAnswer::Reached,
-        _ => ReachAnswer::Unreachable,
+        Ok(Ok(_)) => ReachResponse::Reached,
+        _ => ReachResponse::Unreachable,
     }
 }
--- a/crates/pistachiotrackd/src/platform.rs
+++ b/crates/pistachiotrackd/src/platform.rs
@@ -17,12 +17,12 @@
 use tokio::sync::watch;
 
 use crate::{
-    fleet::{Fleet, VmsListed},
+    fleet::{Fleet, VmListReceived},
     gzip::{self, GzipError},
     http_call::{self, CallError},
     settings::Settings,
-    source::{Published, Source, SourceError},
-    traffic::{Place, Topic, Traffic},
+    source::{ConfigSource, PublishedConfig, SourceError},
+    traffic::{Locality, Topic, Traffic},
 };
 
 /// Time for which a watch waits for something newer.
@@ -81,7 +81,7 @@
     /// The VMs that watch the configuration watch the list too; the others read
     /// it now and then, the more rarely the larger the fleet is, so that the
     /// reads of the whole fleet don't grow with it.
-    pub(crate) async fn keep_vms(
+    pub(crate) async fn maintain_vm_list(
         self,
         fleet: ActorRef<Fleet>,
         watching: watch::Receiver<bool>,
@@ -106,7 +106,7 @@
                 Ok(list) => {
                     reads.on_list(list.vms.len());
                     after = Some(list.version);
-                    if fleet.tell(VmsListed(list)).try_send().is_err() {
+                    if fleet.tell(VmListReceived(list)).try_send().is_err() {
                         return;
                     }
                 }
@@ -145,9 +145,9 @@
             .header(HOST, self.address.to_string())
             .header(ACCEPT_ENCODING, GZIP)
             .body(Full::default())?;
-        self.traffic.sent(Topic::Platform, Place::Unknown, path.len());
+        self.traffic.sent(Topic::Platform, Locality::Unknown, path.len());
         let answer = http_call::call(self.address, request, MAX_VALUE_BYTES).await?;
-        self.traffic.received(Topic::Platform, Place::Unknown, answer.body().len());
+        self.traffic.received(Topic::Platform, Locality::Unknown, answer.body().len());
         match answer.status() {
             StatusCode::OK => Ok(Some(decoded(answer)?)),
             StatusCode::NO_CONTENT => Ok(None),
@@ -156,16 +156,16 @@
     }
 }
 
-impl Source for Platform {
+impl ConfigSource for Platform {
     fn config(
         &self,
         after: Option<u64>,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<Option<Published>, SourceError>> {
+    ) -> BoxFuture<'_, Result<Option<PublishedConfig>, SourceError>> {
         Box::pin(async move {
             let path = format!("/v1/config/{}", self.deployment);
             let value = self.ask(&path, after, wait).await.map_err(SourceError::new)?;
-            Ok(value.map(Published::Value))
+            Ok(value.map(PublishedConfig::Encoded))
         })
     }
 }
--- a/crates/pistachiotrackd/src/process.rs
+++ b/crates/pistachiotrackd/src/process.rs
@@ -13,7 +13,7 @@
 
 /// Runs the daemon with the settings in `file` until it is asked to stop.
 pub fn run(file: &Path, adapter: impl FnOnce(&Settings) -> Adapter) -> ExitCode {
-    let settings = match read(file) {
+    let settings = match read_settings(file) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Returns the exit code for settings that can't be used.
-pub fn read(file: &Path) -> Result<Settings, ExitCode> {
+pub fn read_settings(file: &Path) -> Result<Settings, ExitCode> {
     Settings::read(file).map_err(|error| {
         eprintln!("pistachiotrackd: {error}");
         ExitCode::SettingsError
--- a/crates/pistachiotrackd/src/proxy.rs
+++ b/crates/pistachiotrackd/src/proxy.rs
@@ -117,10 +117,10 @@
 
 fn measure(context: &Context, customer: &Name, class: Class, received: Time, served: &Served) {
     let total = context.clock.now().since(received);
-    context.total.record(customer, class, total);
+    context.total_latency.record(customer, class, total);
     context.metrics.time(class, total);
     if let Some(endpoint_time) = served.endpoint_time {
-        context.added.record(customer, class, total.saturating_sub(endpoint_time));
+        context.added_latency.record(customer, class, total.saturating_sub(endpoint_time));
     }
 }
 
--- a/crates/pistachiotrackd/src/quarantine/link.rs
+++ b/crates/pistachiotrackd/src/quarantine/link.rs
@@ -127,7 +127,7 @@
     }
 
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        let place = self.view.borrow().place(to);
+        let place = self.view.borrow().locality(to);
         udp::send(&self.socket, to, bytes, &self.traffic, (Topic::Quarantine, place));
     }
 }
--- a/crates/pistachiotrackd/src/registry.rs
+++ b/crates/pistachiotrackd/src/registry.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     clock::Clock,
-    source::{Published, Source, SourceError},
+    source::{ConfigSource, PublishedConfig, SourceError},
 };
 
 /// What a registry changed after some revision.
@@ -84,7 +84,7 @@
         &self,
         after: Option<u64>,
         wait: Duration,
-    ) -> Result<Option<Published>, RegistryError> {
+    ) -> Result<Option<PublishedConfig>, RegistryError> {
         let mut mirror = self.mirror.lock().await;
         let give_up = self.clock.now() + wait;
         let in_force = self.in_force.borrow().clone();
@@ -101,7 +101,7 @@
             if let Some(config) = mirror.roster.config()
                 && Some(config.version) > after
             {
-                return Ok(Some(Published::Made(Box::new(config))));
+                return Ok(Some(PublishedConfig::Assembled(Box::new(config))));
             }
             if now >= give_up {
                 return Ok(None);
@@ -198,12 +198,12 @@
     }
 }
 
-impl<R: Registry> Source for RegistrySource<R> {
+impl<R: Registry> ConfigSource for RegistrySource<R> {
     fn counters(&self) -> Vec<Counter> {
         self.registry.calls()
     }
 
-    fn on_in_force(&self, config: &Arc<Config>) {
+    fn on_active_config(&self, config: &Arc<Config>) {
         self.in_force.send_replace(Some(Arc::clone(config)));
     }
 
@@ -211,7 +211,7 @@
         &self,
         after: Option<u64>,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<Option<Published>, SourceError>> {
+    ) -> BoxFuture<'_, Result<Option<PublishedConfig>, SourceError>> {
         Box::pin(async move {
             match self.next(after, wait).await {
                 Ok(value) => Ok(value),
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -37,7 +37,7 @@
     inbound::Inbound,
     metrics::Event,
     shard_actor::{AttemptOutcome, BodyEnded, CallerGone, Command, ShardActor, Submit},
-    traffic::{Place, Topic},
+    traffic::{Locality, Topic},
     view::FleetView,
 };
 
@@ -90,15 +90,15 @@
 
 /// Returns how many connections this VM may have open to an endpoint, its part of what the
 /// endpoint accepts, but enough for the endpoint's slots; and where the endpoint is.
-fn link(context: &Context, service: &str, endpoint: &str) -> (u32, Place) {
+fn link(context: &Context, service: &str, endpoint: &str) -> (u32, Locality) {
     let view = context.view();
     let endpoint = view
         .active
         .as_ref()
         .and_then(|active| active.service(service))
         .and_then(|service| service.endpoints.iter().find(|one| one.name.as_str() == endpoint));
-    let Some(endpoint) = endpoint else { return (MIN_CONNECTION_BUDGET, Place::Unknown) };
-    let place = Place::of(&endpoint.data_centre, &context.me.data_centre);
+    let Some(endpoint) = endpoint else { return (MIN_CONNECTION_BUDGET, Locality::Unknown) };
+    let place = Locality::of(&endpoint.data_centre, &context.me.data_centre);
     (endpoint_budget(&view, endpoint), place)
 }
 
@@ -115,7 +115,7 @@
     attempt: AttemptId,
     copy: OutstandingCopy,
     end: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
-    place: Place,
+    place: Locality,
     give_up: GiveUp,
 }
 
@@ -151,7 +151,7 @@
 struct Ended {
     attempt: AttemptId,
     copy: OutstandingCopy,
-    place: Place,
+    place: Locality,
     end: AttemptEnd,
 }
 
@@ -235,7 +235,7 @@
         if !self.was_dispatched {
             self.was_dispatched = true;
             let queued = context.clock.now().since(self.began);
-            context.queued.record(&inbound.route.customer, inbound.route.class, queued);
+            context.queue_latency.record(&inbound.route.customer, inbound.route.class, queued);
         }
         let give_up = GiveUp::default();
         let copy = self.copies.send(dispatch.endpoint.clone(), context.clock.now());
--- a/crates/pistachiotrackd/src/settings.rs
+++ b/crates/pistachiotrackd/src/settings.rs
@@ -182,7 +182,7 @@
 
 impl RegistrySettings {
     /// Returns the settings of the roster.
-    pub fn roster(&self) -> RegistryViewSettings {
+    pub fn view_settings(&self) -> RegistryViewSettings {
         RegistryViewSettings {
             floor_percent: self.floor_percent,
             ..RegistryViewSettings::default()
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -35,10 +35,10 @@
     clock::Clock,
     connection_pool::ConnectionPool,
     dialect::Dialect,
-    news_link::NewsLink,
     path_check::PathCheck,
     probe::Probe,
     shard_table::{FactsTable, ShardFacts},
+    shard_update_link::ShardUpdateLink,
     timer::TimerEvent,
 };
 
@@ -86,7 +86,7 @@
     /// Asks VMs elsewhere about endpoints.
     pub(crate) path_check: PathCheck,
     /// Tells the other VMs that dispatch for the shard.
-    pub(crate) news: Arc<NewsLink>,
+    pub(crate) news: Arc<ShardUpdateLink>,
     /// How endpoints speak.
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Time without requests after which a shard without an owner's duties stops.
@@ -105,7 +105,7 @@
     endpoints: Arc<ConnectionPool>,
     facts: FactsTable,
     path_check: PathCheck,
-    news: Arc<NewsLink>,
+    news: Arc<ShardUpdateLink>,
     dialect: Arc<dyn Dialect>,
     actor_ref: WeakActorRef<ShardActor>,
     requests: FxHashMap<RequestId, UnboundedSender<Command>>,
@@ -131,7 +131,7 @@
         let now = args.clock.now();
         let mut shard = Shard::new(now, args.id.clone(), &args.config, settings);
         shard.set_dispatchers(now, args.news.dispatchers(&args.id.service));
-        if shard.is_shared() && args.news.ask(&args.id) {
+        if shard.is_shared() && args.news.request_snapshot(&args.id) {
             shard.on_snapshot_requested(now);
         }
         Ok(ShardActor {
@@ -347,7 +347,7 @@
                     let _ = shard.tell(PathChecked { endpoint, answer, witnesses }).try_send();
                 });
             }
-            ShardAction::Broadcast(news) => self.news.tell(news),
+            ShardAction::Broadcast(news) => self.news.broadcast(news),
             ShardAction::RateLimit { endpoint, limit } => {
                 let per_second = limit.map(RateLimit::per_second);
                 log::info!(
@@ -413,12 +413,12 @@
     fn note_dispatchers(&mut self, now: Time) {
         let dispatchers = self.news.dispatchers(&self.id.service);
         if self.shard.set_dispatchers(now, dispatchers) {
-            self.news.ask(&self.id);
+            self.news.request_snapshot(&self.id);
         }
     }
 
     fn ask_for_picture(&mut self, now: Time) {
-        if self.news.ask(&self.id) {
+        if self.news.request_snapshot(&self.id) {
             self.shard.on_snapshot_requested(now);
         }
     }
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -9,7 +9,7 @@
 use super::ShardActor;
 use crate::{
     hand_over,
-    news_link::{NewsContent, NewsDatagram},
+    shard_update_link::{ShardDatagram, ShardMessage},
 };
 
 /// Takes what another VM that dispatches for the shard tells.
@@ -17,7 +17,7 @@
     /// Address of the VM.
     pub(crate) address: SocketAddr,
     /// What it tells.
-    pub(crate) datagram: NewsDatagram,
+    pub(crate) datagram: ShardDatagram,
 }
 
 impl Message<PeerNews> for ShardActor {
@@ -27,12 +27,12 @@
         let now = self.clock.now();
         self.last_use = now;
         self.heard = now;
-        let NewsDatagram { from, content, .. } = message.datagram;
+        let ShardDatagram { from, content, .. } = message.datagram;
         let actions = match content {
-            NewsContent::Told(news) => self.shard.on_update(now, &from, &news),
-            NewsContent::Picture(picture) => self.shard.on_snapshot(now, &picture),
-            NewsContent::Begun(_) => {
-                self.news.answer(message.address, self.shard.snapshot(now));
+            ShardMessage::Update(news) => self.shard.on_update(now, &from, &news),
+            ShardMessage::Snapshot(picture) => self.shard.on_snapshot(now, &picture),
+            ShardMessage::SnapshotRequest(_) => {
+                self.news.send_snapshot(message.address, self.shard.snapshot(now));
                 Vec::new()
             }
         };
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -26,9 +26,9 @@
     clock::Clock,
     connection_pool::ConnectionPool,
     dialect::Dialect,
-    news_link::{NewsDatagram, NewsLink},
     path_check::PathCheck,
     shard_actor::{HandOverTo, PeerNews, SetMode, ShardActor, ShardArgs},
+    shard_update_link::{ShardDatagram, ShardUpdateLink},
     timer::{Subscribe, TimerService},
     view::FleetView,
 };
@@ -57,7 +57,7 @@
     /// Asks VMs elsewhere about endpoints.
     pub(crate) path_check: PathCheck,
     /// Tells the other VMs that dispatch side by side.
-    pub(crate) news: Arc<NewsLink>,
+    pub(crate) news: Arc<ShardUpdateLink>,
     /// How endpoints speak.
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Time without requests after which a shard is forgotten that this VM does
@@ -157,7 +157,7 @@
     ///
     /// A dispatcher starts the shard for it, so that it knows the endpoints
     /// before its own first request.
-    pub(crate) fn on_news(&self, view: &FleetView, from: SocketAddr, datagram: NewsDatagram) {
+    pub(crate) fn on_news(&self, view: &FleetView, from: SocketAddr, datagram: ShardDatagram) {
         let shard = datagram.content.shard();
         let actor = self.find(shard).or_else(|| {
             let active = view.active.as_ref()?;
--- a/crates/pistachiotrackd/src/news_link.rs
+++ b/crates/pistachiotrackd/src/shard_update_link.rs
@@ -24,16 +24,16 @@
 
 use crate::{
     clock::Clock,
-    traffic::{Place, Topic, Traffic},
+    traffic::{Locality, Topic, Traffic},
     udp,
     view::FleetView,
 };
 
 /// First bytes of these datagrams in all versions; those of the membership begin with
 /// others.
-pub(crate) const NEWS_TAGS: RangeInclusive<u8> = 0x80..=0x8f;
+pub(crate) const SHARD_DATAGRAM_TAGS: RangeInclusive<u8> = 0x80..=0x8f;
 /// First byte in this version.
-const NEWS_TAG: u8 = 0x82;
+const SHARD_DATAGRAM_TAG: u8 = 0x82;
 /// Time between two lines about datagrams that are not used.
 const UNUSED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// Dispatchers that are asked for a picture.
@@ -46,47 +46,47 @@
 
 /// One datagram.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct NewsDatagram {
+pub(crate) struct ShardDatagram {
     deployment: u64,
     /// Sender.
     pub(crate) from: Name,
     /// What it tells.
-    pub(crate) content: NewsContent,
+    pub(crate) content: ShardMessage,
 }
 
 /// What VMs that dispatch side by side tell each other.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum NewsContent {
+pub(crate) enum ShardMessage {
     /// What the sender does and sees.
-    Told(ShardUpdate),
+    Update(ShardUpdate),
     /// The sender has just begun with a shard and asks for a picture of it.
-    Begun(ShardId),
+    SnapshotRequest(ShardId),
     /// What the sender believes of the endpoints.
-    Picture(ShardSnapshot),
+    Snapshot(ShardSnapshot),
 }
 
-impl NewsContent {
+impl ShardMessage {
     /// Returns the shard that it is about.
     pub(crate) fn shard(&self) -> &ShardId {
         match self {
-            NewsContent::Told(news) => &news.shard,
-            NewsContent::Begun(shard) => shard,
-            NewsContent::Picture(picture) => &picture.shard,
+            ShardMessage::Update(news) => &news.shard,
+            ShardMessage::SnapshotRequest(shard) => shard,
+            ShardMessage::Snapshot(picture) => &picture.shard,
         }
     }
 
     /// Returns under which topic it is counted.
     pub(crate) fn topic(&self) -> Topic {
         match self {
-            NewsContent::Told(_) => Topic::News,
-            NewsContent::Begun(_) | NewsContent::Picture(_) => Topic::Picture,
+            ShardMessage::Update(_) => Topic::ShardUpdate,
+            ShardMessage::SnapshotRequest(_) | ShardMessage::Snapshot(_) => Topic::ShardSnapshot,
         }
     }
 }
 
 /// Tells the other dispatchers of a service what this VM does and sees.
 #[derive(Debug)]
-pub(crate) struct NewsLink {
+pub(crate) struct ShardUpdateLink {
     me: Vm,
     deployment: u64,
     clock: Clock,
@@ -99,9 +99,9 @@
 
 /// Why a datagram is not used.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum NewsError {
+pub(crate) enum ShardDatagramError {
     /// It is of another version.
-    #[error("version {0:#x}, not {NEWS_TAG:#x}")]
+    #[error("version {0:#x}, not {SHARD_DATAGRAM_TAG:#x}")]
     Version(u8),
     /// It is empty or longer than any VM sends.
     #[error("{0} bytes")]
@@ -114,7 +114,7 @@
     Sender(Name),
 }
 
-impl NewsLink {
+impl ShardUpdateLink {
     /// Creates a link over the socket that the membership uses too.
     pub(crate) fn new(
         me: Vm,
@@ -123,9 +123,9 @@
         socket: Arc<UdpSocket>,
         view: watch::Receiver<Arc<FleetView>>,
         traffic: Arc<Traffic>,
-    ) -> NewsLink {
+    ) -> ShardUpdateLink {
         let deployment = hash::fnv(deployment.as_bytes());
-        NewsLink {
+        ShardUpdateLink {
             me,
             deployment,
             clock,
@@ -138,29 +138,29 @@
     }
 
     /// Tells the other dispatchers, and the guests.
-    pub(crate) fn tell(&self, news: ShardUpdate) {
+    pub(crate) fn broadcast(&self, news: ShardUpdate) {
         let service = news.shard.service.clone();
-        let Some(bytes) = self.encode(NewsContent::Told(news)) else { return };
+        let Some(bytes) = self.encode(ShardMessage::Update(news)) else { return };
         let view = Arc::clone(&self.view.borrow());
         let dispatchers = view.ownership.dispatchers(&service);
         for vm in dispatchers.iter().filter(|vm| vm.name != self.me.name) {
-            self.send(vm.peer_address, &bytes, Topic::News, self.place(vm));
+            self.send(vm.peer_address, &bytes, Topic::ShardUpdate, self.place(vm));
         }
         let now = self.clock.now();
         let mut guests = self.guests.lock().unwrap_or_else(PoisonError::into_inner);
         for address in guests.recipients(now) {
             if dispatchers.iter().all(|vm| vm.peer_address != address) {
                 // Guests are of this data centre.
-                self.send(address, &bytes, Topic::News, Place::Near);
+                self.send(address, &bytes, Topic::ShardUpdate, Locality::Near);
             }
         }
     }
 
-    fn place(&self, vm: &Vm) -> Place {
-        Place::of(&vm.data_centre, &self.me.data_centre)
+    fn place(&self, vm: &Vm) -> Locality {
+        Locality::of(&vm.data_centre, &self.me.data_centre)
     }
 
-    fn send(&self, to: SocketAddr, bytes: &[u8], topic: Topic, place: Place) {
+    fn send(&self, to: SocketAddr, bytes: &[u8], topic: Topic, place: Locality) {
         udp::send(&self.socket, to, bytes, &self.traffic, (topic, place));
     }
 
@@ -171,8 +171,10 @@
     /// bookings to endpoints that the others know to fail. It shows as failures
     /// after each restart. The guard holds because the answer comes within a
     /// round trip, before most requests.
-    pub(crate) fn ask(&self, shard: &ShardId) -> bool {
-        let Some(bytes) = self.encode(NewsContent::Begun(shard.clone())) else { return false };
+    pub(crate) fn request_snapshot(&self, shard: &ShardId) -> bool {
+        let Some(bytes) = self.encode(ShardMessage::SnapshotRequest(shard.clone())) else {
+            return false;
+        };
         let view = Arc::clone(&self.view.borrow());
         let dispatchers = view.ownership.dispatchers(&shard.service);
         let others = dispatchers.iter().filter(|vm| vm.name != self.me.name);
@@ -180,14 +182,14 @@
             others.partition(|vm| vm.data_centre == self.me.data_centre);
         let asked: Vec<&Vm> = near.into_iter().chain(far).take(ASKED).collect();
         for vm in &asked {
-            self.send(vm.peer_address, &bytes, Topic::Picture, self.place(vm));
+            self.send(vm.peer_address, &bytes, Topic::ShardSnapshot, self.place(vm));
         }
         !asked.is_empty()
     }
 
     /// Sends a picture to the VM at an address, in as many datagrams as it takes.
-    pub(crate) fn answer(&self, to: SocketAddr, mut picture: ShardSnapshot) {
-        let place = self.view.borrow().place(to);
+    pub(crate) fn send_snapshot(&self, to: SocketAddr, mut picture: ShardSnapshot) {
+        let place = self.view.borrow().locality(to);
         let beliefs = std::mem::take(&mut picture.estimates);
         let mut parts: Vec<&[EndpointEstimate]> = beliefs.chunks(BELIEFS_PER_DATAGRAM).collect();
         if parts.is_empty() {
@@ -197,17 +199,17 @@
         let rates = std::mem::take(&mut picture.rate_limits);
         for beliefs in parts {
             let sent = std::mem::take(&mut picture.sent);
-            self.send_picture(to, place, picture.shard.clone(), beliefs, sent, &[]);
+            self.send_snapshot_part(to, place, picture.shard.clone(), beliefs, sent, &[]);
         }
         for rates in rates.chunks(RATES_PER_DATAGRAM) {
-            self.send_picture(to, place, picture.shard.clone(), &[], Vec::new(), rates);
+            self.send_snapshot_part(to, place, picture.shard.clone(), &[], Vec::new(), rates);
         }
     }
 
-    fn send_picture(
+    fn send_snapshot_part(
         &self,
         to: SocketAddr,
-        place: Place,
+        place: Locality,
         shard: ShardId,
         beliefs: &[EndpointEstimate],
         sent: Vec<SendCounts>,
@@ -215,15 +217,15 @@
     ) {
         let (beliefs, rates) = (beliefs.to_vec(), rates.to_vec());
         let part = ShardSnapshot { shard, estimates: beliefs, sent, rate_limits: rates };
-        if let Some(bytes) = self.encode(NewsContent::Picture(part)) {
-            self.send(to, &bytes, Topic::Picture, place);
+        if let Some(bytes) = self.encode(ShardMessage::Snapshot(part)) {
+            self.send(to, &bytes, Topic::ShardSnapshot, place);
         }
     }
 
-    fn encode(&self, content: NewsContent) -> Option<Vec<u8>> {
+    fn encode(&self, content: ShardMessage) -> Option<Vec<u8>> {
         let from = self.me.name.clone();
-        let datagram = NewsDatagram { deployment: self.deployment, from, content };
-        postcard::to_extend(&datagram, vec![NEWS_TAG])
+        let datagram = ShardDatagram { deployment: self.deployment, from, content };
+        postcard::to_extend(&datagram, vec![SHARD_DATAGRAM_TAG])
             .inspect_err(|error| log::error!("event=news_not_encoded error={error:?}"))
             .ok()
     }
@@ -237,17 +239,17 @@
         &self,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<NewsDatagram, NewsError> {
-        let (tag, content) = bytes.split_first().ok_or(NewsError::Length(0))?;
-        if *tag != NEWS_TAG {
-            return Err(NewsError::Version(*tag));
+    ) -> Result<ShardDatagram, ShardDatagramError> {
+        let (tag, content) = bytes.split_first().ok_or(ShardDatagramError::Length(0))?;
+        if *tag != SHARD_DATAGRAM_TAG {
+            return Err(ShardDatagramError::Version(*tag));
         }
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(NewsError::Length(bytes.len()));
+            return Err(ShardDatagramError::Length(bytes.len()));
         }
-        let datagram: NewsDatagram = postcard::from_bytes(content)?;
+        let datagram: ShardDatagram = postcard::from_bytes(content)?;
         if datagram.deployment != self.deployment || datagram.from == self.me.name {
-            return Err(NewsError::Sender(datagram.from));
+            return Err(ShardDatagramError::Sender(datagram.from));
         }
         let mut guests = self.guests.lock().unwrap_or_else(PoisonError::into_inner);
         guests.record_update(self.clock.now(), from, || self.is_nearby(from));
@@ -255,7 +257,7 @@
     }
 
     /// Says that a datagram was not used, once in a while.
-    pub(crate) fn log_unused(&self, from: SocketAddr, error: &NewsError) {
+    pub(crate) fn log_unused(&self, from: SocketAddr, error: &ShardDatagramError) {
         let now = self.clock.now();
         let mut logged_at = self.unused_logged_at.lock().unwrap_or_else(PoisonError::into_inner);
         if logged_at.is_none_or(|at| now.since(at) >= UNUSED_LOG_INTERVAL) {
--- a/crates/pistachiotrackd/src/socket.rs
+++ b/crates/pistachiotrackd/src/socket.rs
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// Returns an error if the system refuses an option.
-pub(crate) fn guard_outgoing(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn configure_outgoing(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// Returns an error if the system refuses an option.
-pub(crate) fn guard_incoming(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn configure_incoming(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_keepalive(&keepalive())
 }
--- a/crates/pistachiotrackd/src/source.rs
+++ b/crates/pistachiotrackd/src/source.rs
@@ -20,18 +20,18 @@
 
 /// A configuration as a source has it.
 #[derive(Clone, Debug)]
-pub enum Published {
+pub enum PublishedConfig {
     /// The value as the platform holds it, in JSON.
-    Value(Bytes),
+    Encoded(Bytes),
     /// A configuration made here of several values, each within its own limits.
-    Made(Box<Config>),
+    Assembled(Box<Config>),
 }
 
 /// Where a deployment's configuration comes from; only read.
-pub trait Source: fmt::Debug + Send + Sync + 'static {
+pub trait ConfigSource: fmt::Debug + Send + Sync + 'static {
     /// Takes the configuration that is in force now, which may have come from another
     /// VM.
-    fn on_in_force(&self, _config: &Arc<Config>) {}
+    fn on_active_config(&self, _config: &Arc<Config>) {}
 
     /// Returns what it counts, such as its calls by reason.
     fn counters(&self) -> Vec<Counter> {
@@ -44,5 +44,5 @@
         &self,
         after: Option<u64>,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<Option<Published>, SourceError>>;
+    ) -> BoxFuture<'_, Result<Option<PublishedConfig>, SourceError>>;
 }
--- a/crates/pistachiotrackd/src/timer.rs
+++ b/crates/pistachiotrackd/src/timer.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns whether the process was paused since the last tick.
-    pub(crate) fn is_shut(&self, now: Time) -> bool {
+    pub(crate) fn is_closed(&self, now: Time) -> bool {
         self.detector.lock().unwrap_or_else(PoisonError::into_inner).is_stale(now)
     }
 
@@ -124,17 +124,17 @@
 
 /// Adds a subscriber that is told of one tick in several, so that an idle daemon
 /// wakes it less often; of pauses it is told as any other.
-pub(crate) struct SubscribeSlowly {
+pub(crate) struct SubscribeWithInterval {
     /// The subscriber.
     pub(crate) recipient: Recipient<TimerEvent>,
     /// Time between two ticks that it is told of.
     pub(crate) interval: Duration,
 }
 
-impl Message<SubscribeSlowly> for TimerService {
+impl Message<SubscribeWithInterval> for TimerService {
     type Reply = ();
 
-    async fn handle(&mut self, message: SubscribeSlowly, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: SubscribeWithInterval, _: &mut Context<Self, ()>) {
         let ticks = message.interval.as_millis() / TICK_INTERVAL.as_millis();
         let every_ticks = (ticks as u64).max(1);
         self.subscribers.push(Subscriber { recipient: message.recipient, every_ticks });
--- a/crates/pistachiotrackd/src/traffic.rs
+++ b/crates/pistachiotrackd/src/traffic.rs
@@ -10,9 +10,9 @@
     /// Who is there.
     Membership,
     /// What dispatchers do and see.
-    News,
+    ShardUpdate,
     /// What a VM believes of the endpoints, and questions for it.
-    Picture,
+    ShardSnapshot,
     /// Requests that crash endpoints.
     Quarantine,
     /// Pulls of configurations and answers to them.
@@ -32,8 +32,8 @@
 impl Topic {
     const ALL: [Topic; 10] = [
         Topic::Membership,
-        Topic::News,
-        Topic::Picture,
+        Topic::ShardUpdate,
+        Topic::ShardSnapshot,
         Topic::Quarantine,
         Topic::Configuration,
         Topic::HandOver,
@@ -46,8 +46,8 @@
     fn as_str(self) -> &'static str {
         match self {
             Topic::Membership => "membership",
-            Topic::News => "news",
-            Topic::Picture => "picture",
+            Topic::ShardUpdate => "news",
+            Topic::ShardSnapshot => "picture",
             Topic::Quarantine => "quarantine",
             Topic::Configuration => "configuration",
             Topic::HandOver => "hand_over",
@@ -66,7 +66,7 @@
 
 /// Where the other end is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum Locality {
     /// In this VM's data centre.
     Near,
     /// In another data centre.
@@ -75,19 +75,19 @@
     Unknown,
 }
 
-impl Place {
-    const ALL: [Place; 3] = [Place::Near, Place::Far, Place::Unknown];
+impl Locality {
+    const ALL: [Locality; 3] = [Locality::Near, Locality::Far, Locality::Unknown];
 
     /// Returns the place of something in a data centre, seen from another one.
-    pub(crate) fn of(data_centre: &str, from: &str) -> Place {
-        if data_centre == from { Place::Near } else { Place::Far }
+    pub(crate) fn of(data_centre: &str, from: &str) -> Locality {
+        if data_centre == from { Locality::Near } else { Locality::Far }
     }
 
     fn as_str(self) -> &'static str {
         match self {
-            Place::Near => "near",
-            Place::Far => "far",
-            Place::Unknown => "unknown",
+            Locality::Near => "near",
+            Locality::Far => "far",
+            Locality::Unknown => "unknown",
         }
     }
 }
@@ -150,21 +150,21 @@
 /// Counts messages and their payload, without the heads of HTTP, TCP and UDP.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    counts: [[[Count; Direction::ALL.len()]; Place::ALL.len()]; Topic::ALL.len()],
+    counts: [[[Count; Direction::ALL.len()]; Locality::ALL.len()]; Topic::ALL.len()],
 }
 
 impl Traffic {
     /// Counts a message that was sent.
-    pub(crate) fn sent(&self, topic: Topic, place: Place, bytes: usize) {
+    pub(crate) fn sent(&self, topic: Topic, place: Locality, bytes: usize) {
         self.count(topic, place, Direction::Sent).add(bytes);
     }
 
     /// Counts a message that was received.
-    pub(crate) fn received(&self, topic: Topic, place: Place, bytes: usize) {
+    pub(crate) fn received(&self, topic: Topic, place: Locality, bytes: usize) {
         self.count(topic, place, Direction::Received).add(bytes);
     }
 
-    fn count(&self, topic: Topic, place: Place, direction: Direction) -> &Count {
+    fn count(&self, topic: Topic, place: Locality, direction: Direction) -> &Count {
         &self.counts[topic as usize][place as usize][direction as usize]
     }
 
@@ -172,7 +172,7 @@
     pub(crate) fn counters(&self) -> [Counter; 3] {
         let (mut messages_sent, mut bytes_sent, mut bytes_received) = (0, 0, 0);
         for topic in Topic::ALL.into_iter().filter(|topic| topic.is_control()) {
-            for place in Place::ALL {
+            for place in Locality::ALL {
                 let sent = self.count(topic, place, Direction::Sent);
                 messages_sent += sent.messages.load(Ordering::Relaxed);
                 bytes_sent += sent.bytes.load(Ordering::Relaxed);
@@ -192,7 +192,7 @@
     pub(crate) fn links(&self) -> Vec<LinkCount> {
         let mut links = Vec::new();
         for topic in Topic::ALL {
-            for place in Place::ALL {
+            for place in Locality::ALL {
                 for direction in Direction::ALL {
                     let count = self.count(topic, place, direction);
                     let messages = count.messages.load(Ordering::Relaxed);
--- a/crates/pistachiotrackd/src/udp.rs
+++ b/crates/pistachiotrackd/src/udp.rs
@@ -10,9 +10,9 @@
     context::Context,
     fleet::{Datagram, Fleet},
     metrics::Event,
-    news_link::{NEWS_TAGS, NewsLink},
     quarantine::QUARANTINE_TAG,
-    traffic::{Place, Topic, Traffic},
+    shard_update_link::{SHARD_DATAGRAM_TAGS, ShardUpdateLink},
+    traffic::{Locality, Topic, Traffic},
 };
 
 /// Passes the datagrams that come in to the fleet actor, and those of other
@@ -21,7 +21,7 @@
     socket: Arc<UdpSocket>,
     fleet: ActorRef<Fleet>,
     context: Arc<Context>,
-    news: Arc<NewsLink>,
+    news: Arc<ShardUpdateLink>,
 ) {
     let traffic = &context.traffic;
     // One byte more than any VM sends shows a datagram that is too large.
@@ -31,25 +31,26 @@
             Ok((length, from)) => {
                 let view = context.view();
                 let bytes = &buffer[..length];
-                if bytes.first().is_some_and(|tag| NEWS_TAGS.contains(tag)) {
+                if bytes.first().is_some_and(|tag| SHARD_DATAGRAM_TAGS.contains(tag)) {
                     let datagram = news.receive(from, bytes);
-                    let topic = datagram.as_ref().map_or(Topic::News, |it| it.content.topic());
-                    traffic.received(topic, view.place(from), length);
+                    let topic =
+                        datagram.as_ref().map_or(Topic::ShardUpdate, |it| it.content.topic());
+                    traffic.received(topic, view.locality(from), length);
                     match datagram {
                         Ok(datagram) => context.shards.on_news(&view, from, datagram),
                         Err(error) => {
-                            context.metrics.count(Event::NewsUnused);
+                            context.metrics.count(Event::ShardDatagramDropped);
                             news.log_unused(from, &error);
                         }
                     }
                     continue;
                 }
                 if bytes.first() == Some(&QUARANTINE_TAG) {
-                    traffic.received(Topic::Quarantine, view.place(from), length);
+                    traffic.received(Topic::Quarantine, view.locality(from), length);
                     context.quarantine.receive(from, bytes);
                     continue;
                 }
-                traffic.received(Topic::Membership, view.place(from), length);
+                traffic.received(Topic::Membership, view.locality(from), length);
                 if length > MAX_DATAGRAM_BYTES {
                     continue;
                 }
@@ -71,7 +72,7 @@
     to: SocketAddr,
     bytes: &[u8],
     traffic: &Traffic,
-    (topic, place): (Topic, Place),
+    (topic, place): (Topic, Locality),
 ) {
     match socket.try_send_to(bytes, to) {
         Ok(sent) => traffic.sent(topic, place, sent),
--- a/crates/pistachiotrackd/src/view.rs
+++ b/crates/pistachiotrackd/src/view.rs
@@ -12,7 +12,7 @@
 };
 use rustc_hash::FxHashMap;
 
-use crate::traffic::Place;
+use crate::traffic::Locality;
 
 /// What requests need of the configuration in force.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     /// The other members.
     pub(crate) members: Vec<Member>,
     /// Where the other members are, by their address for VMs.
-    places: FxHashMap<SocketAddr, Place>,
+    localities: FxHashMap<SocketAddr, Locality>,
 }
 
 impl FleetView {
@@ -59,15 +59,16 @@
         members: Vec<Member>,
         data_centre: &str,
     ) -> FleetView {
-        let place =
-            |Member { vm, .. }: &Member| (vm.peer_address, Place::of(&vm.data_centre, data_centre));
-        let places = members.iter().map(place).collect();
-        FleetView { active, ownership, members, places }
+        let place = |Member { vm, .. }: &Member| {
+            (vm.peer_address, Locality::of(&vm.data_centre, data_centre))
+        };
+        let localities = members.iter().map(place).collect();
+        FleetView { active, ownership, members, localities }
     }
 
     /// Returns where the VM at an address is.
-    pub(crate) fn place(&self, peer_address: SocketAddr) -> Place {
-        self.places.get(&peer_address).copied().unwrap_or(Place::Unknown)
+    pub(crate) fn locality(&self, peer_address: SocketAddr) -> Locality {
+        self.localities.get(&peer_address).copied().unwrap_or(Locality::Unknown)
     }
 
     /// Returns the number of VMs that may use endpoints, this one included.
