--- a/crates/pistachiotrackd/src/admin.rs
+++ b/crates/pistachiotrackd/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin port, which operators' tools read.
+//! Handler of the admin port, which operators' tools read.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -20,7 +20,7 @@
     shard_table::shard_name,
 };
 
-/// Answers an operator's tool.
+/// Handles a request to the admin port.
 pub(crate) async fn handle(
     context: Arc<Context>,
     fleet: ActorRef<Fleet>,
@@ -42,7 +42,7 @@
     })
 }
 
-/// Returns the counters and latencies as text.
+/// Returns the counters and latencies in the text format of metrics collectors.
 async fn metrics(context: &Arc<Context>, fleet: &ActorRef<Fleet>) -> Response<AnswerBody> {
     match exposition::text(context, config_status(fleet).await) {
         Ok(text) => answer::text(text),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns how this VM gets its configuration; nothing of it while the daemon stops.
+/// Returns the state of the configuration sync; the default while the daemon stops.
 async fn config_status(fleet: &ActorRef<Fleet>) -> ConfigStatus {
     fleet.ask(GetConfigStatus).await.unwrap_or_default()
 }
@@ -82,7 +82,7 @@
 async fn endpoints(context: &Context) -> Vec<EndpointStatus> {
     let mut endpoints = Vec::new();
     for (_, shard) in context.shards.running() {
-        // A shard that has just stopped has no endpoints to show.
+        // A shard whose actor has just stopped has no endpoints to list.
         endpoints.extend(shard.ask(Endpoints).await.unwrap_or_default());
     }
     endpoints.sort_by(|a, b| (&a.service, &a.endpoint).cmp(&(&b.service, &b.endpoint)));
--- a/crates/pistachiotrackd/src/cli.rs
+++ b/crates/pistachiotrackd/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command line of the daemon.
+//! Command-line interface of the daemon.
 
 use std::path::PathBuf;
 
@@ -22,7 +22,7 @@
   4  an address of the settings can't be bound
 ";
 
-/// What the command line asks for.
+/// Action requested on the command line.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Prints the help.
--- a/crates/pistachiotrackd/src/clock.rs
+++ b/crates/pistachiotrackd/src/clock.rs
@@ -5,19 +5,18 @@
 use pistachiotrack_core::time::Time;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Turns the machine's clock into [`Time`].
+/// Converts the system's boot-time clock to [`Time`].
 ///
-/// Failure guarded against: a VM is suspended, and its monotonic clock stands
-/// still meanwhile. It shows as requests that are sent long after their callers
-/// have given up. The guard holds because the clock read here counts the time of
-/// a suspension, so that deadlines pass and the timer service sees the gap.
+/// `CLOCK_MONOTONIC` stops while a VM is suspended, so that requests would be
+/// sent long after their callers gave up. `CLOCK_BOOTTIME` includes suspended
+/// time: deadlines expire and the timer service detects the gap.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
 }
 
-/// Value of the clock at its start, so that times shortly before the start can
-/// be told apart.
+/// Value of the clock when it is started. It is above 0 so that times shortly
+/// before the start can be represented.
 const START: Time = Time::from_millis(1_000);
 
 impl Clock {
@@ -26,17 +25,17 @@
         Clock { start: since_boot() }
     }
 
-    /// Returns the moment at which the clock was started.
+    /// Returns the time at which the clock was started.
     pub(crate) fn started(&self) -> Time {
         START
     }
 
-    /// Returns the present moment.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         START + since_boot().saturating_sub(self.start)
     }
 
-    /// Returns the moment as the runtime's timers need it.
+    /// Converts a time to an instant of the runtime's timers.
     pub(crate) fn instant(&self, time: Time) -> tokio::time::Instant {
         tokio::time::Instant::now() + time.since(self.now())
     }
--- a/crates/pistachiotrackd/src/context.rs
+++ b/crates/pistachiotrackd/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of the daemon share.
+//! State shared by all parts of the daemon.
 
 use std::sync::{
     Arc,
@@ -15,10 +15,10 @@
     view::FleetView,
 };
 
-/// State of the daemon's life cycle.
+/// State of the daemon's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LifecycleState {
-    /// There is no configuration yet.
+    /// No configuration has been received yet.
     Starting,
     /// Requests are served.
     Serving,
@@ -37,66 +37,66 @@
     }
 }
 
-/// What all parts of the daemon share.
+/// State shared by all parts of the daemon.
 #[derive(Debug)]
 pub(crate) struct Context {
-    /// How callers and endpoints speak.
+    /// Protocol of callers and endpoints.
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Settings of this VM.
     pub(crate) settings: Settings,
-    /// This VM.
+    /// The local VM.
     pub(crate) me: Vm,
     /// Clock of the process.
     pub(crate) clock: Clock,
-    /// Gate that shuts after a pause.
+    /// Gate that is closed after a pause of the process until the timer has handled it.
     pub(crate) gate: PauseGate,
-    /// The fleet and the configuration.
+    /// Latest snapshot of the fleet and the configuration.
     pub(crate) view: watch::Receiver<Arc<FleetView>>,
     /// Whether the daemon is stopping.
     pub(crate) leaving: watch::Receiver<bool>,
-    /// Shards that this VM works on.
+    /// Shards that this VM dispatches for.
     pub(crate) shards: ShardTable,
     /// Connections to endpoints.
     pub(crate) endpoints: Arc<ConnectionPool>,
     /// Connections to other VMs.
     pub(crate) peers: Arc<ConnectionPool>,
-    /// What is known of the requests sent on.
+    /// Record of forwarded requests and their results.
     pub(crate) forwards: ForwardRecord,
-    /// Requests that are held back because endpoints end under them.
+    /// Quarantine of requests that crash endpoints.
     pub(crate) quarantine: Arc<QuarantineGate>,
     /// Counters.
     pub(crate) metrics: Metrics,
-    /// What this VM says to and hears from others.
+    /// Counts of sent and received messages.
     pub(crate) traffic: Arc<Traffic>,
-    /// Time for which a request waits before it is sent to an endpoint for the first time.
+    /// Time from a request's arrival to its first dispatch to an endpoint.
     pub(crate) queue_latency: Histograms,
-    /// Where configurations come from; the platform's own service where it is missing.
+    /// Source of configurations; the platform's configuration service if `None`.
     pub(crate) source: Option<Arc<dyn ConfigSource>>,
-    /// Time from a request's arrival to its answer's head.
+    /// Time from a request's arrival to the head of its response.
     pub(crate) total_latency: Histograms,
-    /// The part of that time which no endpoint had a hand in.
+    /// Part of that time that was not spent waiting for an endpoint.
     pub(crate) added_latency: Histograms,
-    /// Number of the next request.
+    /// Identifier of the next request.
     pub(crate) next_request: AtomicU64,
 }
 
 impl Context {
-    /// Returns the present snapshot of the fleet.
+    /// Returns the current snapshot of the fleet.
     pub(crate) fn view(&self) -> Arc<FleetView> {
         Arc::clone(&self.view.borrow())
     }
 
-    /// Returns the number of a new request.
+    /// Returns the identifier of a new request, unique within the process.
     pub(crate) fn next_request(&self) -> RequestId {
         RequestId(self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Returns the identity under which a request is known in the whole fleet.
+    /// Returns the identifier of a request, unique within the fleet.
     pub(crate) fn fleet_id(&self, request: RequestId) -> Name {
         Name::from(format!("{}-{:x}-{:x}", self.me.name, self.me.incarnation, request.0))
     }
 
-    /// Returns the state of the life cycle.
+    /// Returns the state of the lifecycle.
     pub(crate) fn lifecycle_state(&self) -> LifecycleState {
         if *self.leaving.borrow() {
             return LifecycleState::Leaving;
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon's life cycle: start, serve, stop gracefully.
+//! The daemon's lifecycle: startup, serving and graceful shutdown.
 
 mod sockets;
 
@@ -49,8 +49,8 @@
     view::FleetView,
 };
 
-/// Connections to the admin port that are open at the same time.
-const ADMIN_CONNECTIONS: usize = 32;
+/// Maximum number of concurrent connections to the admin port.
+const MAX_ADMIN_CONNECTIONS: usize = 32;
 
 /// Why the daemon could not start.
 #[derive(Debug, thiserror::Error)]
@@ -70,17 +70,17 @@
     Metrics(#[from] cadence::MetricError),
 }
 
-/// Time for which a stopping daemon serves on after the last answer that names
-/// it may have run out, since the others hear of its leaving a little later.
+/// Time for which a leaving daemon still serves after the lifetime of the entry
+/// answers that list it, since other VMs learn of its leaving with a delay.
 const ENTRY_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a daemon meets the outside with.
+/// Integration of the daemon with its environment.
 #[derive(Clone, Debug)]
 pub struct Adapter {
-    /// How callers and endpoints speak.
+    /// Protocol of callers and endpoints.
     pub dialect: Arc<dyn Dialect>,
-    /// Where configurations come from; the platform's own service where it is
-    /// missing.
+    /// Source of configurations; the platform's configuration service if
+    /// `None`.
     pub source: Option<Arc<dyn ConfigSource>>,
 }
 
@@ -90,10 +90,10 @@
     }
 }
 
-/// Time between two looks at the settings file.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A daemon that serves.
+/// A running daemon.
 pub struct Daemon {
     context: Arc<Context>,
     fleet: ActorRef<Fleet>,
@@ -106,17 +106,17 @@
     directory_address: Option<SocketAddr>,
 }
 
-/// A daemon that serves on while callers may still hold its address; the other
-/// VMs know that it stops.
+/// A daemon that has announced that it is leaving and still serves callers that
+/// hold its address.
 #[must_use]
 pub struct LeavingDaemon(Daemon);
 
-/// A daemon that takes no further request and finishes those in flight.
+/// A daemon that accepts no further requests and finishes those in flight.
 #[must_use]
 pub struct StoppingDaemon(Daemon);
 
 impl Daemon {
-    /// Binds the addresses of the settings and starts all parts.
+    /// Binds the addresses in the settings and starts all components.
     ///
     /// # Errors
     ///
@@ -125,7 +125,7 @@
         Daemon::start_with(settings, Adapter::default()).await
     }
 
-    /// As [`Daemon::start`], with an adapter to what is outside.
+    /// Like [`Daemon::start`], with a custom adapter.
     ///
     /// # Errors
     ///
@@ -214,7 +214,7 @@
             seed,
         };
         let fleet = Fleet::spawn_with_mailbox(fleet_args, mailbox::unbounded());
-        // The timer service has just been started.
+        // Can't fail: the timer service has just been started.
         let _ = timer
             .tell(SubscribeWithInterval {
                 recipient: fleet.clone().recipient(),
@@ -270,7 +270,7 @@
         let fleet = self.fleet.clone();
         let handler = move |context, request| peer_service::handle(context, fleet.clone(), request);
         tokio::spawn(peers.serve(Arc::clone(&self.context), handler));
-        let operators = self.listener(admin, ADMIN_CONNECTIONS, stopping);
+        let operators = self.listener(admin, MAX_ADMIN_CONNECTIONS, stopping);
         let fleet = self.fleet.clone();
         let handler = move |context, request| admin::handle(context, fleet.clone(), request);
         tokio::spawn(operators.serve(Arc::clone(&self.context), handler));
@@ -318,28 +318,28 @@
         self.admin_address
     }
 
-    /// Returns the address that says whether the VM is ready, if it has one.
+    /// Returns the address of the readiness check, if it is set.
     pub fn readiness_address(&self) -> Option<SocketAddr> {
         self.readiness_address
     }
 
-    /// Returns the address that tells callers which addresses to use, if it has one.
+    /// Returns the address at which callers query entry addresses, if it is set.
     pub fn directory_address(&self) -> Option<SocketAddr> {
         self.directory_address
     }
 
-    /// Cuts or restores this VM's own path to an endpoint, as a firewall that
-    /// refuses its connections would; for tests.
+    /// Blocks or unblocks direct connections from this VM to an endpoint, as a
+    /// firewall that rejects them would; for tests.
     #[doc(hidden)]
     pub fn set_path_cut(&self, endpoint: SocketAddr, is_cut: bool) {
         self.context.endpoints.set_cut(endpoint, is_cut);
     }
 
-    /// Serves until the process is asked to stop, or a newer daemon runs under
-    /// this VM's name, then stops gracefully.
+    /// Serves until the process receives SIGTERM or SIGINT, or a newer daemon
+    /// runs under this VM's name, then stops gracefully.
     ///
-    /// Further signals change nothing: a second one, sent by an impatient
-    /// supervisor, must not cut off the requests that the first one lets finish.
+    /// Further signals are ignored: a repeated signal of a supervisor must not
+    /// interrupt requests that the graceful shutdown lets finish.
     ///
     /// # Errors
     ///
@@ -348,8 +348,8 @@
         self.run(None).await
     }
 
-    /// As [`Daemon::run_until_signal`], and looks at the settings in `file` again
-    /// on a hang-up signal and now and then, as they may change without one.
+    /// Like [`Daemon::run_until_signal`], and reloads the settings in `file` on
+    /// SIGHUP, and periodically since they may change without a signal.
     ///
     /// # Errors
     ///
@@ -362,7 +362,7 @@
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
         let mut hang_up = signal(SignalKind::hangup())?;
-        let mut look = tokio::time::interval(SETTINGS_INTERVAL);
+        let mut check = tokio::time::interval(SETTINGS_CHECK_INTERVAL);
         let mut superseded = self.superseded.clone();
         loop {
             tokio::select! {
@@ -371,15 +371,15 @@
                 // The fleet actor, which holds the sender, stops only with the process.
                 _ = superseded.wait_for(|superseded| *superseded) => break,
                 _ = hang_up.recv() => self.reload(&mut file, true),
-                _ = look.tick() => self.reload(&mut file, false),
+                _ = check.tick() => self.reload(&mut file, false),
             }
         }
         self.stop().await;
         Ok(())
     }
 
-    /// Takes what can change while the daemon runs from changed settings; wrong
-    /// ones leave the old ones in force.
+    /// Applies the settings that can change at runtime; invalid settings are
+    /// logged and the current ones stay active.
     fn reload(&mut self, file: &mut Option<SettingsFile>, asked: bool) {
         let Some(file) = file else { return };
         match file.changed() {
@@ -395,13 +395,13 @@
         }
     }
 
-    /// Stops gracefully: serves on while callers may still hold this VM's
-    /// address, then takes no further request and finishes those in flight.
+    /// Stops gracefully: still serves while callers may hold this VM's address,
+    /// then accepts no further requests and finishes those in flight.
     pub async fn stop(self) {
         self.leave().drain().await.finish().await;
     }
 
-    /// Tells the other VMs that this one stops, and hands its shards over.
+    /// Hands this VM's shards over and announces to the other VMs that it leaves.
     pub fn leave(self) -> LeavingDaemon {
         self.leaving.send_replace(true);
         // The fleet actor stops only with the process.
@@ -409,7 +409,7 @@
         LeavingDaemon(self)
     }
 
-    /// Returns for how long answers that name this VM may still be used.
+    /// Returns how long callers may still use entry answers that list this VM.
     fn entry_drain(&self) -> Duration {
         let least = Duration::from_millis(self.context.settings.entry_drain_ms);
         let Some(active) = &self.context.view().active else { return least };
@@ -418,8 +418,8 @@
 }
 
 impl LeavingDaemon {
-    /// Serves until the last answer that names this VM has run out, then takes
-    /// no further connection.
+    /// Serves until the last entry answer that lists this VM has expired, then
+    /// accepts no further connections.
     pub async fn drain(self) -> StoppingDaemon {
         let entry_drain = self.0.entry_drain();
         log::info!("event=leaving entry_drain_ms={}", entry_drain.as_millis());
@@ -431,7 +431,7 @@
 }
 
 impl StoppingDaemon {
-    /// Waits for the requests in flight, up to the limit of the settings.
+    /// Waits for requests in flight, up to `limits.shutdown_ms` of the settings.
     pub async fn finish(self) {
         let Daemon { context, connections, .. } = self.0;
         let limit = Duration::from_millis(context.settings.limits.shutdown_ms);
--- a/crates/pistachiotrackd/src/daemon/sockets.rs
+++ b/crates/pistachiotrackd/src/daemon/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets that the daemon listens at.
+//! Listening sockets of the daemon.
 
 use std::{
     net::SocketAddr,
@@ -11,10 +11,10 @@
 use super::StartError;
 use crate::settings::Settings;
 
-/// Ports that are tried where the system chooses the peer port.
-const PEER_PORT_TRIES: u32 = 16;
+/// Maximum number of ports that are tried if the system chooses the peer port.
+const MAX_PEER_PORT_TRIES: u32 = 16;
 
-/// Sockets that the daemon listens at.
+/// Listening sockets of the daemon.
 pub(super) struct Sockets {
     pub(super) caller: TcpListener,
     pub(super) peer: TcpListener,
@@ -25,7 +25,7 @@
 }
 
 impl Sockets {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses in the settings.
     ///
     /// # Errors
     ///
@@ -39,7 +39,7 @@
         Ok(Sockets { caller, peer, membership, admin, readiness, directory })
     }
 
-    /// Returns this VM, with the addresses that the system chose.
+    /// Returns the description of this VM, with the addresses that were bound.
     pub(super) fn vm(&self, settings: &Settings) -> Vm {
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Vm {
@@ -57,8 +57,8 @@
 
 /// Binds the peer address for both protocols.
 ///
-/// Where the system chooses the port, it chooses one that is free for TCP but may
-/// be taken for UDP; then it is asked again.
+/// If the system chooses the port, it chooses one that is free for TCP but may be
+/// in use for UDP; another port is tried in that case.
 async fn bind_peer(address: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
     let mut tries = 1;
     loop {
@@ -66,7 +66,7 @@
         let chosen = local_address("peer_address", &peer)?;
         match UdpSocket::bind(chosen).await {
             Ok(membership) => return Ok((peer, membership)),
-            Err(_) if address.port() == 0 && tries < PEER_PORT_TRIES => tries += 1,
+            Err(_) if address.port() == 0 && tries < MAX_PEER_PORT_TRIES => tries += 1,
             Err(source) => {
                 return Err(StartError::Bind { field: "peer_address", address: chosen, source });
             }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns the address that a socket of the settings' `field` listens at.
+/// Returns the local address of the socket bound for the settings' `field`.
 pub(super) fn local_address(
     field: &'static str,
     socket: &TcpListener,
@@ -97,7 +97,7 @@
     socket.local_addr().map_err(|source| StartError::Bind { field, address: unknown, source })
 }
 
-/// As [`local_address`], of a socket that may be missing.
+/// Like [`local_address`], for an optional socket.
 pub(super) fn optional_address(
     field: &'static str,
     socket: &Option<TcpListener>,
--- a/crates/pistachiotrackd/src/exit_codes.rs
+++ b/crates/pistachiotrackd/src/exit_codes.rs
@@ -2,18 +2,18 @@
 
 use std::process::ExitCode as ProcessExitCode;
 
-/// How the daemon ended.
+/// Result of the daemon process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCode {
-    /// It stopped as asked, or only printed its help or version.
+    /// The daemon stopped on request, or only printed its help or version.
     Success,
-    /// It started but failed while running.
+    /// The daemon started but failed while running.
     RuntimeError,
-    /// The command line is not valid.
+    /// The command line is invalid.
     UsageError,
     /// The settings file can't be read or holds an invalid value.
     SettingsError,
-    /// An address of the settings can't be bound.
+    /// An address in the settings can't be bound.
     BindError,
 }
 
--- a/crates/pistachiotrackd/src/exposition.rs
+++ b/crates/pistachiotrackd/src/exposition.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies as text for a collector of metrics.
+//! Metrics in the text format of Prometheus.
 
 use std::{fmt, sync::Arc};
 
@@ -11,22 +11,22 @@
 
 use crate::{context::Context, fleet::ConfigStatus, traffic::LinkCount};
 
-/// Start of every name.
-const PREFIX: &str = "pistachiotrack";
+/// Prefix of every metric name.
+const METRIC_PREFIX: &str = "pistachiotrack";
 
-/// Reads the daemon's counters and latencies when it is asked.
-struct Daemon {
+/// Collects the daemon's counters and latencies when metrics are requested.
+struct DaemonCollector {
     context: Arc<Context>,
     config: ConfigStatus,
 }
 
-impl fmt::Debug for Daemon {
+impl fmt::Debug for DaemonCollector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Daemon")
     }
 }
 
-impl Collector for Daemon {
+impl Collector for DaemonCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
         let context = &self.context;
         let mut counters = context.metrics.counters();
@@ -40,7 +40,7 @@
                 encoder.encode_descriptor(&counter.name, "Events", None, value.metric_type())?;
             value.encode(metric)?;
         }
-        links(&mut encoder, &context.traffic.links())?;
+        encode_links(&mut encoder, &context.traffic.links())?;
         let view = context.view();
         let version = view.active.as_ref().map(|active| active.config.version);
         let gauges = [
@@ -60,14 +60,22 @@
             "Part of it in which no endpoint had a hand",
             "Time until a request is first sent to an endpoint",
         ];
-        latencies(&mut encoder, "latency_us", total, context.total_latency.statuses())?;
-        latencies(&mut encoder, "added_latency_us", added, context.added_latency.statuses())?;
-        latencies(&mut encoder, "queued_us", queued, context.queue_latency.statuses())
+        encode_latencies(&mut encoder, "latency_us", total, context.total_latency.statuses())?;
+        encode_latencies(
+            &mut encoder,
+            "added_latency_us",
+            added,
+            context.added_latency.statuses(),
+        )?;
+        encode_latencies(&mut encoder, "queued_us", queued, context.queue_latency.statuses())
     }
 }
 
-/// Writes what was said to whom, in messages and in bytes.
-fn links(encoder: &mut DescriptorEncoder<'_>, links: &[LinkCount]) -> Result<(), fmt::Error> {
+/// Encodes the message and byte counts by topic, locality and direction.
+fn encode_links(
+    encoder: &mut DescriptorEncoder<'_>,
+    links: &[LinkCount],
+) -> Result<(), fmt::Error> {
     let families = [
         ("link_messages", "Messages", LinkCount::messages as fn(&LinkCount) -> u64),
         ("link_bytes", "Payload without the heads of HTTP, TCP and UDP", LinkCount::bytes),
@@ -84,7 +92,7 @@
     Ok(())
 }
 
-fn latencies(
+fn encode_latencies(
     encoder: &mut DescriptorEncoder<'_>,
     name: &str,
     help: &str,
@@ -112,14 +120,14 @@
     Ok(())
 }
 
-/// Returns all metrics as text.
+/// Returns all metrics in text format.
 ///
 /// # Errors
 ///
-/// Returns an error if a metric has no text form.
+/// Returns an error if a metric can't be encoded.
 pub(crate) fn text(context: &Arc<Context>, config: ConfigStatus) -> Result<String, fmt::Error> {
-    let mut registry = Registry::with_prefix(PREFIX);
-    registry.register_collector(Box::new(Daemon { context: Arc::clone(context), config }));
+    let mut registry = Registry::with_prefix(METRIC_PREFIX);
+    registry.register_collector(Box::new(DaemonCollector { context: Arc::clone(context), config }));
     let mut text = String::new();
     text::encode(&mut text, &registry)?;
     Ok(text)
