--- a/crates/pistachiotrackd/src/fleet.rs
+++ b/crates/pistachiotrackd/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The actor that holds this VM's picture of the fleet: members, owners and the
-//! configuration.
+//! The actor that maintains this VM's view of the fleet: members, shard owners
+//! and the configuration.
 
 mod config_status;
 mod leave;
@@ -49,32 +49,32 @@
     view::{ActiveConfig, FleetView},
 };
 
-/// Time between two looks at what is due. Nothing of the fleet is due more often
-/// than every few hundred milliseconds, so this costs little precision.
+/// Interval of the ticks. The fleet's timers run at intervals of a few hundred
+/// milliseconds or more, so that this interval costs little precision.
 pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time allowed for a peer's answer about the configuration.
+/// Timeout of a configuration pull from a peer.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two updates of the owners without any known cause, which lets
-/// hysteresis come to its end.
-const OWNERSHIP_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two sweeps of the connection pools.
+/// Interval of ownership updates without a membership or configuration change;
+/// needed for changes that hysteresis delays.
+const OWNERSHIP_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the connection pools are last_sweep.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the fleet actor is started with.
+/// Arguments of the fleet actor.
 pub(crate) struct FleetArgs {
-    /// What all parts share.
+    /// State shared by all parts of the daemon.
     pub(crate) context: Arc<Context>,
-    /// Where snapshots are published.
+    /// Channel that snapshots are published to.
     pub(crate) view: watch::Sender<Arc<FleetView>>,
-    /// Socket of the membership messages.
+    /// Socket of the membership datagrams.
     pub(crate) socket: Arc<UdpSocket>,
-    /// Becomes true when a newer daemon runs under this VM's name.
+    /// Set to true when a newer daemon runs under this VM's name.
     pub(crate) superseded: watch::Sender<bool>,
-    /// Seed of every random choice.
+    /// Seed of the random number generators.
     pub(crate) seed: u64,
 }
 
-/// The actor that holds this VM's picture of the fleet.
+/// The actor that maintains this VM's view of the fleet.
 pub(crate) struct Fleet {
     context: Arc<Context>,
     view: watch::Sender<Arc<FleetView>>,
@@ -92,7 +92,7 @@
     active: Option<Arc<ActiveConfig>>,
     published_revision: Option<u64>,
     ownership_updated: Time,
-    swept: Time,
+    last_sweep: Time,
 }
 
 impl Actor for Fleet {
@@ -106,8 +106,8 @@
         let settings = &context.settings;
         let (watching, is_watching) = watch::channel(false);
         let deployment = settings.deployment.clone();
-        // Without its deployment a datagram of another one that reaches this
-        // address, as one may after addresses were reassigned, would be taken.
+        // The deployment is checked since datagrams of another deployment may
+        // arrive after addresses were reassigned.
         let membership_settings = MembershipSettings {
             deployment: deployment.clone(),
             seeds: settings.seeds(me.peer_address.port()),
@@ -145,7 +145,7 @@
             active: None,
             published_revision: None,
             ownership_updated: now,
-            swept: now,
+            last_sweep: now,
         })
     }
 }
@@ -161,7 +161,7 @@
     }
 }
 
-/// A datagram of another VM.
+/// A membership datagram from another VM.
 pub(crate) struct Datagram {
     /// Sender.
     pub(crate) from: SocketAddr,
@@ -183,7 +183,7 @@
     }
 }
 
-/// The platform's answer to a watch of the configuration.
+/// The configuration source's response to a read or watch.
 pub(crate) struct SourceResponse(pub(crate) Result<Option<PublishedConfig>, SourceError>);
 
 impl Message<SourceResponse> for Fleet {
@@ -217,7 +217,7 @@
     }
 }
 
-/// The platform's list of VMs.
+/// The VM list as read from the platform.
 pub(crate) struct VmListReceived(pub(crate) VmList);
 
 impl Message<VmListReceived> for Fleet {
@@ -231,12 +231,12 @@
         let actions = self.membership.on_vm_list(now, &message.0);
         self.apply_membership(now, actions);
         self.update_ownership(now);
-        // The list brings members without a change of any state.
+        // The list may add members without any state change.
         self.publish();
     }
 }
 
-/// Changes the addresses of VMs that may know the fleet.
+/// Sets the seed addresses of the membership.
 pub(crate) struct SetSeeds(pub(crate) Vec<SocketAddr>);
 
 impl Message<SetSeeds> for Fleet {
@@ -247,8 +247,8 @@
     }
 }
 
-/// Answers another VM that asks for a newer configuration; `None` if its
-/// question can't be decoded.
+/// Handles another VM's pull request for a newer configuration; replies `None`
+/// if the request can't be decoded.
 pub(crate) struct HandlePull(pub(crate) Bytes);
 
 impl Message<HandlePull> for Fleet {
@@ -263,12 +263,12 @@
     }
 }
 
-/// Another VM's answer about the configuration; `None` if none came.
+/// Result of a configuration pull from another VM.
 pub(crate) struct PullFinished {
-    /// The VM that was asked.
+    /// The VM that the request was sent to.
     pub(crate) vm: Name,
-    /// Its encoded answer.
-    pub(crate) answer: Option<Bytes>,
+    /// Its encoded response; `None` if the pull failed.
+    pub(crate) response: Option<Bytes>,
 }
 
 impl Message<PullFinished> for Fleet {
@@ -276,7 +276,7 @@
 
     async fn handle(&mut self, message: PullFinished, _: &mut MessageContext<Self, ()>) {
         let now = self.context.clock.now();
-        let actions = self.sync.on_pull_response(now, &message.vm, message.answer.as_deref());
+        let actions = self.sync.on_pull_response(now, &message.vm, message.response.as_deref());
         self.apply_config(now, actions);
     }
 }
@@ -288,11 +288,11 @@
         let actions = self.sync.on_tick(now, self.membership.members());
         self.apply_config(now, actions);
         self.config_log.on_tick(now, &self.sync);
-        if now.since(self.ownership_updated) >= OWNERSHIP_INTERVAL {
+        if now.since(self.ownership_updated) >= OWNERSHIP_UPDATE_INTERVAL {
             self.update_ownership(now);
         }
-        if now.since(self.swept) >= SWEEP_INTERVAL {
-            self.swept = now;
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.context.endpoints.sweep();
             self.context.peers.sweep();
         }
@@ -303,9 +303,9 @@
         for action in actions {
             match action {
                 MembershipAction::Send { to, bytes } => {
-                    let place = self.context.view.borrow().locality(to);
-                    let about = (Topic::Membership, place);
-                    udp::send(&self.socket, to, &bytes, &self.context.traffic, about);
+                    let locality = self.context.view.borrow().locality(to);
+                    let label = (Topic::Membership, locality);
+                    udp::send(&self.socket, to, &bytes, &self.context.traffic, label);
                 }
                 MembershipAction::StateChanged { vm } => {
                     self.log_member(&vm);
@@ -323,18 +323,18 @@
         if changed || reported {
             self.publish();
         }
-        self.notice_successor();
+        self.check_superseded();
     }
 
-    /// Has the daemon stop when a newer one runs under its name: the others
-    /// leave this one aside, so what it owns and answers is no longer true.
-    fn notice_successor(&self) {
-        let noticed = |superseded: &mut bool| {
+    /// Stops the daemon when a newer one runs under this VM's name: other VMs
+    /// ignore this one, so that its ownership and its answers are outdated.
+    fn check_superseded(&self) {
+        let set_once = |superseded: &mut bool| {
             let first = self.membership.is_superseded() && !*superseded;
             *superseded |= first;
             first
         };
-        if self.superseded.send_if_modified(noticed) {
+        if self.superseded.send_if_modified(set_once) {
             log::error!("event=superseded vm={}", self.context.me.name);
         }
     }
@@ -355,9 +355,9 @@
         for action in actions {
             match action {
                 ConfigAction::Watch { after } => self.watch(after),
-                ConfigAction::Read { after } => self.ask_source(after, Duration::ZERO),
+                ConfigAction::Read { after } => self.read_source(after, Duration::ZERO),
                 ConfigAction::Pull { vm, request } => self.pull(vm, request),
-                ConfigAction::Activate(config) => self.put_in_force(now, config),
+                ConfigAction::Activate(config) => self.activate(now, config),
                 ConfigAction::Rejected(error) => {
                     self.context.metrics.count(Event::ConfigRejected);
                     log::error!("event=config_rejected error={:?}", error.to_string());
@@ -372,33 +372,35 @@
         }
     }
 
-    fn pull(&self, vm: Vm, question: Vec<u8>) {
+    fn pull(&self, vm: Vm, request: Vec<u8>) {
         let Some(fleet) = self.actor_ref.upgrade() else { return };
         let traffic = Arc::clone(&self.context.traffic);
-        let place = Locality::of(&vm.data_centre, &self.context.me.data_centre);
+        let locality = Locality::of(&vm.data_centre, &self.context.me.data_centre);
         tokio::spawn(async move {
-            traffic.sent(Topic::Configuration, place, question.len());
-            let answer =
-                peer_client::send_request(vm.peer_address, CONFIG_PATH, question, PULL_TIMEOUT);
-            let answer = answer
+            traffic.sent(Topic::Configuration, locality, request.len());
+            let response =
+                peer_client::send_request(vm.peer_address, CONFIG_PATH, request, PULL_TIMEOUT);
+            let response = response
                 .await
-                .inspect(|answer| traffic.received(Topic::Configuration, place, answer.len()))
+                .inspect(|response| {
+                    traffic.received(Topic::Configuration, locality, response.len())
+                })
                 .inspect_err(|error| {
                     let error = error.to_string();
                     log::warn!("event=config_pull_failed vm={} error={error:?}", vm.name);
                 })
                 .ok();
             // The fleet actor stops only with the process.
-            let _ = fleet.tell(PullFinished { vm: vm.name, answer }).try_send();
+            let _ = fleet.tell(PullFinished { vm: vm.name, response }).try_send();
         });
     }
 
     fn watch(&mut self, after: Option<u64>) {
         self.watching.send_replace(true);
-        self.ask_source(after, self.watch_wait);
+        self.read_source(after, self.watch_wait);
     }
 
-    fn ask_source(&mut self, after: Option<u64>, wait: Duration) {
+    fn read_source(&mut self, after: Option<u64>, wait: Duration) {
         let Some(fleet) = self.actor_ref.upgrade() else { return };
         let source = Arc::clone(&self.source);
         self.replace_watch(tokio::spawn(async move {
@@ -409,18 +411,18 @@
     }
 
     fn replace_watch(&mut self, watch: JoinHandle<()>) {
-        // A watch that was given up must not bring its late end to the new one.
+        // The late response of a replaced watch must not be taken for the new one's.
         if let Some(older) = self.waiting_watch.replace(watch.abort_handle()) {
             older.abort();
         }
     }
 
-    fn put_in_force(&mut self, now: Time, config: Arc<Config>) {
+    fn activate(&mut self, now: Time, config: Arc<Config>) {
         log::info!("event=config_in_force version={} rules={}", config.version, config.rules.len());
         self.membership.set_config_version(config.version);
         self.source.on_active_config(&config);
         for (_, shard) in self.context.shards.running() {
-            // A shard whose actor has stopped starts anew with this one.
+            // A shard whose actor has stopped restarts with this configuration.
             let _ = shard.tell(NewConfig(Arc::clone(&config))).try_send();
         }
         self.active = Some(Arc::new(ActiveConfig::new(config)));
@@ -428,7 +430,7 @@
         self.retire_shards();
     }
 
-    /// Stops the shards that the configuration no longer has.
+    /// Stops the shards that the configuration no longer contains.
     fn retire_shards(&self) {
         let Some(active) = &self.active else { return };
         let exists = |shard: &pistachiotrack_core::ownership::ShardId| {
--- a/crates/pistachiotrackd/src/fleet/config_status.rs
+++ b/crates/pistachiotrackd/src/fleet/config_status.rs
@@ -1,4 +1,4 @@
-//! What logs and metrics tell of how this VM gets its configuration.
+//! Status of the configuration sync for logs and metrics.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 
 use super::Fleet;
 
-/// Time for which a version may be on its way without a line, and time between two lines.
-const BEHIND_INTERVAL: Duration = Duration::from_millis(500);
+/// Version lag after which a line is logged, and interval between two such lines.
+const LAG_LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks how this VM gets its configuration.
+/// Requests the status of the configuration sync.
 pub(crate) struct GetConfigStatus;
 
-/// How this VM gets its configuration, and whether it can be used.
+/// Status of the configuration sync.
 #[derive(Clone, Debug, Default, kameo::Reply)]
 pub(crate) struct ConfigStatus {
-    /// Why the newest published configuration was not accepted.
+    /// Why the latest published configuration was rejected.
     pub(crate) error: Option<String>,
-    /// Time since the platform's service last answered.
+    /// Time since the last response of the platform's configuration service.
     pub(crate) platform_age_ms: Option<u64>,
-    /// Time since this VM heard of a version that it doesn't hold.
+    /// Time since a peer first reported a version that this VM doesn't hold.
     pub(crate) behind_ms: Option<u64>,
 }
 
@@ -36,31 +36,31 @@
         _: &mut MessageContext<Self, ConfigStatus>,
     ) -> ConfigStatus {
         let now = self.context.clock.now();
-        let behind = self.sync.version_lag();
+        let lag = self.sync.version_lag();
         ConfigStatus {
             error: self.sync.last_error().map(ToString::to_string),
             platform_age_ms: self.sync.time_since_platform_response(now).map(millis),
-            behind_ms: behind.map(|behind| millis(now.since(behind.since))),
+            behind_ms: lag.map(|lag| millis(now.since(lag.since))),
         }
     }
 }
 
-/// What was last written of the configuration's spread.
+/// Logs changes of the sync role and version lag.
 #[derive(Debug, Default)]
 pub(super) struct ConfigLog {
     role: Option<Role>,
-    behind_told: Option<Time>,
+    lag_logged_at: Option<Time>,
 }
 
 impl ConfigLog {
-    /// Writes a line when this VM begins or ceases to read the platform, and while it lacks
-    /// a version that it has heard of.
+    /// Logs a line when this VM's role in reading the platform changes, and at intervals while
+    /// a version that peers report is missing.
     pub(super) fn on_tick(&mut self, now: Time, sync: &ConfigSync) {
-        self.tell_role(now, sync);
-        self.tell_behind(now, sync);
+        self.log_role(now, sync);
+        self.log_lag(now, sync);
     }
 
-    fn tell_role(&mut self, now: Time, sync: &ConfigSync) {
+    fn log_role(&mut self, now: Time, sync: &ConfigSync) {
         let role = sync.role();
         if std::mem::replace(&mut self.role, role) == role {
             return;
@@ -74,20 +74,20 @@
         }
     }
 
-    fn tell_behind(&mut self, now: Time, sync: &ConfigSync) {
-        let Some(behind) = sync.version_lag() else { return };
-        let told = self.behind_told.map_or(behind.since, |told| told.max(behind.since));
-        if now.since(told) < BEHIND_INTERVAL {
+    fn log_lag(&mut self, now: Time, sync: &ConfigSync) {
+        let Some(lag) = sync.version_lag() else { return };
+        let logged_at = self.lag_logged_at.map_or(lag.since, |at| at.max(lag.since));
+        if now.since(logged_at) < LAG_LOG_INTERVAL {
             return;
         }
-        self.behind_told = Some(now);
+        self.lag_logged_at = Some(now);
         log::warn!(
             "event=config_behind in_force={:?} heard={} behind_ms={} holders={} asking={}",
             sync.version(),
-            behind.version,
-            millis(now.since(behind.since)),
-            behind.holder_count,
-            behind.pulling_from.as_deref().unwrap_or("none")
+            lag.version,
+            millis(now.since(lag.since)),
+            lag.holder_count,
+            lag.pulling_from.as_deref().unwrap_or("none")
         );
     }
 }
--- a/crates/pistachiotrackd/src/fleet/leave.rs
+++ b/crates/pistachiotrackd/src/fleet/leave.rs
@@ -1,4 +1,4 @@
-//! How this VM leaves the fleet.
+//! Graceful leave of this VM.
 
 use kameo::message::{Context, Message};
 use pistachiotrack_core::{service::Service, time::Time};
@@ -6,13 +6,13 @@
 
 use super::Fleet;
 
-/// Hands this VM's shards over, then tells the other VMs that it is stopping.
+/// Hands this VM's shards over, then announces to the other VMs that it is leaving.
 ///
-/// Failure guarded against: a shard's heir hears that the owner leaves and takes
-/// requests while the hand-over is still on its way. It shows as a booking that is
-/// sent to an endpoint which the old owner had ejected. The guard holds because
-/// nobody hears of the leaving before the heirs have the hand-over, or can't be
-/// reached; what changes meanwhile follows in a second one.
+/// If the leave were announced first, a shard's successor could take requests
+/// before the hand-over arrives, and send a booking to an endpoint that the old
+/// owner had ejected. Hence the leave is announced only when each successor has
+/// received the hand-over or can't be reached; changes in the meantime follow in a
+/// second hand-over.
 pub(crate) struct Leave;
 
 impl Message<Leave> for Fleet {
@@ -20,9 +20,9 @@
 
     async fn handle(&mut self, _: Leave, _: &mut Context<Self, ()>) {
         let Some(fleet) = self.actor_ref.upgrade() else { return };
-        let mut handed_over = self.hand_over_ahead(self.context.clock.now());
+        let mut handed_over = self.hand_over_exclusive_shards(self.context.clock.now());
         tokio::spawn(async move {
-            // Ends when the last hand-over has dropped its sender.
+            // Returns when all hand-overs have dropped their senders.
             handed_over.recv().await;
             // The fleet actor stops only with the process.
             let _ = fleet.tell(AnnounceLeaving).try_send();
@@ -30,7 +30,7 @@
     }
 }
 
-/// Tells the other VMs that this one is stopping.
+/// Announces to the other VMs that this one is leaving.
 struct AnnounceLeaving;
 
 impl Message<AnnounceLeaving> for Fleet {
@@ -46,20 +46,20 @@
 }
 
 impl Fleet {
-    /// Hands the shards over that this VM owns alone, while it still owns them;
-    /// the channel closes when all heirs have been told or given up.
-    fn hand_over_ahead(&self, now: Time) -> mpsc::Receiver<()> {
-        let (told, all_told) = mpsc::channel(1);
-        let Some(active) = &self.active else { return all_told };
-        let heirs = self.ownership.successors(now, &active.config, self.membership.members());
-        for (shard, heir) in heirs {
+    /// Hands over the shards of which this VM is the only owner, while it still owns
+    /// them; the channel closes when every hand-over was delivered or has failed.
+    fn hand_over_exclusive_shards(&self, now: Time) -> mpsc::Receiver<()> {
+        let (done, all_done) = mpsc::channel(1);
+        let Some(active) = &self.active else { return all_done };
+        let successors = self.ownership.successors(now, &active.config, self.membership.members());
+        for (shard, successor) in successors {
             if active.service(&shard.service).is_some_and(Service::is_shared) {
                 continue;
             }
-            if let Some(heir) = self.membership.member(&heir) {
-                self.context.shards.hand_over(&shard, heir.vm.clone(), Some(told.clone()));
+            if let Some(successor) = self.membership.member(&successor) {
+                self.context.shards.hand_over(&shard, successor.vm.clone(), Some(done.clone()));
             }
         }
-        all_told
+        all_done
     }
 }
--- a/crates/pistachiotrackd/src/histogram.rs
+++ b/crates/pistachiotrackd/src/histogram.rs
@@ -1,4 +1,4 @@
-//! Latency histograms of each customer and class.
+//! Latency histograms by customer and request class.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -9,36 +9,36 @@
 use pistachiotrack_core::{admin::HistogramStatus, name::Name, request::Class};
 use rustc_hash::FxHashMap;
 
-/// Customers and classes that have a histogram of their own; all others share
-/// one, so that memory stays bounded whatever callers send.
+/// Maximum number of customers and classes with a histogram of their own; further
+/// customers share one per class, so that callers can't make memory grow without bound.
 const MAX_HISTOGRAMS: usize = 256;
-/// Name under which the others are counted.
-const OTHERS: &str = "(others)";
-/// Largest latency told apart, in microseconds.
+/// Customer name of the shared histograms.
+const OTHER_CUSTOMERS: &str = "(others)";
+/// Largest latency that is recorded; longer ones count as this.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of a latency.
-const DIGITS: u8 = 2;
+/// Significant digits of recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// The histograms of one latency, by customer and class.
+/// Histograms of one kind of latency, by customer and class.
 #[derive(Debug, Default)]
 pub(crate) struct Histograms {
     by_key: Mutex<FxHashMap<(Name, Class), Histogram<u32>>>,
 }
 
 impl Histograms {
-    /// Counts a latency.
+    /// Records a latency.
     pub(crate) fn record(&self, customer: &Name, class: Class, latency: Duration) {
         let latency_us = (latency.as_micros() as u64).clamp(1, MAX_LATENCY_US);
         let mut by_key = self.by_key.lock().unwrap_or_else(PoisonError::into_inner);
         let mut key = (customer.clone(), class);
         if by_key.len() >= MAX_HISTOGRAMS && !by_key.contains_key(&key) {
-            key.0 = Name::from(OTHERS);
+            key.0 = Name::from(OTHER_CUSTOMERS);
         }
         let histogram = by_key.entry(key).or_insert_with(new_histogram);
         histogram.saturating_record(latency_us);
     }
 
-    /// Returns the histograms for the admin port, in the order of their names.
+    /// Returns the histograms for the admin port, sorted by customer and class.
     pub(crate) fn statuses(&self) -> Vec<HistogramStatus> {
         let by_key = self.by_key.lock().unwrap_or_else(PoisonError::into_inner);
         let mut statuses: Vec<HistogramStatus> =
@@ -49,7 +49,8 @@
 }
 
 fn new_histogram() -> Histogram<u32> {
-    Histogram::new_with_max(MAX_LATENCY_US, DIGITS).expect("the bounds are valid constants")
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .expect("the bounds are valid constants")
 }
 
 fn status(customer: &Name, class: Class, histogram: &Histogram<u32>) -> HistogramStatus {
--- a/crates/pistachiotrackd/src/lib.rs
+++ b/crates/pistachiotrackd/src/lib.rs
@@ -1,9 +1,9 @@
 //! The daemon of pistachiotrack: the same program on every VM of a deployment.
 //!
-//! It accepts callers' requests, sends each to the shard that its rules name and
-//! from there to an endpoint. Every decision is taken by `pistachiotrack-core`;
-//! this crate translates sockets, timers and signals into its events and its
-//! actions back into bytes.
+//! It accepts callers' requests, routes each to the shard that the rules select
+//! and dispatches it from there to an endpoint. All decisions are made by
+//! `pistachiotrack-core`; this crate does the I/O: it turns sockets, timers and
+//! signals into events for the core and carries out the core's actions.
 
 mod admin;
 mod answer;
--- a/crates/pistachiotrackd/src/logging.rs
+++ b/crates/pistachiotrackd/src/logging.rs
@@ -1,9 +1,9 @@
-//! Logs: one line of key=value pairs for each event, on standard error or output.
+//! Logging: one line of key=value pairs for each event, to standard error or output.
 //!
-//! Writing never blocks and its volume is bounded: lines go through a queue to a
-//! thread of their own, within a budget of lines, and what is left out is counted
-//! and said. Warnings, such as a failed attempt or a refusal, have a budget apart,
-//! so that no flood of ordinary lines takes their place.
+//! Logging never blocks and its rate is limited: lines are queued for a writer
+//! thread, and dropped lines are counted and reported. Warnings and errors, such as
+//! a failed attempt or a refusal, have a rate limit of their own, so that a flood of
+//! other lines can't displace them.
 
 use std::{
     io::{self, Write},
@@ -21,21 +21,21 @@
 
 use crate::settings::{LogOutput, Settings};
 
-/// Lines that may wait to be written, about 200 kB.
-const QUEUED_LINES: usize = 1_024;
-/// Lines a second of each kind, and how many seconds' worth may come at once. A VM
-/// that takes 20 requests a second writes fewer even if all fail; the start of a
-/// fleet of 48 brings 47 lines.
+/// Maximum number of queued lines, about 200 kB.
+const MAX_QUEUED_LINES: usize = 1_024;
+/// Rate limit of each kind of lines, and the size of a burst in seconds of that rate.
+/// A VM with 20 requests per second logs less than that even if all fail; the start
+/// of a fleet of 48 VMs logs 47 lines.
 const LINES_PER_SECOND: f64 = 200.0;
 const BURST_SECONDS: f64 = 4.0;
-/// Time for which a flush waits for the thread that writes.
-const FLUSH_WAIT: Duration = Duration::from_millis(200);
+/// Time for which a flush waits for the writer thread.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Starts the logger of the process.
 ///
 /// # Errors
 ///
-/// Returns an error if a logger runs already.
+/// Returns an error if a logger is already running.
 pub fn start(settings: &Settings) -> Result<LoggerHandle, FlexiLoggerError> {
     let writer = match settings.log_output {
         LogOutput::Stderr => BoundedWriter::start(io::stderr()),
@@ -49,52 +49,56 @@
     Flush(SyncSender<()>),
 }
 
-/// Writes lines without ever blocking those who log.
+/// A log writer that drops lines instead of blocking the caller.
 pub struct BoundedWriter {
     items: SyncSender<Item>,
-    left_out: Arc<AtomicU64>,
-    /// Budgets of warnings and of all other lines.
-    budgets: Mutex<[Budget; 2]>,
+    dropped_lines: Arc<AtomicU64>,
+    /// Rate limits of warnings and errors, and of all other lines.
+    buckets: Mutex<[TokenBucket; 2]>,
 }
 
-/// Lines that may be written now.
-struct Budget {
+/// Token bucket that limits the rate of lines.
+struct TokenBucket {
     lines: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
 }
 
-impl Budget {
-    fn new() -> Budget {
-        Budget { lines: LINES_PER_SECOND * BURST_SECONDS, filled_at: Instant::now() }
+impl TokenBucket {
+    fn new() -> TokenBucket {
+        TokenBucket { lines: LINES_PER_SECOND * BURST_SECONDS, refilled_at: Instant::now() }
     }
 
     fn take(&mut self) -> bool {
         let now = Instant::now();
-        let earned = now.duration_since(self.filled_at).as_secs_f64() * LINES_PER_SECOND;
-        self.filled_at = now;
-        self.lines = (self.lines + earned).min(LINES_PER_SECOND * BURST_SECONDS);
-        let has_line = self.lines >= 1.0;
-        if has_line {
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * LINES_PER_SECOND;
+        self.refilled_at = now;
+        self.lines = (self.lines + refill).min(LINES_PER_SECOND * BURST_SECONDS);
+        let has_token = self.lines >= 1.0;
+        if has_token {
             self.lines -= 1.0;
         }
-        has_line
+        has_token
     }
 }
 
 impl BoundedWriter {
-    /// Starts the thread that writes to `sink`.
+    /// Starts the writer thread, which writes to `sink`.
     pub fn start(sink: impl Write + Send + 'static) -> BoundedWriter {
-        let (items, queue) = mpsc::sync_channel(QUEUED_LINES);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&left_out);
-        thread::spawn(move || write_all(sink, &queue, &counted));
-        BoundedWriter { items, left_out, budgets: Mutex::new([Budget::new(), Budget::new()]) }
+        let (items, queue) = mpsc::sync_channel(MAX_QUEUED_LINES);
+        let dropped_lines = Arc::new(AtomicU64::new(0));
+        let dropped_count = Arc::clone(&dropped_lines);
+        thread::spawn(move || write_all(sink, &queue, &dropped_count));
+        BoundedWriter {
+            items,
+            dropped_lines,
+            buckets: Mutex::new([TokenBucket::new(), TokenBucket::new()]),
+        }
     }
 
     fn may_write(&self, level: Level) -> bool {
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
         let index = usize::from(level > Level::Warn);
-        budgets[index].take()
+        buckets[index].take()
     }
 }
 
@@ -105,35 +109,35 @@
             self.items.try_send(Item::Line(line)).is_ok()
         };
         if !fits {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
 
-    /// Waits a little for what is queued: a reader that doesn't read must not hold
-    /// up the end of the process.
+    /// Waits for the queued lines, but not longer than [`FLUSH_TIMEOUT`]: a stalled
+    /// reader of the log must not delay the end of the process.
     fn flush(&self) -> io::Result<()> {
         let (done, written) = mpsc::sync_channel(1);
         if self.items.try_send(Item::Flush(done)).is_ok() {
-            // Not written in time, or the thread has ended: nothing more can be done.
-            let _ = written.recv_timeout(FLUSH_WAIT);
+            // On a timeout, or if the thread has ended, the lines are lost.
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
-/// Writes what is queued until nobody logs any more or the sink is closed.
-fn write_all(mut sink: impl Write, queue: &Receiver<Item>, left_out: &AtomicU64) {
+/// Writes queued lines until the writer is dropped or the sink fails.
+fn write_all(mut sink: impl Write, queue: &Receiver<Item>, dropped_lines: &AtomicU64) {
     while let Ok(item) = queue.recv() {
-        let count = left_out.swap(0, Ordering::Relaxed);
-        let noted = match count {
+        let count = dropped_lines.swap(0, Ordering::Relaxed);
+        let reported = match count {
             0 => Ok(()),
             count => writeln!(sink, "level=warn event=log_lines_left_out count={count}"),
         };
-        let written = noted.and_then(|()| match item {
+        let written = reported.and_then(|()| match item {
             Item::Line(line) => sink.write_all(line.as_bytes()),
             Item::Flush(done) => {
-                // Who asked may have stopped waiting.
+                // The caller of `flush` may have timed out.
                 let _ = done.try_send(());
                 sink.flush()
             }
--- a/crates/pistachiotrackd/src/main.rs
+++ b/crates/pistachiotrackd/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the daemon of pistachiotrack.
+//! Entry point of the pistachiotrack daemon.
 
 mod cli;
 
