--- a/crates/pistachiotrackd/src/metrics.rs
+++ b/crates/pistachiotrackd/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the daemon, shown at the admin port and sent to statsd.
+//! Counters of the daemon, exposed at the admin port and sent to statsd.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -11,46 +11,46 @@
 };
 use pistachiotrack_core::{admin::Counter, name::Name, request::Class};
 
-/// Prefix of every metric.
-const PREFIX: &str = "pistachiotrack";
-/// Metrics that may wait to be sent; more are dropped.
-const QUEUED_METRICS: usize = 4_096;
+/// Prefix of every metric name.
+const METRIC_PREFIX: &str = "pistachiotrack";
+/// Maximum number of queued statsd metrics; further ones are dropped.
+const MAX_QUEUED_METRICS: usize = 4_096;
 
-/// What the daemon counts.
+/// Events that the daemon counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
-    /// A caller's request came in.
+    /// A request was received from a caller.
     Request,
-    /// An endpoint's answer was passed on.
+    /// An endpoint's response was returned to the caller.
     Answer,
-    /// A request was refused and was certainly not run.
+    /// A request was refused and certainly not executed.
     RefusedNotRun,
-    /// A request was refused and may have run.
+    /// A request was refused and may have been executed.
     RefusedUnknown,
-    /// A caller went away before its answer began.
+    /// A caller closed its connection before its response began.
     CallerGone,
-    /// A request was sent on to another VM.
+    /// A request was forwarded to another VM.
     Forwarded,
-    /// Sending a request on to another VM failed.
+    /// Forwarding a request to another VM failed.
     ForwardFailed,
-    /// A request was sent on once more, as its answer was long in coming.
+    /// A request was forwarded a second time, since its response was late.
     ForwardedAgain,
-    /// A request of another VM came in.
+    /// A request was received from another VM.
     PeerRequest,
     /// A request was dispatched to an endpoint.
     Dispatch,
-    /// An attempt was held back because its moment had passed.
+    /// An attempt wasn't sent because it was too late for it.
     HeldBack,
     /// A health check was sent.
     Probe,
-    /// A connection was turned away because too many are open.
+    /// A connection was rejected because too many are open.
     ConnectionRejected,
-    /// A configuration was read and not accepted.
+    /// A configuration was read and rejected as invalid.
     ConfigRejected,
-    /// A datagram of another dispatcher was of another version or deployment, or couldn't
-    /// be read.
+    /// A datagram from a dispatcher was dropped because it has another version or
+    /// deployment, or can't be decoded.
     ShardDatagramDropped,
-    /// An endpoint broke a request's connection and takes no new ones.
+    /// An endpoint closed a request's connection and accepts no new ones.
     EndpointCrash,
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// The counters and where they are sent.
+/// The counters, and the statsd client that they are sent to.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     counters: [AtomicU64; Event::ALL.len()],
@@ -104,26 +104,26 @@
 }
 
 impl Metrics {
-    /// Creates the counters; they are sent to `statsd_address` if there is one.
+    /// Creates the counters; they are sent to `statsd_address` if it is set.
     ///
     /// # Errors
     ///
-    /// Returns an error if no socket can be had.
+    /// Returns an error if the socket can't be created.
     pub(crate) fn new(statsd_address: Option<SocketAddr>) -> Result<Metrics, MetricError> {
         let statsd = statsd_address.map(client).transpose()?;
         Ok(Metrics { counters: Default::default(), statsd })
     }
 
-    /// Counts an event.
+    /// Increments the counter of an event.
     pub(crate) fn count(&self, event: Event) {
         self.counters[event as usize].fetch_add(1, Ordering::Relaxed);
         if let Some(statsd) = &self.statsd {
-            // A metric that can't be queued is lost; requests don't wait for it.
+            // A metric that can't be queued is dropped, so that requests don't wait for it.
             let _ = statsd.count(event.name(), 1);
         }
     }
 
-    /// Sends the latency of a request.
+    /// Sends the latency of a request to statsd.
     pub(crate) fn time(&self, class: Class, latency: Duration) {
         if let Some(statsd) = &self.statsd {
             let _ = statsd
@@ -146,9 +146,12 @@
 }
 
 fn client(address: SocketAddr) -> Result<StatsdClient, MetricError> {
-    let any = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
-    let socket = UdpSocket::bind(any)?;
+    let unspecified = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+    let socket = UdpSocket::bind(unspecified)?;
     socket.set_nonblocking(true)?;
     let sink = BufferedUdpMetricSink::from(address, socket)?;
-    Ok(StatsdClient::from_sink(PREFIX, QueuingMetricSink::with_capacity(sink, QUEUED_METRICS)))
+    Ok(StatsdClient::from_sink(
+        METRIC_PREFIX,
+        QueuingMetricSink::with_capacity(sink, MAX_QUEUED_METRICS),
+    ))
 }
--- a/crates/pistachiotrackd/src/peer_client.rs
+++ b/crates/pistachiotrackd/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Puts questions to other VMs.
+//! Client for requests to other VMs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,44 +9,44 @@
 
 use crate::http_call::{self, CallError};
 
-/// Why another VM gave no answer.
+/// Why a request to another VM failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerError {
     /// The exchange failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The question could not be built.
+    /// The request can't be built.
     #[error("request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// It answered with an unexpected status.
+    /// The response has an unexpected status.
     #[error("status {0}")]
     Status(StatusCode),
-    /// It did not answer in time.
-    #[error("no answer within {}ms", .0.as_millis())]
+    /// No response arrived in time.
+    #[error("no response within {}ms", .0.as_millis())]
     TimedOut(Duration),
 }
 
-/// Sends an encoded question to the peer address of a VM.
+/// Sends an encoded request to the peer address of a VM and returns the body of its response.
 ///
 /// # Errors
 ///
-/// Returns an error if no whole answer comes within `timeout`.
+/// Returns an error if no complete response arrives within `timeout`.
 pub(crate) async fn send_request(
     peer: SocketAddr,
     path: &str,
-    question: Vec<u8>,
+    body: Vec<u8>,
     timeout: Duration,
 ) -> Result<Bytes, PeerError> {
     let request = Request::builder()
         .method(Method::POST)
         .uri(path)
         .header(HOST, peer.to_string())
-        .body(Full::new(Bytes::from(question)))?;
+        .body(Full::new(Bytes::from(body)))?;
     let call = http_call::call(peer, request, MAX_PULL_RESPONSE_BYTES);
-    let answer = tokio::time::timeout(timeout, call).await;
-    let answer = answer.map_err(|_| PeerError::TimedOut(timeout))??;
-    match answer.status() {
-        StatusCode::OK => Ok(answer.into_body()),
+    let response = tokio::time::timeout(timeout, call).await;
+    let response = response.map_err(|_| PeerError::TimedOut(timeout))??;
+    match response.status() {
+        StatusCode::OK => Ok(response.into_body()),
         status => Err(PeerError::Status(status)),
     }
 }
--- a/crates/pistachiotrackd/src/peer_message.rs
+++ b/crates/pistachiotrackd/src/peer_message.rs
@@ -1,21 +1,21 @@
-//! Questions that VMs put to each other over TCP, encoded with `postcard`.
+//! Requests between VMs over TCP, encoded with `postcard`.
 
 use std::net::SocketAddr;
 
 use pistachiotrack_core::name::Name;
 use serde::{Deserialize, Serialize};
 
-/// Asks for what is newer than the configuration held.
+/// Path of pull requests for a newer configuration.
 pub(crate) const CONFIG_PATH: &str = "/pistachiotrack/v1/peer/config";
-/// Tells a shard's new owner what its old one knew.
+/// Path of hand-overs of a shard's state to its new owner.
 pub(crate) const HAND_OVER_PATH: &str = "/pistachiotrack/v1/peer/hand-over";
-/// Asks whether an endpoint can be reached.
+/// Path of reachability checks of an endpoint.
 pub(crate) const REACH_PATH: &str = "/pistachiotrack/v1/peer/reach";
-/// Largest question or hand-over; answers about the configuration have a limit of
+/// Maximum size of a request, including hand-overs; pull responses have a limit of
 /// their own. A hand-over of a shard with 1,000 endpoints takes some 100 kB.
-pub(crate) const MAX_MESSAGE_BYTES: usize = 2 << 20;
+pub(crate) const MAX_REQUEST_BYTES: usize = 2 << 20;
 
-/// Asks whether the VM reaches an endpoint of the configuration.
+/// Requests a check whether the VM can connect to an endpoint of the configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ReachRequest {
     /// Name of the endpoint.
@@ -24,13 +24,13 @@
     pub(crate) address: SocketAddr,
 }
 
-/// Whether the VM reaches the endpoint.
+/// Result of a reachability check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ReachResponse {
-    /// A connection opened.
+    /// A connection was established.
     Reached,
-    /// No connection opened in time.
+    /// No connection was established in time.
     Unreachable,
-    /// The VM's configuration has no such endpoint.
+    /// The VM's configuration doesn't contain the endpoint.
     Unknown,
 }
--- a/crates/pistachiotrackd/src/peer_service.rs
+++ b/crates/pistachiotrackd/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other VMs.
+//! Handler of requests from other VMs.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     context::Context,
     fleet::{Fleet, HandlePull},
     peer_message::{
-        CONFIG_PATH, HAND_OVER_PATH, MAX_MESSAGE_BYTES, REACH_PATH, ReachRequest, ReachResponse,
+        CONFIG_PATH, HAND_OVER_PATH, MAX_REQUEST_BYTES, REACH_PATH, ReachRequest, ReachResponse,
     },
     proxy,
     shard_actor::TakeHandOver,
@@ -27,12 +27,12 @@
     view::ActiveConfig,
 };
 
-/// Time allowed for a connection to an endpoint that another VM asks about.
+/// Timeout of the connection attempt of a reachability check.
 const REACH_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time allowed for another VM to send its question.
+/// Timeout for another VM to send the body of its request.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers another VM: a question, or a request that it sends on.
+/// Handles a request from another VM: one between VMs, or a forwarded caller's request.
 pub(crate) async fn handle(
     context: Arc<Context>,
     fleet: ActorRef<Fleet>,
@@ -44,33 +44,33 @@
         (HAND_OVER_PATH, Topic::HandOver),
         (REACH_PATH, Topic::Reach),
     ];
-    let asked = topics.into_iter().find(|(known, _)| *known == path);
-    let Some((path, topic)) = asked else { return proxy::handle_peer(context, request).await };
-    let Some(question) = read(request.into_body()).await else {
+    let matching = topics.into_iter().find(|(known, _)| *known == path);
+    let Some((path, topic)) = matching else { return proxy::handle_peer(context, request).await };
+    let Some(body) = read(request.into_body()).await else {
         return Ok(answer::plain(StatusCode::BAD_REQUEST));
     };
-    // The address of a TCP connection is not the one that VMs are known by.
-    context.traffic.received(topic, Locality::Unknown, question.len());
-    let reply = match path {
-        CONFIG_PATH => pull(&fleet, question).await,
-        HAND_OVER_PATH => take_hand_over(&context, &question),
-        _ => reach(&context, &question).await,
+    // The remote address of a TCP connection isn't the peer address of a VM.
+    context.traffic.received(topic, Locality::Unknown, body.len());
+    let response = match path {
+        CONFIG_PATH => pull(&fleet, body).await,
+        HAND_OVER_PATH => take_hand_over(&context, &body),
+        _ => reach(&context, &body).await,
     };
-    if let Ok(reply) = &reply {
-        context.traffic.sent(topic, Locality::Unknown, reply.len());
+    if let Ok(response) = &response {
+        context.traffic.sent(topic, Locality::Unknown, response.len());
     }
-    Ok(reply.map_or_else(answer::plain, answer::octets))
+    Ok(response.map_or_else(answer::plain, answer::octets))
 }
 
 async fn read(body: Incoming) -> Option<Bytes> {
-    let whole = Limited::new(body, MAX_MESSAGE_BYTES).collect();
+    let whole = Limited::new(body, MAX_REQUEST_BYTES).collect();
     let whole = tokio::time::timeout(READ_TIMEOUT, whole).await.ok()?.ok()?;
     Some(whole.to_bytes())
 }
 
-async fn pull(fleet: &ActorRef<Fleet>, question: Bytes) -> Result<Vec<u8>, StatusCode> {
-    match fleet.ask(HandlePull(question)).await {
-        Ok(Some(reply)) => Ok(reply),
+async fn pull(fleet: &ActorRef<Fleet>, body: Bytes) -> Result<Vec<u8>, StatusCode> {
+    match fleet.ask(HandlePull(body)).await {
+        Ok(Some(response)) => Ok(response),
         Ok(None) => Err(StatusCode::BAD_REQUEST),
         Err(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
     }
@@ -93,23 +93,24 @@
     Ok(Vec::new())
 }
 
-async fn reach(context: &Context, question: &[u8]) -> Result<Vec<u8>, StatusCode> {
-    let question: ReachRequest =
-        postcard::from_bytes(question).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let known = context.view().active.as_ref().is_some_and(|active| has(active, &question));
-    let reply = if known { connect(&question).await } else { ReachResponse::Unknown };
-    postcard::to_stdvec(&reply).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
+async fn reach(context: &Context, body: &[u8]) -> Result<Vec<u8>, StatusCode> {
+    let request: ReachRequest = postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)?;
+    let is_configured =
+        context.view().active.as_ref().is_some_and(|active| has_endpoint(active, &request));
+    let response = if is_configured { connect(&request).await } else { ReachResponse::Unknown };
+    postcard::to_stdvec(&response).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// Returns whether the configuration has the endpoint that is asked about, so
-/// that a stray message can't have this VM connect to anything else.
-fn has(active: &ActiveConfig, question: &ReachRequest) -> bool {
+/// Returns whether the configuration contains the endpoint, so that a request can't
+/// make this VM connect to any other address.
+fn has_endpoint(active: &ActiveConfig, request: &ReachRequest) -> bool {
     let mut endpoints = active.config.services.iter().flat_map(|service| &service.endpoints);
-    endpoints.any(|known| known.name == question.endpoint && known.address == question.address)
+    endpoints
+        .any(|endpoint| endpoint.name == request.endpoint && endpoint.address == request.address)
 }
 
-async fn connect(question: &ReachRequest) -> ReachResponse {
-    match tokio::time::timeout(REACH_TIMEOUT, TcpStream::connect(question.address)).await {
+async fn connect(request: &ReachRequest) -> ReachResponse {
+    match tokio::time::timeout(REACH_TIMEOUT, TcpStream::connect(request.address)).await {
         Ok(Ok(_)) => ReachResponse::Reached,
         _ => ReachResponse::Unreachable,
     }
--- a/crates/pistachiotrackd/src/platform.rs
+++ b/crates/pistachiotrackd/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration service and its list of a deployment's VMs,
-//! which are only read.
+//! Client of the platform's configuration service and of its list of a deployment's
+//! VMs; both are only read.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,40 +25,40 @@
     traffic::{Locality, Topic, Traffic},
 };
 
-/// Time for which a watch waits for something newer.
+/// Time for which a watch waits for a newer value.
 const WATCH_WAIT: Duration = Duration::from_secs(30);
-/// Time allowed besides the wait.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Coding that the platform may use for its values.
+/// Timeout of a response in addition to the wait.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Content coding that the platform may use.
 const GZIP: &str = "gzip";
 
-/// Why the platform's service gave no answer.
+/// Why a request to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PlatformError {
     /// The exchange failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The request could not be built.
+    /// The request can't be built.
     #[error("request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The value can't be decoded.
+    /// The value can't be decode_value.
     #[error("value: {0}")]
     Value(#[from] serde_json::Error),
-    /// The compressed value can't be decoded.
+    /// The compressed value can't be decode_value.
     #[error(transparent)]
     Gzip(#[from] GzipError),
-    /// It answered in a coding that wasn't asked for.
+    /// The response has an unsupported content coding.
     #[error("content-encoding {0:?}")]
     Encoding(String),
-    /// It answered with an unexpected status.
+    /// The response has an unexpected status.
     #[error("status {0}")]
     Status(StatusCode),
-    /// It did not answer in time.
-    #[error("no answer in time")]
+    /// No response arrived in time.
+    #[error("no response in time")]
     TimedOut,
 }
 
-/// Reads the platform's values.
+/// Client that reads a deployment's values from the platform.
 #[derive(Clone, Debug)]
 pub(crate) struct Platform {
     address: SocketAddr,
@@ -67,7 +67,7 @@
 }
 
 impl Platform {
-    /// Creates a reader of one deployment's values.
+    /// Creates a client for the deployment in the settings.
     pub(crate) fn new(settings: &Settings, traffic: Arc<Traffic>) -> Platform {
         Platform {
             address: settings.platform_address,
@@ -76,11 +76,11 @@
         }
     }
 
-    /// Keeps the list of VMs for as long as the fleet actor runs.
+    /// Keeps the fleet actor's VM list up to date for as long as the actor runs.
     ///
-    /// The VMs that watch the configuration watch the list too; the others read
-    /// it now and then, the more rarely the larger the fleet is, so that the
-    /// reads of the whole fleet don't grow with it.
+    /// VMs that watch the configuration watch the list too; the others poll it at
+    /// an interval that grows with the size of the fleet, so that the rate of reads
+    /// of the whole fleet doesn't.
     pub(crate) async fn maintain_vm_list(
         self,
         fleet: ActorRef<Fleet>,
@@ -92,7 +92,7 @@
         tokio::time::sleep(reads.first_delay()).await;
         loop {
             if after.is_some() {
-                wait_for_turn(watching.clone(), reads.next_poll_delay()).await;
+                wait_for_next_read(watching.clone(), reads.next_poll_delay()).await;
             }
             let list = match self.watch(&path, after).await {
                 Ok(Some(value)) => parse_vms(&value),
@@ -119,10 +119,10 @@
     }
 
     async fn watch(&self, path: &str, after: Option<u64>) -> Result<Option<Bytes>, PlatformError> {
-        self.ask(path, after, WATCH_WAIT).await
+        self.read_after(path, after, WATCH_WAIT).await
     }
 
-    async fn ask(
+    async fn read_after(
         &self,
         path: &str,
         after: Option<u64>,
@@ -133,7 +133,7 @@
             Some(after) => format!("{path}?after={after}&wait_ms={wait_ms}"),
             None => path.to_owned(),
         };
-        tokio::time::timeout(wait + ANSWER_TIMEOUT, self.read(&path))
+        tokio::time::timeout(wait + RESPONSE_TIMEOUT, self.read(&path))
             .await
             .map_err(|_| PlatformError::TimedOut)?
     }
@@ -146,10 +146,10 @@
             .header(ACCEPT_ENCODING, GZIP)
             .body(Full::default())?;
         self.traffic.sent(Topic::Platform, Locality::Unknown, path.len());
-        let answer = http_call::call(self.address, request, MAX_VALUE_BYTES).await?;
-        self.traffic.received(Topic::Platform, Locality::Unknown, answer.body().len());
-        match answer.status() {
-            StatusCode::OK => Ok(Some(decoded(answer)?)),
+        let response = http_call::call(self.address, request, MAX_VALUE_BYTES).await?;
+        self.traffic.received(Topic::Platform, Locality::Unknown, response.body().len());
+        match response.status() {
+            StatusCode::OK => Ok(Some(decode_value(response)?)),
             StatusCode::NO_CONTENT => Ok(None),
             status => Err(PlatformError::Status(status)),
         }
@@ -164,18 +164,18 @@
     ) -> BoxFuture<'_, Result<Option<PublishedConfig>, SourceError>> {
         Box::pin(async move {
             let path = format!("/v1/config/{}", self.deployment);
-            let value = self.ask(&path, after, wait).await.map_err(SourceError::new)?;
+            let value = self.read_after(&path, after, wait).await.map_err(SourceError::new)?;
             Ok(value.map(PublishedConfig::Encoded))
         })
     }
 }
 
-/// Returns the value of an answer, which comes plain or compressed.
-fn decoded(answer: Response<Bytes>) -> Result<Bytes, PlatformError> {
-    match answer.headers().get(CONTENT_ENCODING).map(HeaderValue::as_bytes) {
-        None | Some(b"identity") => Ok(answer.into_body()),
+/// Returns the value in a response, decompressed if needed.
+fn decode_value(response: Response<Bytes>) -> Result<Bytes, PlatformError> {
+    match response.headers().get(CONTENT_ENCODING).map(HeaderValue::as_bytes) {
+        None | Some(b"identity") => Ok(response.into_body()),
         Some(coding) if coding.eq_ignore_ascii_case(GZIP.as_bytes()) => {
-            Ok(gzip::decode(answer.body(), MAX_VALUE_BYTES)?)
+            Ok(gzip::decode(response.body(), MAX_VALUE_BYTES)?)
         }
         Some(coding) => Err(PlatformError::Encoding(String::from_utf8_lossy(coding).into_owned())),
     }
@@ -185,8 +185,8 @@
     Ok(serde_json::from_slice(value)?)
 }
 
-/// Waits until this VM watches, or until it is its turn to read the list.
-async fn wait_for_turn(mut watching: watch::Receiver<bool>, turn: Duration) {
+/// Waits until this VM becomes a watcher, or until `delay` has passed.
+async fn wait_for_next_read(mut watching: watch::Receiver<bool>, delay: Duration) {
     // The sender lives as long as the fleet actor.
-    let _ = tokio::time::timeout(turn, watching.wait_for(|watching| *watching)).await;
+    let _ = tokio::time::timeout(delay, watching.wait_for(|watching| *watching)).await;
 }
--- a/crates/pistachiotrackd/src/shard_update_link.rs
+++ b/crates/pistachiotrackd/src/shard_update_link.rs
@@ -1,4 +1,4 @@
-//! Datagrams between VMs that dispatch for the same services side by side.
+//! Datagrams between VMs that dispatch for the same services.
 
 use std::{
     net::SocketAddr,
@@ -29,53 +29,53 @@
     view::FleetView,
 };
 
-/// First bytes of these datagrams in all versions; those of the membership begin with
-/// others.
+/// First bytes of these datagrams in all protocol versions; membership datagrams begin
+/// with other bytes.
 pub(crate) const SHARD_DATAGRAM_TAGS: RangeInclusive<u8> = 0x80..=0x8f;
-/// First byte in this version.
+/// First byte in this protocol version.
 const SHARD_DATAGRAM_TAG: u8 = 0x82;
-/// Time between two lines about datagrams that are not used.
-const UNUSED_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Dispatchers that are asked for a picture.
-const ASKED: usize = 2;
-/// Endpoints in one datagram with a picture: each takes about 20 bytes of the 1,200
-/// that one may have.
-const BELIEFS_PER_DATAGRAM: usize = 40;
-/// Endpoints that name a limit in one datagram with a picture: each takes about 25 bytes.
-const RATES_PER_DATAGRAM: usize = 32;
+/// Minimum interval of log lines about dropped datagrams.
+const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of dispatchers that are recipients for a snapshot.
+const SNAPSHOT_SOURCES: usize = 2;
+/// Endpoint estimates in one datagram of a snapshot: each takes about 20 bytes of the
+/// maximum of 1,200.
+const ESTIMATES_PER_DATAGRAM: usize = 40;
+/// Rate limits of endpoints in one datagram of a snapshot: each takes about 25 bytes.
+const RATE_LIMITS_PER_DATAGRAM: usize = 32;
 
-/// One datagram.
+/// A datagram between dispatchers.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ShardDatagram {
     deployment: u64,
     /// Sender.
     pub(crate) from: Name,
-    /// What it tells.
+    /// Message.
     pub(crate) content: ShardMessage,
 }
 
-/// What VMs that dispatch side by side tell each other.
+/// Messages between VMs that dispatch for the same shard.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum ShardMessage {
-    /// What the sender does and sees.
+    /// State update of the sender.
     Update(ShardUpdate),
-    /// The sender has just begun with a shard and asks for a picture of it.
+    /// Request for a snapshot; sent by a VM that has just started to dispatch for a shard.
     SnapshotRequest(ShardId),
-    /// What the sender believes of the endpoints.
+    /// The sender's state of the shard.
     Snapshot(ShardSnapshot),
 }
 
 impl ShardMessage {
-    /// Returns the shard that it is about.
+    /// Returns the shard that the message is about.
     pub(crate) fn shard(&self) -> &ShardId {
         match self {
-            ShardMessage::Update(news) => &news.shard,
+            ShardMessage::Update(update) => &update.shard,
             ShardMessage::SnapshotRequest(shard) => shard,
-            ShardMessage::Snapshot(picture) => &picture.shard,
+            ShardMessage::Snapshot(snapshot) => &snapshot.shard,
         }
     }
 
-    /// Returns under which topic it is counted.
+    /// Returns the topic under which the message is counted.
     pub(crate) fn topic(&self) -> Topic {
         match self {
             ShardMessage::Update(_) => Topic::ShardUpdate,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Tells the other dispatchers of a service what this VM does and sees.
+/// Exchanges state updates with the other dispatchers of a service.
 #[derive(Debug)]
 pub(crate) struct ShardUpdateLink {
     me: Vm,
@@ -93,21 +93,21 @@
     socket: Arc<UdpSocket>,
     view: watch::Receiver<Arc<FleetView>>,
     traffic: Arc<Traffic>,
-    guests: Mutex<Subscribers>,
-    unused_logged_at: Mutex<Option<Time>>,
+    subscribers: Mutex<Subscribers>,
+    drop_logged_at: Mutex<Option<Time>>,
 }
 
-/// Why a datagram is not used.
+/// Why a datagram is dropped.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ShardDatagramError {
-    /// It is of another version.
+    /// It has another protocol version.
     #[error("version {0:#x}, not {SHARD_DATAGRAM_TAG:#x}")]
     Version(u8),
-    /// It is empty or longer than any VM sends.
+    /// It is empty or exceeds the maximum length.
     #[error("{0} bytes")]
     Length(usize),
-    /// It can't be read.
-    #[error("can't be read: {0}")]
+    /// It can't be decoded.
+    #[error("can't be decoded: {0}")]
     Unreadable(#[from] postcard::Error),
     /// It comes from another deployment, or from this VM.
     #[error("sent by {0}")]
@@ -115,7 +115,7 @@
 }
 
 impl ShardUpdateLink {
-    /// Creates a link over the socket that the membership uses too.
+    /// Creates a link that sends over the membership socket.
     pub(crate) fn new(
         me: Vm,
         deployment: &str,
@@ -132,45 +132,44 @@
             socket,
             view,
             traffic,
-            guests: Mutex::default(),
-            unused_logged_at: Mutex::default(),
+            subscribers: Mutex::default(),
+            drop_logged_at: Mutex::default(),
         }
     }
 
-    /// Tells the other dispatchers, and the guests.
-    pub(crate) fn broadcast(&self, news: ShardUpdate) {
-        let service = news.shard.service.clone();
-        let Some(bytes) = self.encode(ShardMessage::Update(news)) else { return };
+    /// Sends an update to the other dispatchers and the subscribers.
+    pub(crate) fn broadcast(&self, update: ShardUpdate) {
+        let service = update.shard.service.clone();
+        let Some(bytes) = self.encode(ShardMessage::Update(update)) else { return };
         let view = Arc::clone(&self.view.borrow());
         let dispatchers = view.ownership.dispatchers(&service);
         for vm in dispatchers.iter().filter(|vm| vm.name != self.me.name) {
-            self.send(vm.peer_address, &bytes, Topic::ShardUpdate, self.place(vm));
+            self.send(vm.peer_address, &bytes, Topic::ShardUpdate, self.locality(vm));
         }
         let now = self.clock.now();
-        let mut guests = self.guests.lock().unwrap_or_else(PoisonError::into_inner);
-        for address in guests.recipients(now) {
+        let mut subscribers = self.subscribers.lock().unwrap_or_else(PoisonError::into_inner);
+        for address in subscribers.recipients(now) {
             if dispatchers.iter().all(|vm| vm.peer_address != address) {
-                // Guests are of this data centre.
+                // Subscribers are in this data centre.
                 self.send(address, &bytes, Topic::ShardUpdate, Locality::Near);
             }
         }
     }
 
-    fn place(&self, vm: &Vm) -> Locality {
+    fn locality(&self, vm: &Vm) -> Locality {
         Locality::of(&vm.data_centre, &self.me.data_centre)
     }
 
-    fn send(&self, to: SocketAddr, bytes: &[u8], topic: Topic, place: Locality) {
-        udp::send(&self.socket, to, bytes, &self.traffic, (topic, place));
+    fn send(&self, to: SocketAddr, bytes: &[u8], topic: Topic, locality: Locality) {
+        udp::send(&self.socket, to, bytes, &self.traffic, (topic, locality));
     }
 
-    /// Asks the dispatchers nearby for a picture of a shard; returns whether there are
-    /// any.
+    /// Requests snapshots of a shard from other dispatchers, those in the same data
+    /// centre first; returns whether there are any.
     ///
-    /// Failure guarded against: a VM that has just started sends its first
-    /// bookings to endpoints that the others know to fail. It shows as failures
-    /// after each restart. The guard holds because the answer comes within a
-    /// round trip, before most requests.
+    /// Without a snapshot, a VM that has just started would send its first bookings
+    /// to endpoints that the others know to fail, which causes failures after each
+    /// restart. The snapshot arrives within a round trip, before most requests.
     pub(crate) fn request_snapshot(&self, shard: &ShardId) -> bool {
         let Some(bytes) = self.encode(ShardMessage::SnapshotRequest(shard.clone())) else {
             return false;
@@ -178,47 +177,55 @@
         let view = Arc::clone(&self.view.borrow());
         let dispatchers = view.ownership.dispatchers(&shard.service);
         let others = dispatchers.iter().filter(|vm| vm.name != self.me.name);
-        let (near, far): (Vec<&Vm>, Vec<&Vm>) =
+        let (local, remote): (Vec<&Vm>, Vec<&Vm>) =
             others.partition(|vm| vm.data_centre == self.me.data_centre);
-        let asked: Vec<&Vm> = near.into_iter().chain(far).take(ASKED).collect();
-        for vm in &asked {
-            self.send(vm.peer_address, &bytes, Topic::ShardSnapshot, self.place(vm));
+        let recipients: Vec<&Vm> = local.into_iter().chain(remote).take(SNAPSHOT_SOURCES).collect();
+        for vm in &recipients {
+            self.send(vm.peer_address, &bytes, Topic::ShardSnapshot, self.locality(vm));
         }
-        !asked.is_empty()
+        !recipients.is_empty()
     }
 
-    /// Sends a picture to the VM at an address, in as many datagrams as it takes.
-    pub(crate) fn send_snapshot(&self, to: SocketAddr, mut picture: ShardSnapshot) {
-        let place = self.view.borrow().locality(to);
-        let beliefs = std::mem::take(&mut picture.estimates);
-        let mut parts: Vec<&[EndpointEstimate]> = beliefs.chunks(BELIEFS_PER_DATAGRAM).collect();
+    /// Sends a snapshot to the VM at an address, split into as many datagrams as needed.
+    pub(crate) fn send_snapshot(&self, to: SocketAddr, mut snapshot: ShardSnapshot) {
+        let locality = self.view.borrow().locality(to);
+        let estimates = std::mem::take(&mut snapshot.estimates);
+        let mut parts: Vec<&[EndpointEstimate]> =
+            estimates.chunks(ESTIMATES_PER_DATAGRAM).collect();
         if parts.is_empty() {
-            // The VM that asks waits for an answer, and may need the retries sent.
+            // The requesting VM waits for a response, and may need the counts of retries.
             parts.push(&[]);
         }
-        let rates = std::mem::take(&mut picture.rate_limits);
-        for beliefs in parts {
-            let sent = std::mem::take(&mut picture.sent);
-            self.send_snapshot_part(to, place, picture.shard.clone(), beliefs, sent, &[]);
+        let rate_limits = std::mem::take(&mut snapshot.rate_limits);
+        for estimates in parts {
+            let sent = std::mem::take(&mut snapshot.sent);
+            self.send_snapshot_part(to, locality, snapshot.shard.clone(), estimates, sent, &[]);
         }
-        for rates in rates.chunks(RATES_PER_DATAGRAM) {
-            self.send_snapshot_part(to, place, picture.shard.clone(), &[], Vec::new(), rates);
+        for rate_limits in rate_limits.chunks(RATE_LIMITS_PER_DATAGRAM) {
+            self.send_snapshot_part(
+                to,
+                locality,
+                snapshot.shard.clone(),
+                &[],
+                Vec::new(),
+                rate_limits,
+            );
         }
     }
 
     fn send_snapshot_part(
         &self,
         to: SocketAddr,
-        place: Locality,
+        locality: Locality,
         shard: ShardId,
-        beliefs: &[EndpointEstimate],
+        estimates: &[EndpointEstimate],
         sent: Vec<SendCounts>,
-        rates: &[(EndpointKey, RateUpdate)],
+        rate_limits: &[(EndpointKey, RateUpdate)],
     ) {
-        let (beliefs, rates) = (beliefs.to_vec(), rates.to_vec());
-        let part = ShardSnapshot { shard, estimates: beliefs, sent, rate_limits: rates };
+        let (estimates, rate_limits) = (estimates.to_vec(), rate_limits.to_vec());
+        let part = ShardSnapshot { shard, estimates, sent, rate_limits };
         if let Some(bytes) = self.encode(ShardMessage::Snapshot(part)) {
-            self.send(to, &bytes, Topic::ShardSnapshot, place);
+            self.send(to, &bytes, Topic::ShardSnapshot, locality);
         }
     }
 
@@ -230,11 +237,11 @@
             .ok()
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram and checks its sender.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is not for this VM to believe.
+    /// Returns an error if the datagram is invalid or not meant for this VM.
     pub(crate) fn receive(
         &self,
         from: SocketAddr,
@@ -251,30 +258,30 @@
         if datagram.deployment != self.deployment || datagram.from == self.me.name {
             return Err(ShardDatagramError::Sender(datagram.from));
         }
-        let mut guests = self.guests.lock().unwrap_or_else(PoisonError::into_inner);
-        guests.record_update(self.clock.now(), from, || self.is_nearby(from));
+        let mut subscribers = self.subscribers.lock().unwrap_or_else(PoisonError::into_inner);
+        subscribers.record_update(self.clock.now(), from, || self.is_in_same_data_centre(from));
         Ok(datagram)
     }
 
-    /// Says that a datagram was not used, once in a while.
-    pub(crate) fn log_unused(&self, from: SocketAddr, error: &ShardDatagramError) {
+    /// Logs that a datagram was dropped; at most one line per interval.
+    pub(crate) fn log_dropped(&self, from: SocketAddr, error: &ShardDatagramError) {
         let now = self.clock.now();
-        let mut logged_at = self.unused_logged_at.lock().unwrap_or_else(PoisonError::into_inner);
-        if logged_at.is_none_or(|at| now.since(at) >= UNUSED_LOG_INTERVAL) {
+        let mut logged_at = self.drop_logged_at.lock().unwrap_or_else(PoisonError::into_inner);
+        if logged_at.is_none_or(|at| now.since(at) >= DROP_LOG_INTERVAL) {
             *logged_at = Some(now);
             log::warn!("event=news_unused from={from} error={:?}", error.to_string());
         }
     }
 
-    /// Returns whether the VM at an address is in this VM's data centre, as far as is
-    /// known.
-    fn is_nearby(&self, address: SocketAddr) -> bool {
+    /// Returns whether the VM at an address is in this VM's data centre; true if its
+    /// data centre is unknown.
+    fn is_in_same_data_centre(&self, address: SocketAddr) -> bool {
         let view = self.view.borrow();
         let member = view.members.iter().find(|member| member.vm.peer_address == address);
         member.is_none_or(|member| member.vm.data_centre == self.me.data_centre)
     }
 
-    /// Returns which VMs dispatch for a service, as far as this VM knows.
+    /// Returns the dispatchers of a service in this VM's view.
     pub(crate) fn dispatchers(&self, service: &str) -> VisibleDispatchers {
         let view = self.view.borrow();
         let dispatchers = view.ownership.dispatchers(service);
--- a/crates/pistachiotrackd/src/udp.rs
+++ b/crates/pistachiotrackd/src/udp.rs
@@ -40,7 +40,7 @@
                         Ok(datagram) => context.shards.on_news(&view, from, datagram),
                         Err(error) => {
                             context.metrics.count(Event::ShardDatagramDropped);
-                            news.log_unused(from, &error);
+                            news.log_dropped(from, &error);
                         }
                     }
                     continue;
