--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -382,7 +382,7 @@
     /// logged and the current ones stay active.
     fn reload(&mut self, file: &mut Option<SettingsFile>, asked: bool) {
         let Some(file) = file else { return };
-        match file.changed() {
+        match file.read_if_changed() {
             Ok(Some(settings)) => {
                 log::info!("event=settings_changed asked={asked}");
                 let seeds = settings.seeds(self.peer_address().port());
--- a/crates/pistachiotrackd/src/exposition.rs
+++ b/crates/pistachiotrackd/src/exposition.rs
@@ -85,7 +85,7 @@
         let mut metric = encoder.encode_descriptor(name, help, None, kind)?;
         for link in links {
             let labels =
-                [("topic", link.topic), ("place", link.place), ("direction", link.direction)];
+                [("topic", link.topic), ("place", link.locality), ("direction", link.direction)];
             ConstCounter::new(value(link)).encode(metric.encode_family(&labels)?)?;
         }
     }
--- a/crates/pistachiotrackd/src/process.rs
+++ b/crates/pistachiotrackd/src/process.rs
@@ -1,4 +1,4 @@
-//! A process that runs the daemon: settings, logs, runtime, exit code.
+//! The daemon as a process: settings, logging, runtime and exit code.
 
 use std::{io, path::Path};
 
@@ -11,7 +11,7 @@
     settings::Settings,
 };
 
-/// Runs the daemon with the settings in `file` until it is asked to stop.
+/// Runs the daemon with the settings in `file` until it is stopped.
 pub fn run(file: &Path, adapter: impl FnOnce(&Settings) -> Adapter) -> ExitCode {
     let settings = match read_settings(file) {
         Ok(settings) => settings,
@@ -38,11 +38,11 @@
     code
 }
 
-/// Reads the settings and says on the standard error what is wrong with them.
+/// Reads the settings and prints an error to standard error if they are invalid.
 ///
 /// # Errors
 ///
-/// Returns the exit code for settings that can't be used.
+/// Returns the exit code if the settings can't be read or are invalid.
 pub fn read_settings(file: &Path) -> Result<Settings, ExitCode> {
     Settings::read(file).map_err(|error| {
         eprintln!("pistachiotrackd: {error}");
@@ -50,8 +50,8 @@
     })
 }
 
-/// A single thread needs no hand-over of tasks between threads, which a small VM
-/// would pay for with every wake-up.
+/// Creates the runtime. One worker uses a single-threaded runtime, which saves a small
+/// VM the cost of handing tasks between threads at each wake-up.
 fn runtime(worker_threads: usize) -> io::Result<Runtime> {
     match worker_threads {
         1 => Builder::new_current_thread().enable_all().build(),
--- a/crates/pistachiotrackd/src/registry.rs
+++ b/crates/pistachiotrackd/src/registry.rs
@@ -1,4 +1,4 @@
-//! A source that makes the configuration of what operators wrote and of the
+//! A source that assembles the configuration from the operators' part and from the
 //! endpoints that register themselves.
 
 use std::{collections::BTreeSet, fmt, sync::Arc, time::Duration};
@@ -18,66 +18,70 @@
     source::{ConfigSource, PublishedConfig, SourceError},
 };
 
-/// What a registry changed after some revision.
+/// Changes in a registry after a revision.
 #[derive(Clone, Debug)]
 pub struct Changes {
-    /// Revision to go on from.
+    /// Revision from which the next read continues.
     pub revision: u64,
-    /// The changes, each with its revision, in their order.
+    /// The changes, each with its revision, in order.
     pub changes: Vec<(u64, RegistryChange)>,
 }
 
-/// Why a registry gave no answer.
+/// Why a read of a registry failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RegistryError {
-    /// It no longer knows what changed since that revision.
+    /// The registry no longer has the changes since the revision.
     #[error("history is gone")]
     HistoryGone,
-    /// It can't be reached, refuses or answers something else.
+    /// The registry can't be reached, rejects the request or sends an unexpected response.
     #[error(transparent)]
     Unavailable(#[from] SourceError),
 }
 
-/// A store in which operators write and endpoints register themselves; only read.
+/// A store that operators write to and in which endpoints register themselves; it is
+/// only read.
 pub trait Registry: fmt::Debug + Send + Sync + 'static {
-    /// Reads everything.
+    /// Reads the whole content.
     fn list(&self) -> BoxFuture<'_, Result<RegistrySnapshot, RegistryError>>;
 
-    /// Returns how often it was called, by reason.
+    /// Returns the number of calls, by reason.
     fn calls(&self) -> Vec<Counter> {
         Vec::new()
     }
 
-    /// Waits up to `wait` for changes after a revision.
+    /// Returns changes after a revision, waiting up to `wait` for one.
     fn changes(&self, after: u64, wait: Duration) -> BoxFuture<'_, Result<Changes, RegistryError>>;
 }
 
-/// The configuration made of a registry's content.
+/// A configuration source that assembles configurations from a registry's content.
 #[derive(Debug)]
 pub struct RegistrySource<R> {
     registry: R,
     clock: Clock,
-    mirror: Mutex<Mirror>,
-    /// Configuration in force, if there is one.
-    in_force: watch::Sender<Option<Arc<Config>>>,
+    state: Mutex<RegistryState>,
+    /// Active configuration, if there is one.
+    active: watch::Sender<Option<Arc<Config>>>,
 }
 
 #[derive(Debug)]
-struct Mirror {
-    roster: RegistryView,
-    /// Revision up to which the roster is complete; `None` before a listing.
-    followed: Option<u64>,
-    /// Registrations for services that nobody named, as far as they were logged.
-    strays: BTreeSet<Name>,
+struct RegistryState {
+    view: RegistryView,
+    /// Revision up to which the view is complete; `None` if a snapshot is needed.
+    synced_revision: Option<u64>,
+    /// Registrations for unknown services that have been logged.
+    logged_unassigned: BTreeSet<Name>,
 }
 
 impl<R: Registry> RegistrySource<R> {
-    /// Creates a source that has read nothing so far.
+    /// Creates a source that hasn't read the registry yet.
     pub fn new(registry: R, settings: RegistryViewSettings) -> RegistrySource<R> {
-        let mirror =
-            Mirror { roster: RegistryView::new(settings), followed: None, strays: BTreeSet::new() };
-        let in_force = watch::Sender::new(None);
-        RegistrySource { registry, clock: Clock::start(), mirror: Mutex::new(mirror), in_force }
+        let state = RegistryState {
+            view: RegistryView::new(settings),
+            synced_revision: None,
+            logged_unassigned: BTreeSet::new(),
+        };
+        let active = watch::Sender::new(None);
+        RegistrySource { registry, clock: Clock::start(), state: Mutex::new(state), active }
     }
 
     async fn next(
@@ -85,20 +89,20 @@
         after: Option<u64>,
         wait: Duration,
     ) -> Result<Option<PublishedConfig>, RegistryError> {
-        let mut mirror = self.mirror.lock().await;
+        let mut state = self.state.lock().await;
         let give_up = self.clock.now() + wait;
-        let in_force = self.in_force.borrow().clone();
-        mirror.take_in_force(in_force.as_deref());
-        if mirror.followed.is_none() {
-            let listing = self.registry.list().await;
-            mirror.take_listing(self.clock.now(), listing)?;
+        let active = self.active.borrow().clone();
+        state.apply_active_config(active.as_deref());
+        if state.synced_revision.is_none() {
+            let snapshot = self.registry.list().await;
+            state.apply_listing(self.clock.now(), snapshot)?;
         }
         loop {
             let now = self.clock.now();
-            let in_force = self.in_force.borrow().clone();
-            mirror.take_in_force(in_force.as_deref());
-            let due = mirror.roster.remove_expired(now);
-            if let Some(config) = mirror.roster.config()
+            let active = self.active.borrow().clone();
+            state.apply_active_config(active.as_deref());
+            let due = state.view.remove_expired(now);
+            if let Some(config) = state.view.config()
                 && Some(config.version) > after
             {
                 return Ok(Some(PublishedConfig::Assembled(Box::new(config))));
@@ -106,95 +110,95 @@
             if now >= give_up {
                 return Ok(None);
             }
-            // A registry that was away is asked for an answer at once: a wait that
-            // begins while it is silent would end long after its return.
-            let give_up = if mirror.roster.is_unreachable() { now } else { give_up };
+            // After a failed request, the next one doesn't wait: a wait that starts
+            // while the registry is unreachable could end long after it recovers.
+            let give_up = if state.view.is_unreachable() { now } else { give_up };
             let until = due.map_or(give_up, |due| due.min(give_up));
-            let followed = mirror.followed.unwrap_or_default();
-            let changes = self.registry.changes(followed, until.since(now)).await;
-            mirror.take_changes(self.clock.now(), changes)?;
+            let synced_revision = state.synced_revision.unwrap_or_default();
+            let changes = self.registry.changes(synced_revision, until.since(now)).await;
+            state.apply_changes(self.clock.now(), changes)?;
         }
     }
 }
 
-impl Mirror {
-    fn take_in_force(&mut self, config: Option<&Config>) {
-        let complete = config.and_then(|config| self.roster.on_active_config(config));
-        if let (Some(complete), Some(followed)) = (complete, &mut self.followed) {
-            *followed = complete.max(*followed);
+impl RegistryState {
+    fn apply_active_config(&mut self, config: Option<&Config>) {
+        let complete = config.and_then(|config| self.view.on_active_config(config));
+        if let (Some(complete), Some(synced_revision)) = (complete, &mut self.synced_revision) {
+            *synced_revision = complete.max(*synced_revision);
         }
     }
 
-    fn take_listing(
+    fn apply_listing(
         &mut self,
         now: Time,
-        listing: Result<RegistrySnapshot, RegistryError>,
+        snapshot: Result<RegistrySnapshot, RegistryError>,
     ) -> Result<(), RegistryError> {
-        let listing = self.note_answer(now, listing)?;
-        self.followed = Some(listing.revision);
-        self.roster.on_snapshot(now, listing);
-        self.tell_strays();
+        let snapshot = self.record_response(now, snapshot)?;
+        self.synced_revision = Some(snapshot.revision);
+        self.view.on_snapshot(now, snapshot);
+        self.log_unassigned();
         Ok(())
     }
 
-    fn take_changes(
+    fn apply_changes(
         &mut self,
         now: Time,
         changes: Result<Changes, RegistryError>,
     ) -> Result<(), RegistryError> {
-        let Changes { revision, changes } = match self.note_answer(now, changes) {
+        let Changes { revision, changes } = match self.record_response(now, changes) {
             Err(RegistryError::HistoryGone) => {
-                self.followed = None;
+                self.synced_revision = None;
                 return Err(RegistryError::HistoryGone);
             }
-            answer => answer?,
+            response => response?,
         };
         for (revision, change) in changes {
-            self.roster.on_change(now, revision, change);
+            self.view.on_change(now, revision, change);
         }
-        self.roster.on_complete_up_to(revision);
-        self.followed = Some(revision);
-        self.tell_strays();
+        self.view.on_complete_up_to(revision);
+        self.synced_revision = Some(revision);
+        self.log_unassigned();
         Ok(())
     }
 
-    /// Logs what is registered for services that nobody named, each once while it is
-    /// there.
-    fn tell_strays(&mut self) {
-        let mut strays = BTreeSet::new();
-        for stray in self.roster.unassigned() {
-            if !self.strays.contains(&stray.key) {
+    /// Logs registrations for services that the operators haven't configured, each
+    /// once for as long as it exists.
+    fn log_unassigned(&mut self) {
+        let mut logged_unassigned = BTreeSet::new();
+        for registration in self.view.unassigned() {
+            if !self.logged_unassigned.contains(&registration.key) {
                 log::warn!(
                     "event=registration_unused endpoint={} field=service value={:?} \
                      reason=unknown_service",
-                    stray.key,
-                    stray.service.as_str()
+                    registration.key,
+                    registration.service.as_str()
                 );
             }
-            strays.insert(stray.key.clone());
+            logged_unassigned.insert(registration.key.clone());
         }
-        self.strays = strays;
+        self.logged_unassigned = logged_unassigned;
     }
 
-    /// Tells the roster and the log whether the registry answers.
-    fn note_answer<T>(
+    /// Updates the view and the log on whether the registry responds.
+    fn record_response<T>(
         &mut self,
         now: Time,
-        answer: Result<T, RegistryError>,
+        response: Result<T, RegistryError>,
     ) -> Result<T, RegistryError> {
-        match &answer {
+        match &response {
             Err(RegistryError::Unavailable(error)) => {
-                if self.roster.on_unreachable() {
+                if self.view.on_unreachable() {
                     log::warn!("event=registry_lost error={:?}", error.to_string());
                 }
             }
             _ => {
-                if self.roster.on_response(now) {
+                if self.view.on_response(now) {
                     log::info!("event=registry_regained");
                 }
             }
         }
-        answer
+        response
     }
 }
 
@@ -204,7 +208,7 @@
     }
 
     fn on_active_config(&self, config: &Arc<Config>) {
-        self.in_force.send_replace(Some(Arc::clone(config)));
+        self.active.send_replace(Some(Arc::clone(config)));
     }
 
     fn config(
@@ -215,15 +219,17 @@
         Box::pin(async move {
             match self.next(after, wait).await {
                 Ok(value) => Ok(value),
-                // The next call lists everything anew.
-                Err(RegistryError::HistoryGone) => self.next(after, wait).await.map_err(unwrap),
-                Err(error) => Err(unwrap(error)),
+                // The next call lists the whole content again.
+                Err(RegistryError::HistoryGone) => {
+                    self.next(after, wait).await.map_err(into_source_error)
+                }
+                Err(error) => Err(into_source_error(error)),
             }
         })
     }
 }
 
-fn unwrap(error: RegistryError) -> SourceError {
+fn into_source_error(error: RegistryError) -> SourceError {
     match error {
         RegistryError::Unavailable(error) => error,
         RegistryError::HistoryGone => SourceError::new(error),
--- a/crates/pistachiotrackd/src/settings.rs
+++ b/crates/pistachiotrackd/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one VM's daemon, read from a JSON file at the start.
+//! Settings of one VM's daemon, read from a JSON file.
 
 use std::{
     fs,
@@ -21,75 +21,75 @@
     pub vm: Name,
     /// Data centre that this VM runs in.
     pub data_centre: Name,
-    /// Deployment whose configuration is served.
+    /// Deployment that this VM belongs to.
     pub deployment: Name,
     /// Address that callers connect to.
     pub caller_address: SocketAddr,
-    /// Address that other VMs use: TCP and UDP.
+    /// Address that other VMs connect to and send datagrams to (TCP and UDP).
     pub peer_address: SocketAddr,
-    /// Address that other VMs are told in place of `peer_address`, where they
-    /// reach this VM by another one.
+    /// Address that is advertised to other VMs instead of `peer_address`, if they
+    /// reach this VM at a different address.
     #[serde(default)]
     pub advertised_peer_address: Option<SocketAddr>,
     /// Address of the admin port.
     pub admin_address: SocketAddr,
     /// Address of the platform's configuration service.
     pub platform_address: SocketAddr,
-    /// Address that metrics are sent to by UDP; none are sent where it is
-    /// missing.
+    /// Address of the statsd server that metrics are sent to over UDP; none are sent
+    /// if it isn't set.
     #[serde(default)]
     pub statsd_address: Option<SocketAddr>,
-    /// Least severe events that are logged: `error`, `warn`, `info`, `debug` or
+    /// Lowest level of events that are logged: `error`, `warn`, `info`, `debug` or
     /// `trace`.
     #[serde(default = "default_log_level")]
     pub log_level: Name,
-    /// Time for which a stopping daemon still serves callers that hold an old
-    /// answer about addresses.
+    /// Minimum time for which a leaving daemon still serves callers that hold an old
+    /// entry answer.
     #[serde(default = "default_entry_drain_ms")]
     pub entry_drain_ms: u64,
-    /// VMs that the fleet is expected to have; spreads the first reads of the
-    /// platform while its list of VMs is not known yet.
+    /// Expected number of VMs of the fleet; used to spread the first reads of the
+    /// platform until the list of VMs is known.
     #[serde(default = "default_expected_vms")]
     pub expected_vms: u32,
-    /// Address at which the platform asks whether this VM is ready; it isn't
-    /// answered where it is missing.
+    /// Address of the readiness check for the platform; there is none if it isn't
+    /// set.
     #[serde(default)]
     pub readiness_address: Option<SocketAddr>,
-    /// Address at which callers ask which addresses to use, besides the caller
-    /// address.
+    /// Additional address, besides the caller address, at which callers query entry
+    /// addresses.
     #[serde(default)]
     pub directory_address: Option<SocketAddr>,
-    /// Addresses of VMs that may know the fleet; they have the peer port of this
-    /// one.
+    /// Addresses of VMs that this one joins the fleet through; the peer port of this
+    /// VM is used in place of their ports.
     #[serde(default)]
     pub seed_addresses: Vec<SocketAddr>,
-    /// Where log lines go.
+    /// Output of log lines.
     #[serde(default)]
     pub log_output: LogOutput,
-    /// What the VM can do.
+    /// Hardware of the VM.
     #[serde(default)]
     pub hardware: Hardware,
-    /// How the VMs find each other.
+    /// Settings of the fleet membership.
     #[serde(default)]
     pub membership: MembershipSettings,
-    /// How configurations spread.
+    /// Settings of the configuration distribution.
     #[serde(default)]
     pub config_sync: ConfigSyncSettings,
-    /// How a configuration is made where endpoints register themselves.
+    /// Settings of the configuration that is assembled from a registry.
     #[serde(default)]
     pub registry: RegistrySettings,
-    /// When requests are held back under which endpoints end.
+    /// Settings of the quarantine of requests that crash endpoints.
     #[serde(default)]
     pub quarantine: QuarantineSettings,
-    /// Limits on what callers, peers and endpoints may use.
+    /// Limits on resources and time.
     #[serde(default)]
     pub limits: Limits,
-    /// Mechanisms at work; only trials switch one off.
+    /// Switches of decision mechanisms; only experiments turn one off.
     #[serde(default)]
     pub mechanisms: FeatureFlags,
 }
 
-/// What a VM can do; VMs with more of it dispatch for services.
+/// Hardware of a VM; VMs with higher capacity are preferred as dispatchers.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Hardware {
@@ -97,7 +97,7 @@
     pub processor_share: f64,
     /// Number of processors.
     pub processors: f64,
-    /// Bandwidth of its link.
+    /// Bandwidth of its network link.
     pub link_mbps: f64,
 }
 
@@ -108,8 +108,8 @@
 }
 
 impl Hardware {
-    /// Returns the capacity that the other VMs are told: of hundredths of a core and
-    /// Mbit/s, whichever the VM has less of.
+    /// Returns the capacity that is advertised to the other VMs: the lower of the CPU in
+    /// hundredths of a core and the bandwidth in Mbit/s, but at least 1.
     pub fn capacity(&self) -> u32 {
         let processor_percent = 100.0 * self.processor_share * self.processors;
         processor_percent.min(self.link_mbps).max(1.0) as u32
@@ -126,40 +126,41 @@
     }
 }
 
-/// Where log lines go.
+/// Output of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogOutput {
-    /// The standard error.
+    /// Standard error.
     #[default]
     Stderr,
-    /// The standard output.
+    /// Standard output.
     Stdout,
 }
 
-/// What a configuration needs besides what a registry has.
+/// Parts of the configuration that a registry doesn't contain.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RegistrySettings {
     /// Data centres.
     pub data_centres: Vec<DataCentre>,
-    /// VMs of each data centre that dispatch side by side.
+    /// Number of VMs of each data centre that dispatch for a service.
     pub dispatchers_per_data_centre: u32,
-    /// Part of a service's endpoints that stay in rotation whatever their health.
+    /// Percentage of a service's endpoints that stay in rotation whatever their health.
     pub floor_percent: u32,
-    /// From 0 (fewest false ejections) to 1 (fastest detection).
+    /// Sensitivity of failure detection, from 0 (fewest false ejections) to 1 (fastest
+    /// detection).
     pub sensitivity: f64,
-    /// Requests that may wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     pub queue_limit: u32,
-    /// Time for which callers may keep an answer about addresses.
+    /// Time for which callers may cache an entry answer.
     pub entry_lifetime_ms: u64,
-    /// Retries of the whole fleet for each request.
+    /// Retries per request, over the whole fleet.
     pub retry_ratio: f64,
-    /// Retries of the whole fleet besides in each window.
+    /// Additional retries per window, over the whole fleet.
     pub retry_slack: f64,
-    /// Length of the window.
+    /// Length of the retry window.
     pub retry_window_s: f64,
-    /// Largest value that the registry holds.
+    /// Maximum size of a value in the registry.
     pub value_bytes: usize,
 }
 
@@ -181,7 +182,7 @@
 }
 
 impl RegistrySettings {
-    /// Returns the settings of the roster.
+    /// Returns the settings of the registry view.
     pub fn view_settings(&self) -> RegistryViewSettings {
         RegistryViewSettings {
             floor_percent: self.floor_percent,
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Returns the limit of the retries of all VMs together.
+    /// Returns the retry limit of the whole fleet.
     pub fn retry_limit(&self) -> RetryLimit {
         RetryLimit {
             ratio: self.retry_ratio,
@@ -199,16 +200,16 @@
     }
 
     fn problem(&self) -> Option<(&'static str, String)> {
-        let part = 0.0..=1.0;
+        let fraction = 0.0..=1.0;
         if self.floor_percent > 100 {
             let problem = format!("{} is above 100", self.floor_percent);
             return Some(("registry.floor_percent", problem));
         }
         let outside = |value: f64| format!("{value} is not between 0 and 1");
-        if !part.contains(&self.sensitivity) {
+        if !fraction.contains(&self.sensitivity) {
             return Some(("registry.sensitivity", outside(self.sensitivity)));
         }
-        if !part.contains(&self.retry_ratio) {
+        if !fraction.contains(&self.retry_ratio) {
             return Some(("registry.retry_ratio", outside(self.retry_ratio)));
         }
         if self.retry_slack < 0.0 || self.retry_window_s <= 0.0 {
@@ -227,43 +228,43 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Threads that serve requests.
+    /// Worker threads of the runtime.
     pub worker_threads: usize,
-    /// Largest head of a request or an answer.
+    /// Maximum size of the head of a request or response.
     pub header_bytes: usize,
-    /// Most header fields of a request or an answer.
+    /// Maximum number of header fields of a request or response.
     pub header_count: usize,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub body_bytes: u64,
-    /// Largest body of a request that is held in memory, so that it can be sent
-    /// again.
+    /// Maximum size of a request body that is buffered in memory, so that the request
+    /// can be retried.
     pub buffered_body_bytes: usize,
-    /// Time for the next request's head to arrive on a caller's connection;
-    /// also ends idle connections.
+    /// Timeout for the head of the next request on a caller's connection; also the
+    /// idle timeout of these connections.
     pub header_read_timeout_ms: u64,
-    /// Time for the next part of a body to arrive.
+    /// Timeout between two parts of a body.
     pub body_idle_ms: u64,
-    /// Caller connections open at the same time.
+    /// Maximum number of concurrent caller connections.
     pub caller_connections: usize,
-    /// Peer connections open at the same time, by direction.
+    /// Maximum number of concurrent peer connections in each direction.
     pub peer_connections: usize,
-    /// Time for a connection to an endpoint or a peer to open.
+    /// Timeout for establishing a connection to an endpoint or a peer.
     pub connect_timeout_ms: u64,
-    /// Time after which an unused connection is no longer used.
+    /// Idle time after which a pooled connection is no longer reused.
     pub idle_ms: u64,
-    /// Age after which a connection takes no further request.
+    /// Age after which a pooled connection is no longer reused.
     pub age_ms: u64,
-    /// Time since its last answer for which a connection counts as lively.
+    /// Time since its last response for which a connection counts as recently used.
     pub lively_ms: u64,
-    /// Time after the start in which a request waits for the first configuration;
-    /// a VM that restarts with all others has it after a fifth of a second.
+    /// Time after the start in which requests wait for the first configuration. A VM
+    /// that restarts together with all others has it after 0.2 s.
     pub first_config_wait_ms: u64,
-    /// Gap between two ticks of the timer that counts as a pause.
+    /// Gap between two timer ticks from which the process counts as paused.
     pub pause_threshold_ms: u64,
-    /// Time without requests after which a shard is forgotten that this VM does
-    /// not own.
+    /// Time without requests after which the state of a shard that this VM doesn't own
+    /// is dropped.
     pub careful_idle_ms: u64,
-    /// Time for requests in flight to finish when the daemon stops.
+    /// Time limit for requests in flight to finish during shutdown.
     pub shutdown_ms: u64,
 }
 
@@ -291,7 +292,7 @@
     }
 }
 
-/// Smallest head that HTTP needs room for.
+/// Minimum of [`Limits::header_bytes`], as required by the HTTP implementation.
 const MIN_HEADER_BYTES: usize = 8 * 1024;
 
 /// Default of [`Settings::entry_drain_ms`].
@@ -312,7 +313,7 @@
     DEFAULT_ENTRY_DRAIN_MS
 }
 
-/// Why the settings can't be used.
+/// Why the settings are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -323,7 +324,7 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The file is not JSON, or a field is missing, unknown or of another type.
+    /// The file isn't valid JSON, or a field is missing, unknown or has the wrong type.
     #[error("{}: {field}: {problem}", file.display())]
     Parse {
         /// The file.
@@ -333,7 +334,7 @@
         /// What is wrong, with the offending value.
         problem: String,
     },
-    /// A field's value can't be used.
+    /// A field has an invalid value.
     #[error("{}: {field}: {problem}", file.display())]
     Invalid {
         /// The file.
@@ -351,32 +352,33 @@
     }
 }
 
-/// A settings file that is read again now and then.
+/// A settings file that is checked for changes.
 #[derive(Debug)]
 pub(crate) struct SettingsFile {
     file: PathBuf,
-    read: Vec<u8>,
+    last_content: Vec<u8>,
 }
 
 impl SettingsFile {
-    /// Begins with what the file holds now; an unreadable one counts as empty.
+    /// Starts with the current content of the file; an unreadable file counts as empty.
     pub(crate) fn new(file: &Path) -> SettingsFile {
-        SettingsFile { file: file.to_owned(), read: fs::read(file).unwrap_or_default() }
+        SettingsFile { file: file.to_owned(), last_content: fs::read(file).unwrap_or_default() }
     }
 
     /// Returns the settings if the file has changed since it was last read.
     ///
     /// # Errors
     ///
-    /// Returns an error, once for each change, if they can't be used.
-    pub(crate) fn changed(&mut self) -> Result<Option<Settings>, SettingsError> {
+    /// Returns an error if the file can't be read or, once for each change, if the
+    /// settings are invalid.
+    pub(crate) fn read_if_changed(&mut self) -> Result<Option<Settings>, SettingsError> {
         let json = fs::read(&self.file)
             .map_err(|source| SettingsError::Read { file: self.file.clone(), source })?;
-        if json == self.read {
+        if json == self.last_content {
             return Ok(None);
         }
-        self.read = json;
-        Settings::parse(&self.file, &self.read).map(Some)
+        self.last_content = json;
+        Settings::parse(&self.file, &self.last_content).map(Some)
     }
 }
 
@@ -413,16 +415,16 @@
         }
     }
 
-    /// Returns the first field whose value can't be used.
+    /// Returns the first field with an invalid value, and what is wrong with it.
     fn problem(&self) -> Option<(&'static str, String)> {
-        let empty_name = [
+        let invalid_name = [
             ("vm", &self.vm),
             ("data_centre", &self.data_centre),
             ("deployment", &self.deployment),
         ]
         .into_iter()
-        .find(|(_, name)| !is_name(name));
-        if let Some((field, name)) = empty_name {
+        .find(|(_, name)| !is_valid_name(name));
+        if let Some((field, name)) = invalid_name {
             let problem =
                 format!("{:?}: use letters, digits, '-', '_' and '.' only", name.as_str());
             return Some((field, problem));
@@ -442,7 +444,7 @@
             .or_else(|| self.limits.problem())
     }
 
-    /// Returns the peer addresses of the VMs that may know the fleet.
+    /// Returns the peer addresses of the seed VMs.
     pub(crate) fn seeds(&self, peer_port: u16) -> Vec<SocketAddr> {
         let peer = |seed: &SocketAddr| SocketAddr::new(seed.ip(), peer_port);
         self.seed_addresses.iter().map(peer).collect()
@@ -472,7 +474,7 @@
     }
 }
 
-fn is_name(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     !name.is_empty() && name.chars().all(allowed)
 }
--- a/crates/pistachiotrackd/src/socket.rs
+++ b/crates/pistachiotrackd/src/socket.rs
@@ -5,40 +5,39 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Time without a sign of the other end after which it is asked for one, time
-/// between two such questions, and how many may stay unanswered. A connection that
-/// was forgotten on the way is found within 7 s, of which one that is in use is
-/// found by its timeouts; shorter times cost bytes on every idle connection.
+/// TCP keep-alive: idle time before the first probe, interval between probes, and
+/// number of unacknowledged probes. A dead idle connection is detected within 7 s;
+/// connections in use are covered by their timeouts. Shorter times would cost bytes on
+/// every idle connection.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 2;
-/// Time for which sent bytes may stay unacknowledged: two retransmissions and more
-/// within a region.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+/// Time for which sent bytes may stay unacknowledged; allows for at least two
+/// retransmissions within a region.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Sets the options of a connection that this VM opened.
+/// Sets the options of an outgoing connection.
 ///
-/// Failure guarded against: something between the two ends has lost track of the
-/// connection, or the other end has lost power, and nothing says so. It shows as a
-/// connection that stays open and silent. The guard holds because the system ends
-/// a connection whose bytes, or whose keep-alive probes, nobody acknowledges.
+/// If a middlebox drops the connection's state, or the peer loses power, the
+/// connection stays open without any error. With these options the system closes a
+/// connection whose data or keep-alive probes aren't acknowledged.
 ///
 /// # Errors
 ///
-/// Returns an error if the system refuses an option.
+/// Returns an error if the system rejects an option.
 pub(crate) fn configure_outgoing(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     socket.set_tcp_keepalive(&keepalive())
 }
 
-/// Sets the options of a connection that came in; its other end may be slow to take
-/// an answer, so that only its idle times are watched.
+/// Sets the options of an incoming connection. There is no limit on unacknowledged
+/// data, since the peer may be slow to read a response.
 ///
 /// # Errors
 ///
-/// Returns an error if the system refuses an option.
+/// Returns an error if the system rejects an option.
 pub(crate) fn configure_incoming(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_keepalive(&keepalive())
--- a/crates/pistachiotrackd/src/timer.rs
+++ b/crates/pistachiotrackd/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: one tick for all parts that subscribe to it.
+//! The timer service, which sends periodic ticks to its subscribers.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -22,44 +22,44 @@
 /// Time between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What subscribers are told.
+/// Events that are sent to subscribers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum TimerEvent {
-    /// A tick.
+    /// A tick, with the current time.
     Tick(Time),
     /// The process was paused; sent before the first tick after the pause.
     Paused {
-        /// Present moment.
+        /// Current time.
         now: Time,
         /// Length of the pause.
         gap: Duration,
     },
 }
 
-/// Tells whether the process has just woken from a pause.
+/// A gate that is closed after a pause of the process until the timer has handled it.
 ///
-/// Failure guarded against: a VM that is paused between a decision and the write
-/// that follows it sends a request long after its caller has given up. It shows
-/// as a gap between ticks. The guard holds because the gate is asked by whoever
-/// is about to write the first byte, and stays shut until the timer service has
-/// seen the gap and told its subscribers.
+/// A VM that is paused between a dispatch decision and the write that follows would
+/// send a request long after its caller gave up. A pause shows as a gap between
+/// ticks. The gate is checked before the first byte of a request is written, and
+/// stays closed until the timer service has detected the gap and notified its
+/// subscribers.
 #[derive(Clone, Debug)]
 pub(crate) struct PauseGate {
     detector: Arc<Mutex<PauseDetector>>,
 }
 
 impl PauseGate {
-    /// Creates a gate that shuts when ticks are `threshold` apart.
+    /// Creates a gate that closes when the last tick is `threshold` ago.
     pub(crate) fn new(now: Time, threshold: Duration) -> PauseGate {
         PauseGate { detector: Arc::new(Mutex::new(PauseDetector::new(now, threshold))) }
     }
 
-    /// Returns whether the process was paused since the last tick.
+    /// Returns whether the process was paused since the last tick, so that nothing may be sent.
     pub(crate) fn is_closed(&self, now: Time) -> bool {
         self.detector.lock().unwrap_or_else(PoisonError::into_inner).is_stale(now)
     }
 
-    /// Returns the last pause of the process, also one that just ends.
+    /// Returns the last pause of the process, including one that no tick has ended yet.
     pub(crate) fn pause_at(&self, now: Time) -> Option<Pause> {
         self.detector.lock().unwrap_or_else(PoisonError::into_inner).pause_at(now)
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// The actor that ticks.
+/// The actor that sends the ticks.
 pub(crate) struct TimerService {
     clock: Clock,
     gate: PauseGate,
@@ -82,11 +82,11 @@
     every_ticks: u64,
 }
 
-/// Settings of the timer service.
+/// Arguments of the timer service.
 pub(crate) struct TimerArgs {
-    /// Clock that the ticks are read from.
+    /// Clock that gives the time of the ticks.
     pub(crate) clock: Clock,
-    /// Gate that the ticks keep open.
+    /// Gate that the ticks update.
     pub(crate) gate: PauseGate,
 }
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// Adds a subscriber.
+/// Adds a subscriber to every tick.
 pub(crate) struct Subscribe(pub(crate) Recipient<TimerEvent>);
 
 impl Message<Subscribe> for TimerService {
@@ -122,12 +122,12 @@
     }
 }
 
-/// Adds a subscriber that is told of one tick in several, so that an idle daemon
-/// wakes it less often; of pauses it is told as any other.
+/// Adds a subscriber that receives ticks at a longer interval, so that it is woken
+/// less often in an idle daemon. It receives all pauses.
 pub(crate) struct SubscribeWithInterval {
     /// The subscriber.
     pub(crate) recipient: Recipient<TimerEvent>,
-    /// Time between two ticks that it is told of.
+    /// Time between two ticks that are sent to it.
     pub(crate) interval: Duration,
 }
 
--- a/crates/pistachiotrackd/src/traffic.rs
+++ b/crates/pistachiotrackd/src/traffic.rs
@@ -1,31 +1,31 @@
-//! How much this VM says to and hears from others: what about, and how far away they are.
+//! Counts of sent and received messages, by topic and by locality of the other end.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use pistachiotrack_core::{admin::Counter, name::Name};
 
-/// What is said.
+/// Topic of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Topic {
-    /// Who is there.
+    /// Fleet membership.
     Membership,
-    /// What dispatchers do and see.
+    /// State updates between dispatchers.
     ShardUpdate,
-    /// What a VM believes of the endpoints, and questions for it.
+    /// Snapshots of a shard's state, and requests for them.
     ShardSnapshot,
-    /// Requests that crash endpoints.
+    /// Updates about requests that crash endpoints.
     Quarantine,
-    /// Pulls of configurations and answers to them.
+    /// Configuration pulls and their responses.
     Configuration,
-    /// What an owner knew of a shard.
+    /// Hand-overs of a shard's state.
     HandOver,
-    /// Whether another VM reaches an endpoint.
+    /// Checks whether another VM can reach an endpoint.
     Reach,
     /// Reads of the platform.
     Platform,
-    /// Requests sent on to their owner, and the answers.
+    /// Requests forwarded to the owner of their shard, and the responses.
     Forwarded,
-    /// Requests sent to endpoints, and the answers.
+    /// Requests to endpoints, and the responses.
     Endpoint,
 }
 
@@ -58,27 +58,27 @@
         }
     }
 
-    /// Returns whether it is the fleet's own, and no request.
+    /// Returns whether messages of this topic are control traffic of the fleet, not requests.
     fn is_control(self) -> bool {
         !matches!(self, Topic::Forwarded | Topic::Endpoint)
     }
 }
 
-/// Where the other end is.
+/// Locality of the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Locality {
     /// In this VM's data centre.
     Near,
     /// In another data centre.
     Far,
-    /// Not known: a VM that is no member yet, or the platform.
+    /// Unknown: a VM that is no member yet, or the platform.
     Unknown,
 }
 
 impl Locality {
     const ALL: [Locality; 3] = [Locality::Near, Locality::Far, Locality::Unknown];
 
-    /// Returns the place of something in a data centre, seen from another one.
+    /// Returns the locality of something in `data_centre` relative to the data centre `from`.
     pub(crate) fn of(data_centre: &str, from: &str) -> Locality {
         if data_centre == from { Locality::Near } else { Locality::Far }
     }
@@ -110,26 +110,26 @@
 }
 
 #[derive(Debug, Default)]
-struct Count {
+struct LinkCounter {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-impl Count {
+impl LinkCounter {
     fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-/// A count of messages for a collector of metrics.
+/// Count of messages of one topic, locality and direction, for the metrics.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkCount {
-    /// What was said.
+    /// Topic label.
     pub(crate) topic: &'static str,
-    /// Where the other end is.
-    pub(crate) place: &'static str,
-    /// Whether it was sent or received.
+    /// Locality label.
+    pub(crate) locality: &'static str,
+    /// Direction label: sent or received.
     pub(crate) direction: &'static str,
     messages: u64,
     bytes: u64,
@@ -141,42 +141,42 @@
         self.messages
     }
 
-    /// Returns the length of their payload.
+    /// Returns the total length of their payloads.
     pub(crate) fn bytes(&self) -> u64 {
         self.bytes
     }
 }
 
-/// Counts messages and their payload, without the heads of HTTP, TCP and UDP.
+/// Counts messages and their payload bytes, without the headers of HTTP, TCP and UDP.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    counts: [[[Count; Direction::ALL.len()]; Locality::ALL.len()]; Topic::ALL.len()],
+    counts: [[[LinkCounter; Direction::ALL.len()]; Locality::ALL.len()]; Topic::ALL.len()],
 }
 
 impl Traffic {
-    /// Counts a message that was sent.
-    pub(crate) fn sent(&self, topic: Topic, place: Locality, bytes: usize) {
-        self.count(topic, place, Direction::Sent).add(bytes);
+    /// Records a sent message.
+    pub(crate) fn sent(&self, topic: Topic, locality: Locality, bytes: usize) {
+        self.count(topic, locality, Direction::Sent).add(bytes);
     }
 
-    /// Counts a message that was received.
-    pub(crate) fn received(&self, topic: Topic, place: Locality, bytes: usize) {
-        self.count(topic, place, Direction::Received).add(bytes);
+    /// Records a received message.
+    pub(crate) fn received(&self, topic: Topic, locality: Locality, bytes: usize) {
+        self.count(topic, locality, Direction::Received).add(bytes);
     }
 
-    fn count(&self, topic: Topic, place: Locality, direction: Direction) -> &Count {
-        &self.counts[topic as usize][place as usize][direction as usize]
+    fn count(&self, topic: Topic, locality: Locality, direction: Direction) -> &LinkCounter {
+        &self.counts[topic as usize][locality as usize][direction as usize]
     }
 
-    /// Returns the sums of all control messages for the admin port.
+    /// Returns the totals of the control traffic for the admin port.
     pub(crate) fn counters(&self) -> [Counter; 3] {
         let (mut messages_sent, mut bytes_sent, mut bytes_received) = (0, 0, 0);
         for topic in Topic::ALL.into_iter().filter(|topic| topic.is_control()) {
-            for place in Locality::ALL {
-                let sent = self.count(topic, place, Direction::Sent);
+            for locality in Locality::ALL {
+                let sent = self.count(topic, locality, Direction::Sent);
                 messages_sent += sent.messages.load(Ordering::Relaxed);
                 bytes_sent += sent.bytes.load(Ordering::Relaxed);
-                let received = self.count(topic, place, Direction::Received);
+                let received = self.count(topic, locality, Direction::Received);
                 bytes_received += received.bytes.load(Ordering::Relaxed);
             }
         }
@@ -188,18 +188,18 @@
         .map(|(name, value)| Counter { name: Name::from(name), value })
     }
 
-    /// Returns each count that is not 0.
+    /// Returns all non-zero counts.
     pub(crate) fn links(&self) -> Vec<LinkCount> {
         let mut links = Vec::new();
         for topic in Topic::ALL {
-            for place in Locality::ALL {
+            for locality in Locality::ALL {
                 for direction in Direction::ALL {
-                    let count = self.count(topic, place, direction);
+                    let count = self.count(topic, locality, direction);
                     let messages = count.messages.load(Ordering::Relaxed);
                     if messages > 0 {
                         links.push(LinkCount {
                             topic: topic.as_str(),
-                            place: place.as_str(),
+                            locality: locality.as_str(),
                             direction: direction.as_str(),
                             messages,
                             bytes: count.bytes.load(Ordering::Relaxed),
--- a/crates/pistachiotrackd/src/udp.rs
+++ b/crates/pistachiotrackd/src/udp.rs
@@ -1,4 +1,4 @@
-//! The UDP link that membership messages travel on.
+//! Sends and receives the datagrams between VMs.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -15,16 +15,16 @@
     traffic::{Locality, Topic, Traffic},
 };
 
-/// Passes the datagrams that come in to the fleet actor, and those of other
-/// dispatchers to the shards.
+/// Receives datagrams and passes them on by their first byte: those of other dispatchers
+/// to the shards, those of the quarantine to its gate, all others to the fleet actor.
 pub(crate) async fn receive(
     socket: Arc<UdpSocket>,
     fleet: ActorRef<Fleet>,
     context: Arc<Context>,
-    news: Arc<ShardUpdateLink>,
+    link: Arc<ShardUpdateLink>,
 ) {
     let traffic = &context.traffic;
-    // One byte more than any VM sends shows a datagram that is too large.
+    // One byte more than the maximum, to detect datagrams that are too large.
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
@@ -32,15 +32,16 @@
                 let view = context.view();
                 let bytes = &buffer[..length];
                 if bytes.first().is_some_and(|tag| SHARD_DATAGRAM_TAGS.contains(tag)) {
-                    let datagram = news.receive(from, bytes);
-                    let topic =
-                        datagram.as_ref().map_or(Topic::ShardUpdate, |it| it.content.topic());
+                    let datagram = link.receive(from, bytes);
+                    let topic = datagram
+                        .as_ref()
+                        .map_or(Topic::ShardUpdate, |datagram| datagram.content.topic());
                     traffic.received(topic, view.locality(from), length);
                     match datagram {
                         Ok(datagram) => context.shards.on_news(&view, from, datagram),
                         Err(error) => {
                             context.metrics.count(Event::ShardDatagramDropped);
-                            news.log_dropped(from, &error);
+                            link.log_dropped(from, &error);
                         }
                     }
                     continue;
@@ -59,23 +60,23 @@
                     return;
                 }
             }
-            // A send to a VM that is gone shows here as a refused connection.
+            // An earlier send to a stopped VM is reported here as a refused connection.
             Err(error) => log::debug!("event=datagram_failed error={:?}", error.to_string()),
         }
     }
 }
 
-/// Sends a datagram and counts it; one that the system has no room for is lost, as any may
-/// be.
+/// Sends a datagram and counts it. It is dropped if the send buffer is full, as datagrams
+/// may be lost anyway.
 pub(crate) fn send(
     socket: &UdpSocket,
     to: SocketAddr,
     bytes: &[u8],
     traffic: &Traffic,
-    (topic, place): (Topic, Locality),
+    (topic, locality): (Topic, Locality),
 ) {
     match socket.try_send_to(bytes, to) {
-        Ok(sent) => traffic.sent(topic, place, sent),
+        Ok(sent) => traffic.sent(topic, locality, sent),
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
         Err(error) => {
             log::debug!("event=datagram_failed to={to} error={:?}", error.to_string());
--- a/crates/pistachiotrackd/src/view.rs
+++ b/crates/pistachiotrackd/src/view.rs
@@ -1,5 +1,5 @@
-//! The fleet and the configuration as requests see them: a snapshot that the
-//! fleet actor replaces.
+//! Immutable snapshots of the fleet and the configuration for request handling; the
+//! fleet actor publishes a new one after each change.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -14,18 +14,18 @@
 
 use crate::traffic::Locality;
 
-/// What requests need of the configuration in force.
+/// The active configuration, indexed for request handling.
 #[derive(Debug)]
 pub(crate) struct ActiveConfig {
     /// The configuration.
     pub(crate) config: Arc<Config>,
-    /// Its rules, ready to decide.
+    /// Its rules, compiled for evaluation.
     pub(crate) rules: RuleSet,
     index: IndexedConfig,
 }
 
 impl ActiveConfig {
-    /// Prepares a configuration.
+    /// Indexes a configuration.
     pub(crate) fn new(config: Arc<Config>) -> ActiveConfig {
         let rules = RuleSet::of_config(Arc::clone(&config));
         let index = IndexedConfig::new(Arc::clone(&config));
@@ -41,37 +41,37 @@
 /// A snapshot of the fleet.
 #[derive(Debug)]
 pub(crate) struct FleetView {
-    /// Configuration in force; `None` until there is a first one.
+    /// Active configuration; `None` until the first one is received.
     pub(crate) active: Option<Arc<ActiveConfig>>,
     /// Owners of all shards.
     pub(crate) ownership: Ownership,
     /// The other members.
     pub(crate) members: Vec<Member>,
-    /// Where the other members are, by their address for VMs.
+    /// Localities of the other members by peer address.
     localities: FxHashMap<SocketAddr, Locality>,
 }
 
 impl FleetView {
-    /// Takes a snapshot, seen from a data centre.
+    /// Creates a snapshot for a VM in `data_centre`.
     pub(crate) fn new(
         active: Option<Arc<ActiveConfig>>,
         ownership: Ownership,
         members: Vec<Member>,
         data_centre: &str,
     ) -> FleetView {
-        let place = |Member { vm, .. }: &Member| {
+        let locality = |Member { vm, .. }: &Member| {
             (vm.peer_address, Locality::of(&vm.data_centre, data_centre))
         };
-        let localities = members.iter().map(place).collect();
+        let localities = members.iter().map(locality).collect();
         FleetView { active, ownership, members, localities }
     }
 
-    /// Returns where the VM at an address is.
+    /// Returns the locality of the VM at a peer address.
     pub(crate) fn locality(&self, peer_address: SocketAddr) -> Locality {
         self.localities.get(&peer_address).copied().unwrap_or(Locality::Unknown)
     }
 
-    /// Returns the number of VMs that may use endpoints, this one included.
+    /// Returns the number of VMs that may use endpoints, including this one.
     pub(crate) fn live_vms(&self) -> u32 {
         let alive = |member: &&Member| {
             matches!(member.state, MemberState::Alive | MemberState::Suspect | MemberState::Leaving)
