--- a/crates/pistachiotrackd/benches/overhead.rs
+++ b/crates/pistachiotrackd/benches/overhead.rs
@@ -1,5 +1,5 @@
-//! Measures the latency that one daemon adds on loopback: the same requests
-//! straight to the endpoints and through the daemon, in turns.
+//! Measures the latency that a daemon adds on loopback: sends the same requests
+//! directly to the endpoints and through the daemon, in alternating rounds.
 //!
 //! Run with `cargo bench -p pistachiotrackd`.
 
@@ -19,15 +19,15 @@
 use tokio::runtime::Runtime;
 
 /// Endpoints of each service.
-const ENDPOINTS: usize = 8;
-/// Requests of each caller in a round.
-const REQUESTS: usize = 1_000;
-/// Callers at the same time.
-const CALLERS: [usize; 3] = [1, 4, 8];
+const ENDPOINTS_PER_SERVICE: usize = 8;
+/// Requests per caller in a round.
+const REQUESTS_PER_CALLER: usize = 1_000;
+/// Numbers of concurrent callers.
+const CALLER_COUNTS: [usize; 3] = [1, 4, 8];
 /// Pause of a caller between two requests.
-const PACE: Duration = Duration::from_micros(500);
-/// Bytes of an answer's body.
-const ANSWER_BYTES: usize = 1_024;
+const REQUEST_INTERVAL: Duration = Duration::from_micros(500);
+/// Size of a response body.
+const RESPONSE_BYTES: usize = 1_024;
 
 fn runtime(threads: usize) -> Runtime {
     tokio::runtime::Builder::new_multi_thread()
@@ -43,17 +43,17 @@
     let caller_runtime = runtime(2);
     let endpoints: Vec<Endpoint> = endpoint_runtime.block_on(async {
         let mut endpoints = Vec::new();
-        for _ in 0..2 * ENDPOINTS {
-            endpoints.push(Endpoint::answering(&[b'x'; ANSWER_BYTES]).await);
+        for _ in 0..2 * ENDPOINTS_PER_SERVICE {
+            endpoints.push(Endpoint::answering(&[b'x'; RESPONSE_BYTES]).await);
         }
         endpoints
     });
     let addresses: Vec<SocketAddr> = endpoints.iter().map(|endpoint| endpoint.address).collect();
-    let (search, booking) = addresses.split_at(ENDPOINTS);
+    let (search, booking) = addresses.split_at(ENDPOINTS_PER_SERVICE);
     let deployment = daemon_runtime.block_on(Deployment::start(search, booking));
     let entry = [deployment.address()];
     println!("path callers kind count p50_us p90_us p99_us p999_us max_us");
-    for callers in CALLERS {
+    for callers in CALLER_COUNTS {
         for (kind, request, targets) in
             [("lookup", lookup as fn() -> _, search), ("booking", booking_request, booking)]
         {
@@ -71,8 +71,8 @@
 /// Returns the daemon's worker threads: the first number on the command line,
 /// or the daemon's default.
 fn daemon_threads() -> usize {
-    let given = std::env::args().find_map(|argument| argument.parse().ok());
-    given.unwrap_or(pistachiotrackd::settings::Limits::default().worker_threads)
+    let argument_threads = std::env::args().find_map(|argument| argument.parse().ok());
+    argument_threads.unwrap_or(pistachiotrackd::settings::Limits::default().worker_threads)
 }
 
 fn lookup() -> Request<Full<Bytes>> {
@@ -101,12 +101,12 @@
 async fn call(target: SocketAddr, request: fn() -> Request<Full<Bytes>>) -> Histogram<u64> {
     let mut connection = client::Connection::open(target).await;
     let mut latencies = Histogram::new(3).unwrap();
-    for _ in 0..REQUESTS {
+    for _ in 0..REQUESTS_PER_CALLER {
         let start = Instant::now();
-        let answer = connection.send(request()).await.unwrap();
+        let response = connection.send(request()).await.unwrap();
         latencies.record(start.elapsed().as_micros() as u64).unwrap();
-        assert_eq!(answer.body().len(), ANSWER_BYTES, "{answer:?}");
-        tokio::time::sleep(PACE).await;
+        assert_eq!(response.body().len(), RESPONSE_BYTES, "{response:?}");
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     latencies
 }
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -409,7 +409,7 @@
         LeavingDaemon(self)
     }
 
-    /// Returns how long callers may still use entry answers that list this VM.
+    /// Returns how long callers may still use entry responses that list this VM.
     fn entry_drain(&self) -> Duration {
         let least = Duration::from_millis(self.context.settings.entry_drain_ms);
         let Some(active) = &self.context.view().active else { return least };
@@ -418,7 +418,7 @@
 }
 
 impl LeavingDaemon {
-    /// Serves until the last entry answer that lists this VM has expired, then
+    /// Serves until the last entry response that lists this VM has expired, then
     /// accepts no further connections.
     pub async fn drain(self) -> StoppingDaemon {
         let entry_drain = self.0.entry_drain();
--- a/crates/pistachiotrackd/src/fleet.rs
+++ b/crates/pistachiotrackd/src/fleet.rs
@@ -57,7 +57,7 @@
 /// Interval of ownership updates without a membership or configuration change;
 /// needed for changes that hysteresis delays.
 const OWNERSHIP_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval at which the connection pools are last_sweep.
+/// Interval at which the connection pools are swept.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Arguments of the fleet actor.
--- a/crates/pistachiotrackd/src/platform.rs
+++ b/crates/pistachiotrackd/src/platform.rs
@@ -41,10 +41,10 @@
     /// The request can't be built.
     #[error("request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The value can't be decode_value.
+    /// The value can't be decoded.
     #[error("value: {0}")]
     Value(#[from] serde_json::Error),
-    /// The compressed value can't be decode_value.
+    /// The compressed value can't be decoded.
     #[error(transparent)]
     Gzip(#[from] GzipError),
     /// The response has an unsupported content coding.
--- a/crates/pistachiotrackd/src/registry.rs
+++ b/crates/pistachiotrackd/src/registry.rs
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 struct RegistryState {
     view: RegistryView,
-    /// Revision up to which the view is complete; `None` if a snapshot is needed.
+    /// Revision up to which the view is complete; `None` if the content must be listed.
     synced_revision: Option<u64>,
     /// Registrations for unknown services that have been logged.
     logged_unassigned: BTreeSet<Name>,
--- a/crates/pistachiotrackd/src/settings.rs
+++ b/crates/pistachiotrackd/src/settings.rs
@@ -44,7 +44,7 @@
     #[serde(default = "default_log_level")]
     pub log_level: Name,
     /// Minimum time for which a leaving daemon still serves callers that hold an old
-    /// entry answer.
+    /// entry response.
     #[serde(default = "default_entry_drain_ms")]
     pub entry_drain_ms: u64,
     /// Expected number of VMs of the fleet; used to spread the first reads of the
@@ -152,7 +152,7 @@
     pub sensitivity: f64,
     /// Maximum number of requests that wait for a slot.
     pub queue_limit: u32,
-    /// Time for which callers may cache an entry answer.
+    /// Time for which callers may cache an entry response.
     pub entry_lifetime_ms: u64,
     /// Retries per request, over the whole fleet.
     pub retry_ratio: f64,
--- a/crates/pistachiotrackd/src/shard_update_link.rs
+++ b/crates/pistachiotrackd/src/shard_update_link.rs
@@ -36,7 +36,7 @@
 const SHARD_DATAGRAM_TAG: u8 = 0x82;
 /// Minimum interval of log lines about dropped datagrams.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Number of dispatchers that are recipients for a snapshot.
+/// Number of dispatchers that are asked for a snapshot.
 const SNAPSHOT_SOURCES: usize = 2;
 /// Endpoint estimates in one datagram of a snapshot: each takes about 20 bytes of the
 /// maximum of 1,200.
--- a/crates/pistachiotrackd/tests/control_faults.rs
+++ b/crates/pistachiotrackd/tests/control_faults.rs
@@ -1,4 +1,4 @@
-//! Broken and hostile input at the ports that VMs use among themselves.
+//! Malformed and hostile input at the peer port.
 
 mod testenv;
 
@@ -30,7 +30,7 @@
     "/pistachiotrack/v1/peer/reach",
 ];
 
-/// Returns a ping of a VM that nobody lists, with what it says of a third one.
+/// Returns a ping from a VM that isn't listed, with an update about a third VM.
 fn ping(from: SocketAddr) -> Datagram {
     let details = MemberDetails {
         data_centre: Name::from("oslo-1"),
@@ -64,7 +64,7 @@
     assert_eq!(answer.body(), "free slots");
 }
 
-/// Waits until the daemon has taken in all datagrams that were sent to it.
+/// Waits until the daemon has received a number of bytes over control links.
 async fn wait_received(deployment: &Deployment, bytes: u64) {
     client::wait_for(deployment.daemon.admin_address(), "/status", |status| {
         counter(status, "control_bytes_received") >= bytes
@@ -72,33 +72,33 @@
     .await;
 }
 
-/// Something on the network sends datagrams that no VM made: noise, datagrams
-/// that were cut short, altered on the way, or belong to another deployment. No
-/// member may appear and requests must be served on.
+/// The daemon receives invalid datagrams: random bytes, truncated and corrupted
+/// datagrams, and datagrams of another deployment. They must add no member, and
+/// requests must still be served.
 #[tokio::test]
-async fn broken_datagrams_change_nothing() {
+async fn invalid_datagrams_have_no_effect() {
     bounded(async {
         let search = Endpoint::answering("free slots").await;
         let deployment = Deployment::start(&[search.address], &[]).await;
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let valid = Codec::new("timeliten").encode(&ping(socket.local_addr().unwrap())).unwrap();
-        let mut source = Gen::from_size_and_seed(1_500, SEED);
-        let mut broken: Vec<Vec<u8>> = (0..valid.len()).map(|end| valid[..end].to_vec()).collect();
+        let mut generator = Gen::from_size_and_seed(1_500, SEED);
+        let mut invalid: Vec<Vec<u8>> = (0..valid.len()).map(|end| valid[..end].to_vec()).collect();
         for index in 0..valid.len() * 8 {
             let mut altered = valid.clone();
             altered[index / 8] ^= 1 << (index % 8);
-            broken.push(altered);
+            invalid.push(altered);
         }
-        broken.extend((0..500).map(|_| Vec::<u8>::arbitrary(&mut source)));
-        broken.push(vec![1; 60_000]);
+        invalid.extend((0..500).map(|_| Vec::<u8>::arbitrary(&mut generator)));
+        invalid.push(vec![1; 60_000]);
         let other = Codec::new("other").encode(&ping(socket.local_addr().unwrap())).unwrap();
-        broken.push(other);
+        invalid.push(other);
         let peer = deployment.daemon.peer_address();
         let admin = deployment.daemon.admin_address();
-        for datagram in &broken {
+        for datagram in &invalid {
             let before = counter(&client::admin(admin, "/status").await, "control_bytes_received");
             socket.send_to(datagram, peer).await.unwrap();
-            // One at a time, so that the system drops none for want of room.
+            // One at a time, so that the receive buffer doesn't overflow.
             wait_received(&deployment, before + u64::from(!datagram.is_empty())).await;
         }
         let members = client::admin(admin, "/members").await;
@@ -108,30 +108,31 @@
     .await;
 }
 
-/// As above over TCP: bytes that are no message of any VM arrive at the paths
-/// that VMs ask each other at, and bytes that are no HTTP at the port.
+/// The same over TCP: invalid bodies at the paths between VMs, and bytes that
+/// aren't HTTP at the port.
 #[tokio::test]
-async fn broken_questions_are_refused() {
+async fn invalid_peer_requests_are_rejected() {
     bounded(async {
         let search = Endpoint::answering("free slots").await;
         let deployment = Deployment::start(&[search.address], &[]).await;
         let peer = deployment.daemon.peer_address();
-        let mut source = Gen::from_size_and_seed(300, SEED);
+        let mut generator = Gen::from_size_and_seed(300, SEED);
         for round in 0..100 {
             for path in PEER_PATHS {
-                let question: Vec<u8> = Vec::arbitrary(&mut source);
-                let request = client::request(Method::POST, path, Bytes::from(question));
+                let body: Vec<u8> = Vec::arbitrary(&mut generator);
+                let request = client::request(Method::POST, path, Bytes::from(body));
                 let answer = client::send(peer, request).await.unwrap();
                 assert!(answer.status() != 500, "{round} {path} {answer:?}");
             }
-            let request = client::request(Method::POST, "/slots", Vec::arbitrary(&mut source));
+            let request = client::request(Method::POST, "/slots", Vec::arbitrary(&mut generator));
             let request = client::with(request, "pistachiotrack-hop", "vm-07");
-            let noise = String::arbitrary(&mut source).replace(|c: char| !c.is_ascii_graphic(), "");
+            let noise =
+                String::arbitrary(&mut generator).replace(|c: char| !c.is_ascii_graphic(), "");
             let request = client::with(request, "pistachiotrack-route", &noise);
             let answer = client::send(peer, request).await.unwrap();
             assert!(answer.status().is_client_error() || answer.status() == 503, "{answer:?}");
             let mut stream = TcpStream::connect(peer).await.unwrap();
-            let noise: Vec<u8> = Vec::arbitrary(&mut source);
+            let noise: Vec<u8> = Vec::arbitrary(&mut generator);
             // The daemon may close before it has read everything.
             let _ = stream.write_all(&noise).await;
             let _ = stream.shutdown().await;
@@ -143,21 +144,21 @@
     .await;
 }
 
-/// A VM that is listed for this deployment runs another one, as after an
-/// address was given to another customer. The two must not become members of
-/// one fleet, or requests would be sent on to a VM without their services.
+/// A VM that is listed for this deployment runs another one, for instance after
+/// its address was reassigned. It must not become a member of the fleet, or
+/// requests would be forwarded to a VM without their services.
 #[tokio::test]
-async fn vms_of_another_deployment_stay_strangers() {
+async fn vms_of_another_deployment_do_not_become_members() {
     bounded(async {
         let search = Endpoint::answering("free slots").await;
         let platform = Platform::start().await;
         platform.publish_config(config(1, &[search.address], &[]));
         let first = Vm::start("vm-01", platform.address).await;
         let second = Vm::start("vm-02", platform.address).await;
-        let stranger = Vm::start_in("elsewhere", "vm-03", platform.address).await;
-        let lines = [first.listed(), second.listed(), stranger.listed()];
+        let other = Vm::start_in("elsewhere", "vm-03", platform.address).await;
+        let lines = [first.listed(), second.listed(), other.listed()];
         publish_list(&platform, 2, &lines);
-        // The list gives a VM ten seconds to answer; then it counts as dead.
+        // A listed VM counts as dead if it doesn't respond within ten seconds.
         wait_until(|| async {
             let members = client::admin(first.admin, "/members").await;
             let state = |name: &str| {
--- a/crates/pistachiotrackd/tests/fleet.rs
+++ b/crates/pistachiotrackd/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several daemons that know each other: configuration, owners, hand-over.
+//! Fleets of several daemons: configuration, ownership and hand-over.
 
 mod testenv;
 
@@ -33,11 +33,11 @@
     }
 }
 
-/// A VM starts while the platform is away. A clerk whose request comes in there
-/// must be told that it was not run until the VM has rules, and be served as
-/// soon as a peer has given it the configuration.
+/// A VM starts while the platform is unreachable. It must refuse requests as not
+/// run until it has a configuration, and serve them once it has pulled the
+/// configuration from a peer.
 #[tokio::test]
-async fn a_vm_without_the_platform_is_configured_by_a_peer() {
+async fn a_vm_that_cannot_reach_the_platform_gets_its_configuration_from_a_peer() {
     bounded(async {
         let search = Endpoint::answering("free slots").await;
         let platform = Platform::start().await;
@@ -61,10 +61,10 @@
     .await;
 }
 
-/// An operator publishes a change and then one with a fault. All VMs must take
-/// the first, stay with it at the second, and say why.
+/// An operator publishes a valid and then an invalid configuration. All VMs must
+/// activate the first, keep it when the second arrives, and report the error.
 #[tokio::test]
-async fn a_change_reaches_all_and_a_faulty_one_none() {
+async fn a_valid_configuration_reaches_all_vms_and_an_invalid_one_none() {
     bounded(async {
         let search = Endpoint::answering("").await;
         let fleet = Fleet::start(4, config(1, &[search.address], &[])).await;
@@ -75,14 +75,18 @@
         faulty["services"][0]["timeout_ms"] = json!(0);
         fleet.platform.publish_config(faulty);
         let admins = fleet.admins();
-        let mut told = None;
-        while told.is_none() {
+        let mut reported_error = None;
+        while reported_error.is_none() {
             for admin in &admins {
                 let status = client::admin(*admin, "/status").await;
-                told = told.or(status["config_error"].as_str().map(str::to_owned));
+                reported_error =
+                    reported_error.or(status["config_error"].as_str().map(str::to_owned));
             }
         }
-        assert!(told.as_ref().unwrap().contains("services[0].timeout_ms"), "{told:?}");
+        assert!(
+            reported_error.as_ref().unwrap().contains("services[0].timeout_ms"),
+            "{reported_error:?}"
+        );
         for vm in &fleet.vms {
             assert_eq!(vm.status().await["config_version"], 2);
         }
@@ -92,22 +96,22 @@
     .await;
 }
 
-/// The platform comes back from a backup with version 1 while the fleet is at
-/// 2. A VM that starts now may hear the platform first; it must never serve by
-/// version 1, which the fleet has left.
+/// The platform is restored from a backup with version 1 while the fleet is at
+/// version 2. A VM that starts may read the platform first; it must never use
+/// version 1, which is older than the fleet's.
 #[tokio::test]
-async fn a_platform_that_comes_back_older_changes_nothing() {
+async fn an_older_configuration_on_the_platform_is_ignored() {
     bounded(async {
         let search = Endpoint::answering("").await;
         let mut fleet = Fleet::start(3, config(2, &[search.address], &[])).await;
         fleet.platform.publish_config(config(1, &[search.address], &[]));
-        let newcomer = Vm::start("vm-09", fleet.platform.address).await;
-        let mut held = None;
-        while held != Some(2) {
-            held = newcomer.status().await["config_version"].as_u64();
-            assert!(matches!(held, None | Some(2)), "{held:?}");
+        let new_vm = Vm::start("vm-09", fleet.platform.address).await;
+        let mut version = None;
+        while version != Some(2) {
+            version = new_vm.status().await["config_version"].as_u64();
+            assert!(matches!(version, None | Some(2)), "{version:?}");
         }
-        fleet.vms.push(newcomer);
+        fleet.vms.push(new_vm);
         for vm in &fleet.vms {
             assert_eq!(vm.status().await["config_version"], 2);
         }
@@ -116,7 +120,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_sent_on_to_the_owner_by_one_hop() {
+async fn a_request_is_forwarded_to_the_owner_in_one_hop() {
     bounded(async {
         let search = Endpoint::answering("free slots").await;
         let fleet = Fleet::start(4, config(1, &[search.address], &[])).await;
@@ -137,23 +141,23 @@
     .await;
 }
 
-/// The owner dies without a word. Its callers' requests must reach the endpoint
-/// through another VM, which takes the shard over, and no VM gives its address
-/// to callers any more.
+/// The owner crashes without announcing its leave. Requests must reach the
+/// endpoint through another VM, which takes the shard over, and no VM may list
+/// the crashed VM in its entry responses.
 #[tokio::test]
-async fn the_others_take_over_from_an_owner_that_crashed() {
+async fn shards_of_a_crashed_owner_are_taken_over() {
     bounded(async {
         let search = Endpoint::answering("free slots").await;
         let mut fleet = Fleet::start(4, config(1, &[search.address], &[])).await;
         let owner = fleet.owner(SEARCH_SHARD).await;
         let mut crashed = fleet.vms.remove(owner);
         crashed.crash();
-        let heir = fleet.owner(SEARCH_SHARD).await;
+        let successor = fleet.owner(SEARCH_SHARD).await;
         for vm in &fleet.vms {
-            let heir = fleet.vms[heir].caller;
+            let successor = fleet.vms[successor].caller;
             wait_until(|| async {
                 let entries = vm.entries(testenv::SEARCH).await;
-                entries.first() == Some(&heir) && !entries.contains(&crashed.caller)
+                entries.first() == Some(&successor) && !entries.contains(&crashed.caller)
             })
             .await;
             let answer = client::send(vm.caller, client::get("/slots")).await.unwrap();
@@ -163,34 +167,38 @@
     .await;
 }
 
-/// A caller that asks the fleet for addresses and keeps them for as long as the
-/// answer lives.
+/// A caller that queries entry addresses and caches them for the lifetime of the
+/// answer.
 struct Caller {
-    asks: SocketAddr,
+    directory: SocketAddr,
     address: SocketAddr,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl Caller {
     async fn send(&mut self, body: String) -> Response<Bytes> {
-        if Instant::now() >= self.until {
+        if Instant::now() >= self.expires_at {
             let path = format!("{}?service={BOOKING}", header::ENTRIES_PATH);
-            let answer = client::admin(self.asks, &path).await;
+            let answer = client::admin(self.directory, &path).await;
             self.address = answer["entries"][0]["address"].as_str().unwrap().parse().unwrap();
             let lifetime = Duration::from_millis(answer["lifetime_ms"].as_u64().unwrap());
-            self.until = Instant::now() + lifetime;
+            self.expires_at = Instant::now() + lifetime;
         }
         let request = client::request(Method::POST, "/bookings", body);
         client::send(self.address, request).await.unwrap()
     }
 }
 
-fn keep_booking(asks: SocketAddr, ends: &Arc<AtomicBool>, name: usize) -> JoinHandle<u32> {
-    let ends = Arc::clone(ends);
-    let mut caller = Caller { asks, address: asks, until: Instant::now() };
+fn book_until_done(
+    directory: SocketAddr,
+    is_done: &Arc<AtomicBool>,
+    name: usize,
+) -> JoinHandle<u32> {
+    let is_done = Arc::clone(is_done);
+    let mut caller = Caller { directory, address: directory, expires_at: Instant::now() };
     tokio::spawn(async move {
         let mut booked = 0;
-        while !ends.load(Ordering::SeqCst) {
+        while !is_done.load(Ordering::SeqCst) {
             let answer = caller.send(format!("{name}-{booked}")).await;
             assert_eq!(answer.status(), 200, "{name}-{booked}: {answer:?}");
             booked += 1;
@@ -205,22 +213,23 @@
     Some(line["state"].as_str().unwrap().to_owned())
 }
 
-/// An operator stops the VM that owns a service while callers book through it,
-/// and one of the service's endpoints is ejected. No booking may fail or run
-/// twice, the new owner must know of the sick endpoint, and callers must no
-/// longer be sent to the VM that stops.
+/// The VM that owns a service is stopped while callers book through it, and one
+/// of the service's endpoints is ejected. No booking may fail or run twice, the
+/// new owner must keep the faulty endpoint ejected, and no VM may list the
+/// stopped VM in its entry responses.
 #[tokio::test]
-async fn an_owner_stops_under_load_without_a_trace() {
+async fn an_owner_that_stops_under_load_loses_and_repeats_no_request() {
     bounded(async {
         let booked = || async { Response::new(Full::new(Bytes::from_static(b"booked"))) };
-        let well = [Endpoint::start(move |_| booked()).await, Endpoint::answering("booked").await];
-        let sick = Endpoint::start(|_| async {
+        let healthy =
+            [Endpoint::start(move |_| booked()).await, Endpoint::answering("booked").await];
+        let faulty = Endpoint::start(|_| async {
             let mut response = Response::new(Full::default());
             *response.status_mut() = hyper::StatusCode::INTERNAL_SERVER_ERROR;
             response
         })
         .await;
-        let addresses = [well[0].address, well[1].address, sick.address];
+        let addresses = [healthy[0].address, healthy[1].address, faulty.address];
         let mut value = config(1, &[], &addresses);
         value["entry_lifetime_ms"] = json!(500);
         let mut fleet = Fleet::start(4, value).await;
@@ -229,47 +238,50 @@
             let request = client::request(Method::POST, "/bookings", "warm-up");
             client::send(fleet.vms[owner].caller, request).await.unwrap();
         }
-        let warm_up: usize = well.iter().map(|endpoint| bookings(endpoint).len()).sum();
+        let warm_up: usize = healthy.iter().map(|endpoint| bookings(endpoint).len()).sum();
 
-        let ends = Arc::new(AtomicBool::new(false));
-        let asked = fleet.vms[(owner + 1) % 4].caller;
-        let callers: Vec<_> = (0..4).map(|name| keep_booking(asked, &ends, name)).collect();
-        let run = || well.iter().map(|endpoint| bookings(endpoint).len()).sum::<usize>();
+        let is_done = Arc::new(AtomicBool::new(false));
+        let directory = fleet.vms[(owner + 1) % 4].caller;
+        let callers: Vec<_> =
+            (0..4).map(|name| book_until_done(directory, &is_done, name)).collect();
+        let run = || healthy.iter().map(|endpoint| bookings(endpoint).len()).sum::<usize>();
         wait_until(|| async { run() >= warm_up + 40 }).await;
         let mut leaving = fleet.vms.remove(owner);
         let stopped = leaving.stop();
-        let heir = fleet.owner(BOOKING_SHARD).await;
-        let heir = &fleet.vms[heir];
-        wait_until(|| async { state_of(heir, "booking-2").await.as_deref() == Some("ejected") })
-            .await;
+        let successor = fleet.owner(BOOKING_SHARD).await;
+        let successor = &fleet.vms[successor];
+        wait_until(|| async {
+            state_of(successor, "booking-2").await.as_deref() == Some("ejected")
+        })
+        .await;
         stopped.await.unwrap();
         for vm in &fleet.vms {
             assert!(!vm.entries(BOOKING).await.contains(&leaving.caller), "{}", vm.name);
         }
-        ends.store(true, Ordering::SeqCst);
+        is_done.store(true, Ordering::SeqCst);
         let mut answered = 0;
         for caller in callers {
             answered += caller.await.unwrap() as usize;
         }
-        let run: Vec<Bytes> = well.iter().flat_map(bookings).collect();
+        let run: Vec<Bytes> = healthy.iter().flat_map(bookings).collect();
         assert!(answered > 0);
         assert_eq!(run.len() - warm_up, answered);
     })
     .await;
 }
 
-/// Returns the bodies of the bookings that an endpoint ran.
+/// Returns the bodies of the bookings that an endpoint executed.
 fn bookings(endpoint: &Endpoint) -> Vec<Bytes> {
     let received = endpoint.received();
     let booked = received.iter().filter(|request| request.method() == Method::POST);
     booked.map(|request| request.body().clone()).collect()
 }
 
-/// A replaced VM comes back under its old name while the old daemon still runs.
-/// The others hear the new one only; the old one must notice, stop by itself
-/// and not go on answering by what it owned.
+/// A VM is replaced by one with the same name while the old daemon still runs.
+/// The other VMs accept only the new one; the old one must detect this and stop,
+/// and must not go on serving the shards that it owned.
 #[tokio::test]
-async fn a_daemon_whose_name_was_taken_over_stops() {
+async fn a_daemon_that_is_superseded_stops() {
     bounded(async {
         let search = Endpoint::answering("").await;
         let mut value = config(1, &[search.address], &[]);
--- a/crates/pistachiotrackd/tests/gzip.rs
+++ b/crates/pistachiotrackd/tests/gzip.rs
@@ -1,4 +1,4 @@
-//! The platform's values come plain or compressed.
+//! Decoding of plain and compressed values of the platform.
 
 mod testenv;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_limit_holds_for_what_is_decoded() {
+fn the_limit_applies_to_the_decoded_size() {
     let fits = vec![b' '; LIMIT];
     assert_eq!(decode(&gzip(&fits), LIMIT).unwrap(), fits);
     let over = vec![b' '; LIMIT + 1];
@@ -29,22 +29,22 @@
     assert_eq!(decode(&gzip(b""), LIMIT).unwrap(), "");
 }
 
-/// A small body decodes to far more than a VM's memory, in one piece or in many
-/// put together. Cause: a broken or hostile platform. Decoding must stop at the
-/// limit; that it does shows in the damage further on, which nobody gets to.
+/// A small body of a faulty or hostile platform decodes to more than a VM's memory,
+/// as one gzip member or several. Decoding must stop at the limit: the damaged data
+/// behind it must not be reached.
 #[test]
 fn decoding_stops_at_the_limit() {
     let member = gzip(&vec![0; 4 * LIMIT]);
-    let one = &member[..member.len() - 8];
-    assert!(matches!(decode(one, LIMIT), Err(GzipError::TooLarge(LIMIT))));
+    let single_member = &member[..member.len() - 8];
+    assert!(matches!(decode(single_member, LIMIT), Err(GzipError::TooLarge(LIMIT))));
     let part = gzip(&vec![0; LIMIT / 4]);
-    let mut many = part.repeat(5);
-    many.extend_from_slice(b"\x1f\x8bnoise");
-    assert!(matches!(decode(&many, LIMIT), Err(GzipError::TooLarge(LIMIT))));
+    let mut several_members = part.repeat(5);
+    several_members.extend_from_slice(b"\x1f\x8bnoise");
+    assert!(matches!(decode(&several_members, LIMIT), Err(GzipError::TooLarge(LIMIT))));
 }
 
 #[test]
-fn damaged_bodies_are_refused() {
+fn damaged_bodies_are_rejected() {
     let whole = gzip(b"{\"version\": 4}");
     for length in 0..whole.len() {
         assert!(matches!(decode(&whole[..length], LIMIT), Err(GzipError::Damaged(_))), "{length}");
@@ -55,11 +55,11 @@
     assert!(matches!(decode(&changed, LIMIT), Err(GzipError::Damaged(_))));
 }
 
-/// The platform compresses, stops compressing, and sends a value that blows up
-/// when decoded. The VM must take all sound values and stay with the last one
-/// at the other, as with any value that it can't read.
+/// The platform sends compressed and plain values, and one that exceeds the limit
+/// when decoded. The VM must accept all valid values and keep the last one when the
+/// oversized one arrives, as with any value that it can't decode.
 #[tokio::test]
-async fn a_vm_takes_values_in_either_coding_and_no_bomb() {
+async fn a_vm_accepts_plain_and_compressed_values_but_no_oversized_one() {
     let search = testenv::endpoint::Endpoint::answering("").await;
     let platform = Platform::start().await;
     platform.set_coding(Coding::Gzip);
@@ -69,14 +69,14 @@
     let admin = daemon.admin_address();
     testenv::client::wait_until_serving(admin).await;
 
-    let in_force = |version| move |status: &serde_json::Value| status["config_version"] == version;
+    let is_active = |version| move |status: &serde_json::Value| status["config_version"] == version;
     platform.set_coding(Coding::Plain);
     platform.publish_config(config(2, &[search.address], &[]));
-    testenv::client::wait_for(admin, "/status", in_force(2)).await;
+    testenv::client::wait_for(admin, "/status", is_active(2)).await;
 
     platform.set_coding(Coding::Bomb);
     platform.publish_config(config(3, &[search.address], &[]));
-    // Reads are counted as they are sent; the second one follows the bomb.
+    // Reads are counted when they are sent, so the second one follows the oversized value.
     let sent = platform.reads();
     while platform.reads() < sent + 2 {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
@@ -85,5 +85,5 @@
     assert_eq!(status["config_version"], 2);
 
     platform.set_coding(Coding::Gzip);
-    testenv::client::wait_for(admin, "/status", in_force(3)).await;
+    testenv::client::wait_for(admin, "/status", is_active(3)).await;
 }
--- a/crates/pistachiotrackd/tests/life_cycle.rs
+++ b/crates/pistachiotrackd/tests/life_cycle.rs
@@ -1,4 +1,4 @@
-//! Start and stop of the daemon.
+//! Startup, shutdown and settings of the daemon.
 
 mod testenv;
 
@@ -21,9 +21,8 @@
 };
 use tokio::sync::watch;
 
-/// A clerk's lookup breaks off whenever a VM is replaced. The daemon is asked
-/// to stop while the endpoint still works on the request, and closes the
-/// caller's connection.
+/// The daemon is stopped while an endpoint is still processing a request. If it
+/// closed the caller's connection, requests would fail whenever a VM is replaced.
 #[tokio::test]
 async fn a_graceful_shutdown_finishes_requests_in_flight() {
     let (release, released) = watch::channel(false);
@@ -59,8 +58,9 @@
     assert_eq!(client::field(&refused, header::REASON), Some("no-config"));
 }
 
-/// All VMs restart, and a caller that knows them asks one before it has read the
-/// configuration. It must not be refused for the fraction of a second until then.
+/// All VMs restart, and a request arrives before the VM has read the configuration.
+/// It must wait for the configuration, which takes a fraction of a second, instead
+/// of being refused.
 #[tokio::test]
 async fn a_request_waits_for_the_first_configuration() {
     bounded(async {
@@ -68,17 +68,17 @@
         let limits = json!({"first_config_wait_ms": 60_000});
         let daemon = Daemon::start(settings("vm-01", platform.address, limits)).await.unwrap();
         let (caller, admin) = (daemon.caller_address(), daemon.admin_address());
-        let asked = tokio::spawn(client::send(caller, client::get("/slots")));
+        let waiting = tokio::spawn(client::send(caller, client::get("/slots")));
         client::wait_for(admin, "/status", |status| counter(status, "requests") == 1).await;
         let search = Endpoint::answering("free slots").await;
         platform.publish_config(config(1, &[search.address], &[]));
-        assert_eq!(asked.await.unwrap().unwrap().body(), "free slots");
+        assert_eq!(waiting.await.unwrap().unwrap().body(), "free slots");
     })
     .await;
 }
 
 #[test]
-fn what_a_vm_has_least_of_is_its_capacity() {
+fn capacity_is_the_lower_of_cpu_and_bandwidth() {
     let capacity = |processor_share, processors, link_mbps| {
         Hardware { processor_share, processors, link_mbps }.capacity()
     };
--- a/crates/pistachiotrackd/tests/limits.rs
+++ b/crates/pistachiotrackd/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on what callers may use, and headers that must not travel on.
+//! Limits on callers, and headers that must not be forwarded.
 
 mod testenv;
 
@@ -14,10 +14,10 @@
     net::TcpStream,
 };
 
-/// Callers that send nothing use up all connections. Each opens a connection,
-/// sends a part of a head and then nothing; the daemon waits for the rest.
+/// Callers that send an incomplete head and then nothing would use up all
+/// connections if the daemon waited for the rest.
 #[tokio::test]
-async fn a_head_that_does_not_come_closes_the_connection() {
+async fn an_incomplete_head_closes_the_connection() {
     let limits = json!({"header_read_timeout_ms": 50});
     let deployment = Deployment::start_with_limits(&[], &[], limits).await;
     let mut stream = TcpStream::connect(deployment.address()).await.unwrap();
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn a_body_that_does_not_fit_into_memory_is_streamed_whole() {
+async fn a_body_over_the_buffer_size_is_streamed_completely() {
     let booking = Endpoint::answering("booked").await;
     let limits = json!({"buffered_body_bytes": 1000});
     let deployment = Deployment::start_with_limits(&[], &[booking.address], limits).await;
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn headers_of_one_connection_and_of_the_fleet_stay_behind() {
+async fn hop_by_hop_and_fleet_headers_are_not_forwarded() {
     let search = Endpoint::start(|_| async {
         let response = hyper::Response::builder()
             .header("x-answer", "kept")
@@ -109,10 +109,10 @@
     assert_eq!(client::field(&answer, header::OUTCOME), Some("not-run"));
 }
 
-/// An endpoint's slot is lost for good. A caller asks for a large answer and
-/// goes silent without closing; the answer waits for it.
+/// A caller requests a large response and stops reading without closing its
+/// connection. The blocked response must not occupy the endpoint's slot forever.
 #[tokio::test]
-async fn a_caller_that_reads_nothing_is_cut_off_and_frees_the_slot() {
+async fn a_caller_that_stops_reading_is_disconnected_and_frees_the_slot() {
     const ANSWER: &[u8] = &[b'x'; 32 * 1024 * 1024];
     let search = Endpoint::answering(ANSWER).await;
     let limits = json!({"body_idle_ms": 100});
@@ -130,13 +130,13 @@
     .await;
 }
 
-/// An endpoint's slots stay unused while requests wait. The first endpoint of
-/// its service takes few connections, and the VM goes by that one's number for
-/// both.
+/// Two endpoints of a service have different connection limits. If the VM applied
+/// the lower limit of the first to both, slots of the second would stay unused
+/// while requests wait.
 #[tokio::test]
-async fn each_endpoint_has_a_connection_budget_of_its_own() {
+async fn each_endpoint_has_its_own_connection_limit() {
     let (release, released) = tokio::sync::watch::channel(false);
-    let held = || {
+    let blocking_endpoint = || {
         let released = released.clone();
         Endpoint::start(move |_| {
             let mut released = released.clone();
@@ -146,7 +146,7 @@
             }
         })
     };
-    let (few, many) = (held().await, held().await);
+    let (few, many) = (blocking_endpoint().await, blocking_endpoint().await);
     let deployment = Deployment::start(&[few.address, many.address], &[]).await;
     let mut config = testenv::config(2, &[few.address, many.address], &[]);
     let endpoints = &mut config["services"][0]["endpoints"];
--- a/crates/pistachiotrackd/tests/logging.rs
+++ b/crates/pistachiotrackd/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Logs that are bounded and never hold up those who write them.
+//! The log writer limits the rate of lines and never blocks its callers.
 
 use std::{
     io::{self, Write},
@@ -9,7 +9,7 @@
 use log::{Level, Record};
 use pistachiotrackd::logging::BoundedWriter;
 
-/// A sink that takes nothing until it is opened, like a pipe that nobody reads.
+/// A sink that blocks until it is opened, like a pipe without a reader.
 struct Pipe {
     opened: Receiver<()>,
     is_open: bool,
@@ -37,10 +37,10 @@
     writer.write(&mut DeferredNow::new(), &record).unwrap();
 }
 
-/// Whoever collects the logs has stopped reading, while requests fail by the
-/// thousand. A VM that waited for its log lines would stop answering callers.
+/// The reader of the log has stopped reading while thousands of requests fail. If
+/// logging blocked, the VM would stop serving callers.
 #[test]
-fn logging_goes_on_while_nobody_reads_and_says_what_was_left_out() {
+fn logging_does_not_block_without_a_reader_and_reports_dropped_lines() {
     let (open, opened) = mpsc::channel();
     let (written, lines) = mpsc::channel();
     let writer = BoundedWriter::start(Pipe { opened, is_open: false, written });
@@ -55,5 +55,8 @@
     let flood = text.lines().filter(|line| line.contains("event=flood")).count();
     assert!((100..2_000).contains(&flood), "{flood} lines of the flood");
     assert!(text.contains("event=log_lines_left_out count="), "{flood} lines");
-    assert!(text.contains("event=refused request=one"), "a refusal goes before the flood");
+    assert!(
+        text.contains("event=refused request=one"),
+        "a refusal is dropped because of the flood"
+    );
 }
--- a/crates/pistachiotrackd/tests/metrics.rs
+++ b/crates/pistachiotrackd/tests/metrics.rs
@@ -1,7 +1,7 @@
-//! What a collector of metrics reads: what is said to whom, and how long requests wait.
+//! Metrics of the links between VMs and endpoints, and of queue latency.
 //!
-//! Operators see that half of what a large fleet costs is bytes between data centres, and
-//! can't tell what they are.
+//! In a large fleet, traffic between data centres is half of the cost; these metrics
+//! show operators what it consists of.
 
 mod testenv;
 
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn requests_to_endpoints_are_counted_by_place_with_their_bodies() {
+async fn messages_and_bytes_of_requests_to_endpoints_are_counted_by_locality() {
     let booking = Endpoint::answering("booked").await;
     let deployment = Deployment::start(&[], &[booking.address]).await;
     for _ in 0..2 {
@@ -47,10 +47,10 @@
     assert_eq!(value(&text, queued), Some(2));
 }
 
-/// A release goes on, and VMs of two versions run side by side; or something else sends
-/// datagrams to a VM. They are counted, and nothing is believed.
+/// During a release, VMs receive datagrams of another version; others may send arbitrary
+/// datagrams. They must be counted and dropped.
 #[tokio::test]
-async fn datagrams_that_are_no_news_are_counted_and_dropped() {
+async fn invalid_shard_datagrams_are_counted_and_dropped() {
     let fleet = Fleet::start(1, config(1, &[], &[])).await;
     let vm = &fleet.vms[0];
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
--- a/crates/pistachiotrackd/tests/process.rs
+++ b/crates/pistachiotrackd/tests/process.rs
@@ -25,7 +25,7 @@
 
 const BOOKING_SHARD: &str = "booking/0";
 
-/// A real daemon process, killed at the end of the test.
+/// A daemon process, which is killed at the end of the test.
 struct Process {
     child: Child,
     caller: SocketAddr,
@@ -69,7 +69,7 @@
         fs::read_to_string(&self.log).unwrap().contains(event)
     }
 
-    /// Waits for the process's end and returns its exit code.
+    /// Waits until the process has ended and returns its exit code.
     async fn exit_code(mut self) -> Option<i32> {
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -97,8 +97,8 @@
     file
 }
 
-/// Returns an endpoint that answers bookings only once the gate opens; its
-/// other answers, to health checks, come at once.
+/// Returns an endpoint that answers bookings only once the gate is open, and other
+/// requests, such as health checks, at once.
 async fn gated_endpoint(gate: &watch::Sender<bool>) -> Endpoint {
     let gate = gate.subscribe();
     Endpoint::start(move |request| {
@@ -117,14 +117,14 @@
     client::request(Method::POST, "/bookings", body)
 }
 
-fn run_bookings(endpoint: &Endpoint) -> Vec<Bytes> {
+fn executed_bookings(endpoint: &Endpoint) -> Vec<Bytes> {
     let received = endpoint.received();
     let booked = received.iter().filter(|request| request.method() == Method::POST);
     booked.map(|request| request.body().clone()).collect()
 }
 
 #[test]
-fn check_tells_valid_settings_from_others() {
+fn check_accepts_valid_settings_and_rejects_invalid_ones() {
     let mut settings = json!({
         "vm": "vm-01", "data_centre": "oslo-1", "deployment": "timeliten",
         "caller_address": "127.0.0.1:0", "peer_address": "127.0.0.1:0",
@@ -142,11 +142,10 @@
     assert!(message.contains("check-invalid.json: log_level: \"loud\""), "{message}");
 }
 
-/// An operator stops a VM, and an impatient supervisor sends SIGTERM again
-/// while a clerk's booking is still at the endpoint. The booking must be
-/// answered, and the process must end with 0.
+/// SIGTERM is sent repeatedly while a booking is in flight at an endpoint. The
+/// booking must be answered, and the process must exit with code 0.
 #[tokio::test]
-async fn a_second_signal_cuts_nothing_off() {
+async fn a_repeated_signal_does_not_interrupt_requests() {
     bounded(async {
         let (gate, _) = watch::channel(false);
         let endpoint = gated_endpoint(&gate).await;
@@ -157,11 +156,11 @@
         let process = Process::start("second-signal", platform.address);
         process.wait_until_serving().await;
         let answer = tokio::spawn(client::send(process.caller, booking("slot 7")));
-        wait_until(|| async { run_bookings(&endpoint).len() == 1 }).await;
+        wait_until(|| async { executed_bookings(&endpoint).len() == 1 }).await;
         process.signal("-TERM");
         client::wait_for(process.admin, "/status", |status| status["state"] == "leaving").await;
         process.signal("-TERM");
-        // The listeners close when the daemon takes no further request.
+        // The listeners close when the daemon accepts no further requests.
         wait_until(|| async { tokio::net::TcpStream::connect(process.caller).await.is_err() })
             .await;
         process.signal("-TERM");
@@ -173,11 +172,11 @@
     .await;
 }
 
-/// A VM stops while a caller keeps its connection for further requests. If the
-/// daemon just closed it, the next request could go out in that moment and its
-/// caller would not know whether it ran.
+/// A VM stops while a caller keeps its connection open for further requests. If
+/// the daemon closed the connection without notice, a request sent at that moment
+/// would fail and its caller wouldn't know whether it was executed.
 #[tokio::test]
-async fn a_leaving_vm_ends_kept_connections_with_an_answer() {
+async fn a_leaving_vm_closes_kept_alive_connections_with_a_response() {
     bounded(async {
         let search = Endpoint::answering("free slots").await;
         let deployment = Deployment::start(&[search.address], &[]).await;
@@ -195,12 +194,12 @@
     .await;
 }
 
-/// A hypervisor stops a VM while a booking waits there for a free endpoint. When
-/// it goes on, the clerk has long given up and books elsewhere: the old booking
-/// must not be sent. Meanwhile the others have declared the VM dead and taken
-/// its shards; it must rejoin and not go on as their owner.
+/// A VM is paused while a booking waits there for a free slot. When it resumes, the
+/// booking's deadline has passed, so that it must not be sent. The other VMs have
+/// declared the VM dead and taken over its shards; it must rejoin the fleet and give
+/// up its ownership.
 #[tokio::test]
-async fn a_paused_vm_sends_no_old_booking_and_rejoins() {
+async fn a_paused_vm_sends_no_expired_booking_and_rejoins() {
     bounded(async {
         let (gate, _) = watch::channel(false);
         let endpoint = gated_endpoint(&gate).await;
@@ -208,14 +207,14 @@
         platform.publish_config(config(1, &[], &[endpoint.address]));
         let process = Process::start("pause", platform.address);
         process.wait_until_serving().await;
-        let others = owning_with_others(&process, &platform).await;
+        let others = join_others_as_owner(&process, &platform).await;
         let admins = [process.admin, others[0].admin, others[1].admin];
 
         let mut running = Vec::new();
         for body in ["first", "second"] {
             running.push(tokio::spawn(client::send(process.caller, booking(body))));
         }
-        wait_until(|| async { run_bookings(&endpoint).len() == 2 }).await;
+        wait_until(|| async { executed_bookings(&endpoint).len() == 2 }).await;
         let waiting = client::with(booking("late"), header::DEADLINE_MS, "1000");
         let waiting = tokio::spawn(client::send(process.caller, waiting));
         client::wait_for(process.admin, "/status", |status| {
@@ -225,12 +224,12 @@
         process.signal("-STOP");
         wait_until_dead(&others[0]).await;
         gate.send_replace(true);
-        wait_until_taken(&others).await;
+        wait_until_taken_over(&others).await;
         process.signal("-CONT");
         let late = waiting.await.unwrap().unwrap();
         assert_eq!(client::field(&late, header::OUTCOME), Some("not-run"), "{late:?}");
         wait_until(|| agrees(&admins)).await;
-        assert!(!run_bookings(&endpoint).contains(&Bytes::from("late")));
+        assert!(!executed_bookings(&endpoint).contains(&Bytes::from("late")));
         for running in running {
             running.abort();
         }
@@ -238,25 +237,25 @@
     .await;
 }
 
-/// As above, without load. The VM was the owner until the pause and others own
-/// its shard since; it must learn that from them and give the shard up. Going on
-/// as owner beside another one, it would use the endpoints' slots a second time.
+/// The same without load. Other VMs have taken over the shard of the paused VM; it
+/// must learn this from them and give the shard up. With two owners, the endpoints'
+/// slots would be used twice.
 #[tokio::test]
-async fn a_paused_vm_gives_up_what_others_took_over() {
+async fn a_paused_vm_gives_up_shards_that_others_took_over() {
     bounded(async {
         let endpoint = Endpoint::answering("booked").await;
         let platform = Platform::start().await;
         platform.publish_config(config(1, &[], &[endpoint.address]));
         let process = Process::start("pause-ownership", platform.address);
         process.wait_until_serving().await;
-        let others = owning_with_others(&process, &platform).await;
+        let others = join_others_as_owner(&process, &platform).await;
         process.signal("-STOP");
         wait_until_dead(&others[0]).await;
-        wait_until_taken(&others).await;
+        wait_until_taken_over(&others).await;
         process.signal("-CONT");
         let admins = [process.admin, others[0].admin, others[1].admin];
         wait_until(|| agrees(&admins)).await;
-        // Lines are written by a thread of their own.
+        // Log lines are written by a separate thread, with a delay.
         wait_until(|| async { process.has_logged("event=shard_lost shard=booking/0") }).await;
     })
     .await;
@@ -264,17 +263,18 @@
 
 /// Starts two more VMs and waits until the fleet agrees that the process owns
 /// the bookings.
-async fn owning_with_others(process: &Process, platform: &Platform) -> [Vm; 2] {
+async fn join_others_as_owner(process: &Process, platform: &Platform) -> [Vm; 2] {
     let others =
         [Vm::start("vm-01", platform.address).await, Vm::start("vm-02", platform.address).await];
     let process_line = listed("vm-09", process.peer, process.caller);
     publish_list(platform, 2, &[process_line, others[0].listed(), others[1].listed()]);
     let admins = [process.admin, others[0].admin, others[1].admin];
-    // The process's name wins the shard by its hash once it has settled.
+    // The process's name has the highest rendezvous score for the shard; it becomes the
+    // owner once it has settled.
     client::wait_for(process.admin, "/status", |status| owns(status, BOOKING_SHARD)).await;
     wait_until(|| agrees(&admins)).await;
-    // Between VMs that are all new a shard goes back at once, so that nothing is
-    // to be given up; answers live for their full time when they have settled.
+    // Between VMs that have not settled a shard goes back at once, so that there is
+    // nothing to give up. Entry responses have their full lifetime once all have settled.
     for caller in [process.caller, others[0].caller, others[1].caller] {
         let path = format!("{}?service={}", header::ENTRIES_PATH, testenv::BOOKING);
         client::wait_for(caller, &path, |answer| {
@@ -296,7 +296,7 @@
     .await;
 }
 
-async fn wait_until_taken(vms: &[Vm; 2]) {
+async fn wait_until_taken_over(vms: &[Vm; 2]) {
     wait_until(|| async {
         owns(&vms[0].status().await, BOOKING_SHARD) || owns(&vms[1].status().await, BOOKING_SHARD)
     })
--- a/crates/pistachiotrackd/tests/serve.rs
+++ b/crates/pistachiotrackd/tests/serve.rs
@@ -1,4 +1,4 @@
-//! Requests from a caller through one daemon to an endpoint and back.
+//! Requests from a caller through a daemon to an endpoint.
 
 mod testenv;
 
@@ -7,7 +7,7 @@
 use testenv::{Deployment, ENTRY_LIFETIME_MS, client, endpoint::Endpoint};
 
 #[tokio::test]
-async fn answers_come_from_the_endpoint_of_the_matching_rule() {
+async fn responses_come_from_an_endpoint_of_the_matching_rule() {
     let search = Endpoint::answering("free slots").await;
     let booking = Endpoint::answering("booked").await;
     let deployment = Deployment::start(&[search.address], &[booking.address]).await;
@@ -34,13 +34,13 @@
 }
 
 #[tokio::test]
-async fn entries_name_the_owner() {
+async fn entries_contain_the_owner() {
     let search = Endpoint::answering("").await;
     let deployment = Deployment::start(&[search.address], &[]).await;
     let path = format!("{}?service=slot-search", header::ENTRIES_PATH);
     let answer = client::admin(deployment.address(), &path).await;
     assert_eq!(answer["entries"][0]["address"], deployment.address().to_string());
-    // A daemon that has just started is not a steady owner yet.
+    // A daemon that has just started is not a stable owner yet, which shortens the lifetime.
     let lifetimes_ms = [ENTRY_LIFETIME_MS / UNSTABLE_LIFETIME_DIVISOR, ENTRY_LIFETIME_MS];
     assert!(lifetimes_ms.contains(&answer["lifetime_ms"].as_u64().unwrap()));
 }
@@ -57,8 +57,8 @@
     assert!(search.received().is_empty());
 }
 
-/// A caller that mistypes a service gets addresses that serve nothing. The
-/// answer names other VMs' addresses although no VM owns such a service.
+/// A query with a mistyped service must get an error, not the addresses of VMs
+/// that don't serve it.
 #[tokio::test]
 async fn an_unknown_service_has_no_entries() {
     let search = Endpoint::answering("").await;
--- a/crates/pistachiotrackd/tests/standbys.rs
+++ b/crates/pistachiotrackd/tests/standbys.rs
@@ -1,4 +1,4 @@
-//! VMs that read the platform in place of watchers that can't reach it.
+//! Standbys: VMs that read the platform if the watchers can't reach it.
 
 mod testenv;
 
@@ -14,10 +14,10 @@
 };
 
 const VMS: usize = 4;
-/// Time in which each watcher calls the platform at least once.
+/// Time within which each watcher calls the platform at least once.
 const WATCH_PERIOD: Duration = Duration::from_secs(3);
 
-/// Starts a VM with a platform of its own, which only it can lose.
+/// Starts a VM with a platform of its own, so that each VM can lose its platform separately.
 async fn start(index: usize, platform: &Platform) -> Vm {
     let mut settings = settings(&format!("vm-{index:02}"), platform.address, json!({}));
     settings.config_sync = ConfigSyncSettings { watch_timeout_ms: 500, ..settings.config_sync };
@@ -25,14 +25,14 @@
 }
 
 /// Returns which platforms are being watched.
-async fn watched(platforms: &[Platform]) -> Vec<bool> {
+async fn watched_platforms(platforms: &[Platform]) -> Vec<bool> {
     let before: Vec<u64> = platforms.iter().map(Platform::reads).collect();
     tokio::time::sleep(WATCH_PERIOD).await;
     platforms.iter().zip(before).map(|(platform, before)| platform.reads() > before).collect()
 }
 
 #[tokio::test]
-async fn a_change_that_no_watcher_can_read_is_read_by_a_standby() {
+async fn a_standby_reads_a_change_if_no_watcher_can() {
     bounded(async {
         let mut platforms = Vec::new();
         let mut vms = Vec::new();
@@ -46,9 +46,9 @@
         platforms.iter().for_each(|platform| publish_list(platform, 2, &lines));
         let admins: Vec<_> = vms.iter().map(|vm| vm.admin).collect();
         wait_until(|| agrees(&admins)).await;
-        let mut watching = watched(&platforms).await;
+        let mut watching = watched_platforms(&platforms).await;
         while watching.iter().filter(|is_watched| **is_watched).count() != 2 {
-            watching = watched(&platforms).await;
+            watching = watched_platforms(&platforms).await;
         }
         for (platform, is_watched) in platforms.iter().zip(watching) {
             match is_watched {
