--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -153,7 +153,7 @@
         let traffic = Arc::new(Traffic::default());
         let path_check = PathCheck::new(me.clone(), view.clone());
         let socket = Arc::new(sockets.membership);
-        let news = Arc::new(ShardUpdateLink::new(
+        let update_link = Arc::new(ShardUpdateLink::new(
             me.clone(),
             &settings.deployment,
             clock,
@@ -178,7 +178,7 @@
             endpoints: Arc::clone(&endpoints),
             timer: timer.clone(),
             path_check,
-            news: Arc::clone(&news),
+            news: Arc::clone(&update_link),
             dialect: Arc::clone(&adapter.dialect),
             careful_idle: Duration::from_millis(settings.limits.careful_idle_ms),
             seed,
@@ -229,7 +229,7 @@
         let _ = timer
             .tell(SubscribeWithInterval { recipient: rounds.recipient(), interval })
             .try_send();
-        tokio::spawn(udp::receive(socket, fleet.clone(), Arc::clone(&context), news));
+        tokio::spawn(udp::receive(socket, fleet.clone(), Arc::clone(&context), update_link));
         let admin_address = local_address("admin_address", &sockets.admin)?;
         let readiness_address = optional_address("readiness_address", &sockets.readiness)?;
         let directory_address = optional_address("directory_address", &sockets.directory)?;
@@ -245,8 +245,8 @@
             readiness_address,
             directory_address,
         };
-        daemon.listen_to_platform(sockets.readiness, sockets.directory, &stopping);
-        daemon.listen(sockets.caller, sockets.peer, sockets.admin, &stopping);
+        daemon.spawn_platform_listeners(sockets.readiness, sockets.directory, &stopping);
+        daemon.spawn_listeners(sockets.caller, sockets.peer, sockets.admin, &stopping);
         log::info!(
             "event=started vm={} caller_address={} peer_address={} admin_address={admin_address}",
             daemon.context.me.name,
@@ -256,7 +256,7 @@
         Ok(daemon)
     }
 
-    fn listen(
+    fn spawn_listeners(
         &self,
         caller: TcpListener,
         peer: TcpListener,
@@ -276,7 +276,7 @@
         tokio::spawn(operators.serve(Arc::clone(&self.context), handler));
     }
 
-    fn listen_to_platform(
+    fn spawn_platform_listeners(
         &self,
         readiness: Option<TcpListener>,
         directory: Option<TcpListener>,
@@ -380,16 +380,16 @@
 
     /// Applies the settings that can change at runtime; invalid settings are
     /// logged and the current ones stay active.
-    fn reload(&mut self, file: &mut Option<SettingsFile>, asked: bool) {
+    fn reload(&mut self, file: &mut Option<SettingsFile>, is_requested: bool) {
         let Some(file) = file else { return };
         match file.read_if_changed() {
             Ok(Some(settings)) => {
-                log::info!("event=settings_changed asked={asked}");
+                log::info!("event=settings_changed asked={is_requested}");
                 let seeds = settings.seeds(self.peer_address().port());
                 // The fleet actor stops only with the process.
                 let _ = self.fleet.tell(SetSeeds(seeds)).try_send();
             }
-            Ok(None) if asked => log::info!("event=settings_unchanged"),
+            Ok(None) if is_requested => log::info!("event=settings_unchanged"),
             Ok(None) => {}
             Err(error) => log::error!("event=settings_refused error={:?}", error.to_string()),
         }
@@ -411,9 +411,9 @@
 
     /// Returns how long callers may still use entry responses that list this VM.
     fn entry_drain(&self) -> Duration {
-        let least = Duration::from_millis(self.context.settings.entry_drain_ms);
-        let Some(active) = &self.context.view().active else { return least };
-        least.max(Duration::from_millis(active.config.entry_lifetime_ms) + ENTRY_MARGIN)
+        let minimum = Duration::from_millis(self.context.settings.entry_drain_ms);
+        let Some(active) = &self.context.view().active else { return minimum };
+        minimum.max(Duration::from_millis(active.config.entry_lifetime_ms) + ENTRY_MARGIN)
     }
 }
 
--- a/crates/pistachiotrackd/src/registry.rs
+++ b/crates/pistachiotrackd/src/registry.rs
@@ -90,7 +90,7 @@
         wait: Duration,
     ) -> Result<Option<PublishedConfig>, RegistryError> {
         let mut state = self.state.lock().await;
-        let give_up = self.clock.now() + wait;
+        let deadline = self.clock.now() + wait;
         let active = self.active.borrow().clone();
         state.apply_active_config(active.as_deref());
         if state.synced_revision.is_none() {
@@ -107,13 +107,13 @@
             {
                 return Ok(Some(PublishedConfig::Assembled(Box::new(config))));
             }
-            if now >= give_up {
+            if now >= deadline {
                 return Ok(None);
             }
             // After a failed request, the next one doesn't wait: a wait that starts
             // while the registry is unreachable could end long after it recovers.
-            let give_up = if state.view.is_unreachable() { now } else { give_up };
-            let until = due.map_or(give_up, |due| due.min(give_up));
+            let deadline = if state.view.is_unreachable() { now } else { deadline };
+            let until = due.map_or(deadline, |due| due.min(deadline));
             let synced_revision = state.synced_revision.unwrap_or_default();
             let changes = self.registry.changes(synced_revision, until.since(now)).await;
             state.apply_changes(self.clock.now(), changes)?;
