--- a/crates/pistachiotrackd/src/admin.rs
+++ b/crates/pistachiotrackd/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin port, which operators' tools read.
+//! Handler of the admin port, which operators' tools read.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -20,7 +20,7 @@
     shard_table::shard_name,
 };
 
-/// Answers an operator's tool.
+/// Handles a request to the admin port.
 pub(crate) async fn handle(
     context: Arc<Context>,
     fleet: ActorRef<Fleet>,
@@ -35,14 +35,14 @@
         "/members" => answer::json(&members(&context)),
         "/quarantine" => answer::json(&context.quarantine.statuses()),
         "/metrics" => metrics(&context, &fleet).await,
-        "/histograms" => answer::json(&context.total.statuses()),
-        "/histograms/added" => answer::json(&context.added.statuses()),
-        "/histograms/queued" => answer::json(&context.queued.statuses()),
+        "/histograms" => answer::json(&context.total_latency.statuses()),
+        "/histograms/added" => answer::json(&context.added_latency.statuses()),
+        "/histograms/queued" => answer::json(&context.queue_latency.statuses()),
         _ => answer::plain(StatusCode::NOT_FOUND),
     })
 }
 
-/// Returns the counters and latencies as text.
+/// Returns the counters and latencies in the text format of metrics collectors.
 async fn metrics(context: &Arc<Context>, fleet: &ActorRef<Fleet>) -> Response<AnswerBody> {
     match exposition::text(context, config_status(fleet).await) {
         Ok(text) => answer::text(text),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns how this VM gets its configuration; nothing of it while the daemon stops.
+/// Returns the state of the configuration sync; the default while the daemon stops.
 async fn config_status(fleet: &ActorRef<Fleet>) -> ConfigStatus {
     fleet.ask(GetConfigStatus).await.unwrap_or_default()
 }
@@ -68,7 +68,7 @@
     Status {
         vm: context.me.name.clone(),
         data_centre: context.me.data_centre.clone(),
-        state: Name::from(context.life_state().as_str()),
+        state: Name::from(context.lifecycle_state().as_str()),
         deployment: context.settings.deployment.clone(),
         config_version: view.active.as_ref().map(|active| active.config.version),
         config_error: config.error,
@@ -82,7 +82,7 @@
 async fn endpoints(context: &Context) -> Vec<EndpointStatus> {
     let mut endpoints = Vec::new();
     for (_, shard) in context.shards.running() {
-        // A shard that has just stopped has no endpoints to show.
+        // A shard whose actor has just stopped has no endpoints to list.
         endpoints.extend(shard.ask(Endpoints).await.unwrap_or_default());
     }
     endpoints.sort_by(|a, b| (&a.service, &a.endpoint).cmp(&(&b.service, &b.endpoint)));
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon's life cycle: start, serve, stop gracefully.
+//! The daemon's lifecycle: startup, serving and graceful shutdown.
 
 mod sockets;
 
@@ -31,26 +31,26 @@
     context::Context,
     dialect::{Dialect, NativeDialect},
     entries,
-    fleet::{Fleet, FleetArgs, Leave, NewSeeds, TICK_INTERVAL},
+    fleet::{Fleet, FleetArgs, Leave, SetSeeds, TICK_INTERVAL},
     forward_stats::ForwardStats,
     histogram::Histograms,
     listener::Listener,
     metrics::Metrics,
-    news_link::NewsLink,
     path_check::PathCheck,
     peer_service, proxy,
     quarantine::{QuarantineGossip, QuarantineManager, QuarantineTransport},
     settings::{Settings, SettingsFile},
     shard_table::{ShardTable, ShardTableArgs},
-    source::Source,
-    timer::{PauseGate, SubscribeSlowly, TimerArgs, TimerService},
+    shard_update_link::ShardUpdateLink,
+    source::ConfigSource,
+    timer::{PauseGate, SubscribeWithInterval, TimerArgs, TimerService},
     traffic::Traffic,
     udp,
     view::FleetView,
 };
 
-/// Connections to the admin port that are open at the same time.
-const ADMIN_CONNECTIONS: usize = 32;
+/// Maximum number of concurrent connections to the admin port.
+const MAX_ADMIN_CONNECTIONS: usize = 32;
 
 /// Why the daemon could not start.
 #[derive(Debug, thiserror::Error)]
@@ -70,18 +70,18 @@
     Metrics(#[from] cadence::MetricError),
 }
 
-/// Time for which a stopping daemon serves on after the last answer that names
-/// it may have run out, since the others hear of its leaving a little later.
+/// Time for which a leaving daemon still serves after the lifetime of the entry
+/// answers that list it, since other VMs learn of its leaving with a delay.
 const ENTRY_MARGIN: Duration = Duration::from_secs(2);
 
-/// What a daemon meets the outside with.
+/// Integration of the daemon with its environment.
 #[derive(Clone, Debug)]
 pub struct Adapter {
-    /// How callers and endpoints speak.
+    /// Protocol of callers and endpoints.
     pub dialect: Arc<dyn Dialect>,
-    /// Where configurations come from; the platform's own service where it is
-    /// missing.
-    pub source: Option<Arc<dyn Source>>,
+    /// Source of configurations; the platform's configuration service if
+    /// `None`.
+    pub source: Option<Arc<dyn ConfigSource>>,
 }
 
 impl Default for Adapter {
@@ -90,10 +90,10 @@
     }
 }
 
-/// Time between two looks at the settings file.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A daemon that serves.
+/// A running daemon.
 pub struct Daemon {
     context: Arc<Context>,
     fleet: ActorRef<Fleet>,
@@ -106,17 +106,17 @@
     directory_address: Option<SocketAddr>,
 }
 
-/// A daemon that serves on while callers may still hold its address; the other
-/// VMs know that it stops.
+/// A daemon that has announced that it is leaving and still serves callers that
+/// hold its address.
 #[must_use]
 pub struct LeavingDaemon(Daemon);
 
-/// A daemon that takes no further request and finishes those in flight.
+/// A daemon that accepts no further requests and finishes those in flight.
 #[must_use]
 pub struct StoppingDaemon(Daemon);
 
 impl Daemon {
-    /// Binds the addresses of the settings and starts all parts.
+    /// Binds the addresses in the settings and starts all components.
     ///
     /// # Errors
     ///
@@ -125,7 +125,7 @@
         Daemon::start_with(settings, Adapter::default()).await
     }
 
-    /// As [`Daemon::start`], with an adapter to what is outside.
+    /// Like [`Daemon::start`], with a custom adapter.
     ///
     /// # Errors
     ///
@@ -153,7 +153,7 @@
         let traffic = Arc::new(Traffic::default());
         let path_check = PathCheck::new(me.clone(), view.clone());
         let socket = Arc::new(sockets.membership);
-        let news = Arc::new(NewsLink::new(
+        let update_link = Arc::new(ShardUpdateLink::new(
             me.clone(),
             &settings.deployment,
             clock,
@@ -178,7 +178,7 @@
             endpoints: Arc::clone(&endpoints),
             timer: timer.clone(),
             path_check,
-            update_link: Arc::clone(&news),
+            update_link: Arc::clone(&update_link),
             dialect: Arc::clone(&adapter.dialect),
             non_owner_idle: Duration::from_millis(settings.limits.careful_idle_ms),
             seed,
@@ -198,10 +198,10 @@
             quarantine: Arc::clone(&quarantine),
             metrics,
             traffic: Arc::clone(&traffic),
-            queued: Histograms::default(),
+            queue_latency: Histograms::default(),
             source: adapter.source,
-            total: Histograms::default(),
-            added: Histograms::default(),
+            total_latency: Histograms::default(),
+            added_latency: Histograms::default(),
             next_request: AtomicU64::new(1),
             dialect: adapter.dialect,
             settings,
@@ -214,17 +214,22 @@
             seed,
         };
         let fleet = Fleet::spawn_with_mailbox(fleet_args, mailbox::unbounded());
-        // The timer service has just been started.
+        // Can't fail: the timer service has just been started.
         let _ = timer
-            .tell(SubscribeSlowly { recipient: fleet.clone().recipient(), interval: TICK_INTERVAL })
+            .tell(SubscribeWithInterval {
+                recipient: fleet.clone().recipient(),
+                interval: TICK_INTERVAL,
+            })
             .try_send();
         let interval = Duration::from_millis(context.settings.quarantine.round_ms);
         let rounds = QuarantineGossip::spawn_with_mailbox(
             QuarantineGossip(quarantine),
             mailbox::unbounded(),
         );
-        let _ = timer.tell(SubscribeSlowly { recipient: rounds.recipient(), interval }).try_send();
-        tokio::spawn(udp::receive(socket, fleet.clone(), Arc::clone(&context), news));
+        let _ = timer
+            .tell(SubscribeWithInterval { recipient: rounds.recipient(), interval })
+            .try_send();
+        tokio::spawn(udp::receive(socket, fleet.clone(), Arc::clone(&context), update_link));
         let admin_address = local_address("admin_address", &sockets.admin)?;
         let readiness_address = optional_address("readiness_address", &sockets.readiness)?;
         let directory_address = optional_address("directory_address", &sockets.directory)?;
@@ -240,8 +245,8 @@
             readiness_address,
             directory_address,
         };
-        daemon.listen_to_platform(sockets.readiness, sockets.directory, &stopping);
-        daemon.listen(sockets.caller, sockets.peer, sockets.admin, &stopping);
+        daemon.spawn_platform_listeners(sockets.readiness, sockets.directory, &stopping);
+        daemon.spawn_listeners(sockets.caller, sockets.peer, sockets.admin, &stopping);
         log::info!(
             "event=started vm={} caller_address={} peer_address={} admin_address={admin_address}",
             daemon.context.me.name,
@@ -251,7 +256,7 @@
         Ok(daemon)
     }
 
-    fn listen(
+    fn spawn_listeners(
         &self,
         caller: TcpListener,
         peer: TcpListener,
@@ -265,13 +270,13 @@
         let fleet = self.fleet.clone();
         let handler = move |context, request| peer_service::handle(context, fleet.clone(), request);
         tokio::spawn(peers.serve(Arc::clone(&self.context), handler));
-        let operators = self.listener(admin, ADMIN_CONNECTIONS, stopping);
+        let operators = self.listener(admin, MAX_ADMIN_CONNECTIONS, stopping);
         let fleet = self.fleet.clone();
         let handler = move |context, request| admin::handle(context, fleet.clone(), request);
         tokio::spawn(operators.serve(Arc::clone(&self.context), handler));
     }
 
-    fn listen_to_platform(
+    fn spawn_platform_listeners(
         &self,
         readiness: Option<TcpListener>,
         directory: Option<TcpListener>,
@@ -313,28 +318,28 @@
         self.admin_address
     }
 
-    /// Returns the address that says whether the VM is ready, if it has one.
+    /// Returns the address of the readiness check, if it is set.
     pub fn readiness_address(&self) -> Option<SocketAddr> {
         self.readiness_address
     }
 
-    /// Returns the address that tells callers which addresses to use, if it has one.
+    /// Returns the address at which callers query entry addresses, if it is set.
     pub fn directory_address(&self) -> Option<SocketAddr> {
         self.directory_address
     }
 
-    /// Cuts or restores this VM's own path to an endpoint, as a firewall that
-    /// refuses its connections would; for tests.
+    /// Blocks or unblocks direct connections from this VM to an endpoint, as a
+    /// firewall that rejects them would; for tests.
     #[doc(hidden)]
     pub fn set_path_cut(&self, endpoint: SocketAddr, is_cut: bool) {
         self.context.endpoints.set_blocked(endpoint, is_cut);
     }
 
-    /// Serves until the process is asked to stop, or a newer daemon runs under
-    /// this VM's name, then stops gracefully.
+    /// Serves until the process receives SIGTERM or SIGINT, or a newer daemon
+    /// runs under this VM's name, then stops gracefully.
     ///
-    /// Further signals change nothing: a second one, sent by an impatient
-    /// supervisor, must not cut off the requests that the first one lets finish.
+    /// Further signals are ignored: a repeated signal of a supervisor must not
+    /// interrupt requests that the graceful shutdown lets finish.
     ///
     /// # Errors
     ///
@@ -343,8 +348,8 @@
         self.run(None).await
     }
 
-    /// As [`Daemon::run_until_signal`], and looks at the settings in `file` again
-    /// on a hang-up signal and now and then, as they may change without one.
+    /// Like [`Daemon::run_until_signal`], and reloads the settings in `file` on
+    /// SIGHUP, and periodically since they may change without a signal.
     ///
     /// # Errors
     ///
@@ -357,7 +362,7 @@
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
         let mut hang_up = signal(SignalKind::hangup())?;
-        let mut look = tokio::time::interval(SETTINGS_INTERVAL);
+        let mut check = tokio::time::interval(SETTINGS_CHECK_INTERVAL);
         let mut superseded = self.superseded.clone();
         loop {
             tokio::select! {
@@ -366,37 +371,37 @@
                 // The fleet actor, which holds the sender, stops only with the process.
                 _ = superseded.wait_for(|superseded| *superseded) => break,
                 _ = hang_up.recv() => self.reload(&mut file, true),
-                _ = look.tick() => self.reload(&mut file, false),
+                _ = check.tick() => self.reload(&mut file, false),
             }
         }
         self.stop().await;
         Ok(())
     }
 
-    /// Takes what can change while the daemon runs from changed settings; wrong
-    /// ones leave the old ones in force.
-    fn reload(&mut self, file: &mut Option<SettingsFile>, asked: bool) {
+    /// Applies the settings that can change at runtime; invalid settings are
+    /// logged and the current ones stay active.
+    fn reload(&mut self, file: &mut Option<SettingsFile>, is_requested: bool) {
         let Some(file) = file else { return };
-        match file.changed() {
+        match file.read_if_changed() {
             Ok(Some(settings)) => {
-                log::info!("event=settings_changed asked={asked}");
+                log::info!("event=settings_changed asked={is_requested}");
                 let seeds = settings.seeds(self.peer_address().port());
                 // The fleet actor stops only with the process.
-                let _ = self.fleet.tell(NewSeeds(seeds)).try_send();
+                let _ = self.fleet.tell(SetSeeds(seeds)).try_send();
             }
-            Ok(None) if asked => log::info!("event=settings_unchanged"),
+            Ok(None) if is_requested => log::info!("event=settings_unchanged"),
             Ok(None) => {}
             Err(error) => log::error!("event=settings_refused error={:?}", error.to_string()),
         }
     }
 
-    /// Stops gracefully: serves on while callers may still hold this VM's
-    /// address, then takes no further request and finishes those in flight.
+    /// Stops gracefully: still serves while callers may hold this VM's address,
+    /// then accepts no further requests and finishes those in flight.
     pub async fn stop(self) {
         self.leave().drain().await.finish().await;
     }
 
-    /// Tells the other VMs that this one stops, and hands its shards over.
+    /// Hands this VM's shards over and announces to the other VMs that it leaves.
     pub fn leave(self) -> LeavingDaemon {
         self.leaving.send_replace(true);
         // The fleet actor stops only with the process.
@@ -404,17 +409,17 @@
         LeavingDaemon(self)
     }
 
-    /// Returns for how long answers that name this VM may still be used.
+    /// Returns how long callers may still use entry responses that list this VM.
     fn entry_drain(&self) -> Duration {
-        let least = Duration::from_millis(self.context.settings.entry_drain_ms);
-        let Some(active) = &self.context.view().active else { return least };
-        least.max(Duration::from_millis(active.config.entry_lifetime_ms) + ENTRY_MARGIN)
+        let minimum = Duration::from_millis(self.context.settings.entry_drain_ms);
+        let Some(active) = &self.context.view().active else { return minimum };
+        minimum.max(Duration::from_millis(active.config.entry_lifetime_ms) + ENTRY_MARGIN)
     }
 }
 
 impl LeavingDaemon {
-    /// Serves until the last answer that names this VM has run out, then takes
-    /// no further connection.
+    /// Serves until the last entry response that lists this VM has expired, then
+    /// accepts no further connections.
     pub async fn drain(self) -> StoppingDaemon {
         let entry_drain = self.0.entry_drain();
         log::info!("event=leaving entry_drain_ms={}", entry_drain.as_millis());
@@ -426,7 +431,7 @@
 }
 
 impl StoppingDaemon {
-    /// Waits for the requests in flight, up to the limit of the settings.
+    /// Waits for requests in flight, up to `limits.shutdown_ms` of the settings.
     pub async fn finish(self) {
         let Daemon { context, connections, .. } = self.0;
         let limit = Duration::from_millis(context.settings.limits.shutdown_ms);
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -22,7 +22,7 @@
     metrics::Event,
     peer_result::{PeerAnswer, PeerRefusal, PeerResult},
     request_task::Served,
-    traffic::{Place, Topic},
+    traffic::{Locality, Topic},
 };
 
 /// Time after the deadline during which the owner's own refusal is awaited.
@@ -208,7 +208,7 @@
             abandon: AbandonSignal::default(),
         };
         let head = request_head(context, inbound);
-        let locality = Place::of(&owner.data_centre, &context.me.data_centre);
+        let locality = Locality::of(&owner.data_centre, &context.me.data_centre);
         context.traffic.sent(Topic::Forwarded, locality, inbound.body.announced_bytes());
         let ended = exchange::run(&context.peers, context.clock, target, head, &inbound.body).await;
         let mut answer = match ended {
--- a/crates/pistachiotrackd/src/quarantine/transport.rs
+++ b/crates/pistachiotrackd/src/quarantine/transport.rs
@@ -128,7 +128,7 @@
     }
 
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        let locality = self.view.borrow().place(to);
+        let locality = self.view.borrow().locality(to);
         udp::send(&self.socket, to, bytes, &self.traffic, (Topic::Quarantine, locality));
     }
 }
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -37,7 +37,7 @@
     inbound::Inbound,
     metrics::Event,
     shard_actor::{AttemptOutcome, BodyEnded, CallerGone, Command, ShardActor, Submit},
-    traffic::{Place, Topic},
+    traffic::{Locality, Topic},
     view::FleetView,
 };
 
@@ -94,14 +94,14 @@
     context: &Context,
     service: &str,
     endpoint: &str,
-) -> (u32, Place) {
+) -> (u32, Locality) {
     let view = context.view();
     let endpoint =
         view.active.as_ref().and_then(|active| active.service(service)).and_then(|service| {
             service.endpoints.iter().find(|candidate| candidate.name.as_str() == endpoint)
         });
-    let Some(endpoint) = endpoint else { return (MIN_CONNECTION_BUDGET, Place::Unknown) };
-    let locality = Place::of(&endpoint.data_centre, &context.me.data_centre);
+    let Some(endpoint) = endpoint else { return (MIN_CONNECTION_BUDGET, Locality::Unknown) };
+    let locality = Locality::of(&endpoint.data_centre, &context.me.data_centre);
     (endpoint_budget(&view, endpoint), locality)
 }
 
@@ -118,7 +118,7 @@
     attempt: AttemptId,
     copy: OutstandingCopy,
     end: Pin<Box<dyn Future<Output = AttemptEnd> + Send>>,
-    locality: Place,
+    locality: Locality,
     abandon: AbandonSignal,
 }
 
@@ -154,7 +154,7 @@
 struct Ended {
     attempt: AttemptId,
     copy: OutstandingCopy,
-    locality: Place,
+    locality: Locality,
     end: AttemptEnd,
 }
 
@@ -239,7 +239,7 @@
         if !self.was_dispatched {
             self.was_dispatched = true;
             let queued = context.clock.now().since(self.started_at);
-            context.queued.record(&inbound.route.customer, inbound.route.class, queued);
+            context.queue_latency.record(&inbound.route.customer, inbound.route.class, queued);
         }
         let abandon = AbandonSignal::default();
         let copy = self.copies.send(dispatch.endpoint.clone(), context.clock.now());
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -35,10 +35,10 @@
     clock::Clock,
     connection_pool::ConnectionPool,
     dialect::Dialect,
-    news_link::NewsLink,
     path_check::PathCheck,
     probe::Probe,
     shard_table::{ShardStatus, ShardStatusTable},
+    shard_update_link::ShardUpdateLink,
     timer::TimerEvent,
 };
 
@@ -87,7 +87,7 @@
     /// Asks other VMs whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
     /// Sends updates to the other dispatchers of the shard.
-    pub(crate) update_link: Arc<NewsLink>,
+    pub(crate) update_link: Arc<ShardUpdateLink>,
     /// Dialect of the endpoints.
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Idle time after which a shard that this VM doesn't own is stopped.
@@ -106,7 +106,7 @@
     endpoints: Arc<ConnectionPool>,
     statuses: ShardStatusTable,
     path_check: PathCheck,
-    update_link: Arc<NewsLink>,
+    update_link: Arc<ShardUpdateLink>,
     dialect: Arc<dyn Dialect>,
     actor_ref: WeakActorRef<ShardActor>,
     requests: FxHashMap<RequestId, UnboundedSender<Command>>,
@@ -132,7 +132,7 @@
         let now = args.clock.now();
         let mut shard = Shard::new(now, args.id.clone(), &args.config, settings);
         shard.set_dispatchers(now, args.update_link.dispatchers(&args.id.service));
-        if shard.is_shared() && args.update_link.ask(&args.id) {
+        if shard.is_shared() && args.update_link.request_snapshot(&args.id) {
             shard.on_snapshot_requested(now);
         }
         Ok(ShardActor {
@@ -348,7 +348,7 @@
                     let _ = shard.tell(PathChecked { endpoint, answer, relays }).try_send();
                 });
             }
-            ShardAction::Broadcast(update) => self.update_link.tell(update),
+            ShardAction::Broadcast(update) => self.update_link.broadcast(update),
             ShardAction::RateLimit { endpoint, limit } => {
                 let per_second = limit.map(RateLimit::per_second);
                 log::info!(
@@ -416,12 +416,12 @@
     fn update_dispatchers(&mut self, now: Time) {
         let dispatchers = self.update_link.dispatchers(&self.id.service);
         if self.shard.set_dispatchers(now, dispatchers) {
-            self.update_link.ask(&self.id);
+            self.update_link.request_snapshot(&self.id);
         }
     }
 
     fn request_snapshot(&mut self, now: Time) {
-        if self.update_link.ask(&self.id) {
+        if self.update_link.request_snapshot(&self.id) {
             self.shard.on_snapshot_requested(now);
         }
     }
--- a/crates/pistachiotrackd/src/shard_actor/peers.rs
+++ b/crates/pistachiotrackd/src/shard_actor/peers.rs
@@ -9,7 +9,7 @@
 use super::ShardActor;
 use crate::{
     hand_over,
-    news_link::{NewsContent, NewsDatagram},
+    shard_update_link::{ShardDatagram, ShardMessage},
 };
 
 /// Applies an update from another dispatcher of the shard.
@@ -17,7 +17,7 @@
     /// Address of the VM.
     pub(crate) address: SocketAddr,
     /// The update.
-    pub(crate) datagram: NewsDatagram,
+    pub(crate) datagram: ShardDatagram,
 }
 
 impl Message<PeerUpdate> for ShardActor {
@@ -27,12 +27,12 @@
         let now = self.clock.now();
         self.last_use = now;
         self.last_update_at = now;
-        let NewsDatagram { from, content, .. } = message.datagram;
+        let ShardDatagram { from, content, .. } = message.datagram;
         let actions = match content {
-            NewsContent::Told(update) => self.shard.on_update(now, &from, &update),
-            NewsContent::Picture(snapshot) => self.shard.on_snapshot(now, &snapshot),
-            NewsContent::Begun(_) => {
-                self.update_link.answer(message.address, self.shard.snapshot(now));
+            ShardMessage::Update(update) => self.shard.on_update(now, &from, &update),
+            ShardMessage::Snapshot(snapshot) => self.shard.on_snapshot(now, &snapshot),
+            ShardMessage::SnapshotRequest(_) => {
+                self.update_link.send_snapshot(message.address, self.shard.snapshot(now));
                 Vec::new()
             }
         };
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -26,9 +26,9 @@
     clock::Clock,
     connection_pool::ConnectionPool,
     dialect::Dialect,
-    news_link::{NewsDatagram, NewsLink},
     path_check::PathCheck,
     shard_actor::{PeerUpdate, SendHandOver, SetMode, ShardActor, ShardArgs},
+    shard_update_link::{ShardDatagram, ShardUpdateLink},
     timer::{Subscribe, TimerService},
     view::FleetView,
 };
@@ -57,7 +57,7 @@
     /// Asks other VMs whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
     /// Sends updates to the other dispatchers of a shared service.
-    pub(crate) update_link: Arc<NewsLink>,
+    pub(crate) update_link: Arc<ShardUpdateLink>,
     /// Dialect of the endpoints.
     pub(crate) dialect: Arc<dyn Dialect>,
     /// Idle time after which a shard that this VM doesn't own is stopped.
@@ -159,7 +159,7 @@
         &self,
         view: &FleetView,
         from: SocketAddr,
-        datagram: NewsDatagram,
+        datagram: ShardDatagram,
     ) {
         let shard = datagram.content.shard();
         let actor = self.find(shard).or_else(|| {
--- /dev/null
+++ b/crates/pistachiotrackd/src/shard_update_link.rs
@@ -0,0 +1,293 @@
+//! Datagrams between VMs that dispatch for the same services.
+
+use std::{
+    net::SocketAddr,
+    ops::RangeInclusive,
+    sync::{Arc, Mutex, PoisonError},
+    time::Duration,
+};
+
+use pistachiotrack_core::{
+    hash,
+    health::EndpointEstimate,
+    message::MAX_DATAGRAM_BYTES,
+    name::Name,
+    ownership::ShardId,
+    rate_limit::RateUpdate,
+    retry::{SendCounts, VisibleDispatchers},
+    shard::{EndpointKey, ShardSnapshot, ShardUpdate, Subscribers},
+    time::Time,
+    vm::Vm,
+};
+use serde::{Deserialize, Serialize};
+use tokio::{net::UdpSocket, sync::watch};
+
+use crate::{
+    clock::Clock,
+    traffic::{Locality, Topic, Traffic},
+    udp,
+    view::FleetView,
+};
+
+/// First bytes of these datagrams in all protocol versions; membership datagrams begin
+/// with other bytes.
+pub(crate) const SHARD_DATAGRAM_TAGS: RangeInclusive<u8> = 0x80..=0x8f;
+/// First byte in this protocol version.
+const SHARD_DATAGRAM_TAG: u8 = 0x82;
+/// Minimum interval of log lines about dropped datagrams.
+const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of dispatchers that are asked for a snapshot.
+const SNAPSHOT_SOURCES: usize = 2;
+/// Endpoint estimates in one datagram of a snapshot: each takes about 20 bytes of the
+/// maximum of 1,200.
+const ESTIMATES_PER_DATAGRAM: usize = 40;
+/// Rate limits of endpoints in one datagram of a snapshot: each takes about 25 bytes.
+const RATE_LIMITS_PER_DATAGRAM: usize = 32;
+
+/// A datagram between dispatchers.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct ShardDatagram {
+    deployment: u64,
+    /// Sender.
+    pub(crate) from: Name,
+    /// Message.
+    pub(crate) content: ShardMessage,
+}
+
+/// Messages between VMs that dispatch for the same shard.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) enum ShardMessage {
+    /// State update of the sender.
+    Update(ShardUpdate),
+    /// Request for a snapshot; sent by a VM that has just started to dispatch for a shard.
+    SnapshotRequest(ShardId),
+    /// The sender's state of the shard.
+    Snapshot(ShardSnapshot),
+}
+
+impl ShardMessage {
+    /// Returns the shard that the message is about.
+    pub(crate) fn shard(&self) -> &ShardId {
+        match self {
+            ShardMessage::Update(update) => &update.shard,
+            ShardMessage::SnapshotRequest(shard) => shard,
+            ShardMessage::Snapshot(snapshot) => &snapshot.shard,
+        }
+    }
+
+    /// Returns the topic under which the message is counted.
+    pub(crate) fn topic(&self) -> Topic {
+        match self {
+            ShardMessage::Update(_) => Topic::ShardUpdate,
+            ShardMessage::SnapshotRequest(_) | ShardMessage::Snapshot(_) => Topic::ShardSnapshot,
+        }
+    }
+}
+
+/// Exchanges state updates with the other dispatchers of a service.
+#[derive(Debug)]
+pub(crate) struct ShardUpdateLink {
+    me: Vm,
+    deployment: u64,
+    clock: Clock,
+    socket: Arc<UdpSocket>,
+    view: watch::Receiver<Arc<FleetView>>,
+    traffic: Arc<Traffic>,
+    subscribers: Mutex<Subscribers>,
+    drop_logged_at: Mutex<Option<Time>>,
+}
+
+/// Why a datagram is dropped.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ShardDatagramError {
+    /// It has another protocol version.
+    #[error("version {0:#x}, not {SHARD_DATAGRAM_TAG:#x}")]
+    Version(u8),
+    /// It is empty or exceeds the maximum length.
+    #[error("{0} bytes")]
+    Length(usize),
+    /// It can't be decoded.
+    #[error("can't be decoded: {0}")]
+    Unreadable(#[from] postcard::Error),
+    /// It comes from another deployment, or from this VM.
+    #[error("sent by {0}")]
+    Sender(Name),
+}
+
+impl ShardUpdateLink {
+    /// Creates a link that sends over the membership socket.
+    pub(crate) fn new(
+        me: Vm,
+        deployment: &str,
+        clock: Clock,
+        socket: Arc<UdpSocket>,
+        view: watch::Receiver<Arc<FleetView>>,
+        traffic: Arc<Traffic>,
+    ) -> ShardUpdateLink {
+        let deployment = hash::fnv(deployment.as_bytes());
+        ShardUpdateLink {
+            me,
+            deployment,
+            clock,
+            socket,
+            view,
+            traffic,
+            subscribers: Mutex::default(),
+            drop_logged_at: Mutex::default(),
+        }
+    }
+
+    /// Sends an update to the other dispatchers and the subscribers.
+    pub(crate) fn broadcast(&self, update: ShardUpdate) {
+        let service = update.shard.service.clone();
+        let Some(bytes) = self.encode(ShardMessage::Update(update)) else { return };
+        let view = Arc::clone(&self.view.borrow());
+        let dispatchers = view.ownership.dispatchers(&service);
+        for vm in dispatchers.iter().filter(|vm| vm.name != self.me.name) {
+            self.send(vm.peer_address, &bytes, Topic::ShardUpdate, self.locality(vm));
+        }
+        let now = self.clock.now();
+        let mut subscribers = self.subscribers.lock().unwrap_or_else(PoisonError::into_inner);
+        for address in subscribers.recipients(now) {
+            if dispatchers.iter().all(|vm| vm.peer_address != address) {
+                // Subscribers are in this data centre.
+                self.send(address, &bytes, Topic::ShardUpdate, Locality::Near);
+            }
+        }
+    }
+
+    fn locality(&self, vm: &Vm) -> Locality {
+        Locality::of(&vm.data_centre, &self.me.data_centre)
+    }
+
+    fn send(&self, to: SocketAddr, bytes: &[u8], topic: Topic, locality: Locality) {
+        udp::send(&self.socket, to, bytes, &self.traffic, (topic, locality));
+    }
+
+    /// Requests snapshots of a shard from other dispatchers, those in the same data
+    /// centre first; returns whether there are any.
+    ///
+    /// Without a snapshot, a VM that has just started would send its first bookings
+    /// to endpoints that the others know to fail, which causes failures after each
+    /// restart. The snapshot arrives within a round trip, before most requests.
+    pub(crate) fn request_snapshot(&self, shard: &ShardId) -> bool {
+        let Some(bytes) = self.encode(ShardMessage::SnapshotRequest(shard.clone())) else {
+            return false;
+        };
+        let view = Arc::clone(&self.view.borrow());
+        let dispatchers = view.ownership.dispatchers(&shard.service);
+        let others = dispatchers.iter().filter(|vm| vm.name != self.me.name);
+        let (local, remote): (Vec<&Vm>, Vec<&Vm>) =
+            others.partition(|vm| vm.data_centre == self.me.data_centre);
+        let recipients: Vec<&Vm> = local.into_iter().chain(remote).take(SNAPSHOT_SOURCES).collect();
+        for vm in &recipients {
+            self.send(vm.peer_address, &bytes, Topic::ShardSnapshot, self.locality(vm));
+        }
+        !recipients.is_empty()
+    }
+
+    /// Sends a snapshot to the VM at an address, split into as many datagrams as needed.
+    pub(crate) fn send_snapshot(&self, to: SocketAddr, mut snapshot: ShardSnapshot) {
+        let locality = self.view.borrow().locality(to);
+        let estimates = std::mem::take(&mut snapshot.estimates);
+        let mut parts: Vec<&[EndpointEstimate]> =
+            estimates.chunks(ESTIMATES_PER_DATAGRAM).collect();
+        if parts.is_empty() {
+            // The requesting VM waits for a response, and may need the counts of retries.
+            parts.push(&[]);
+        }
+        let rate_limits = std::mem::take(&mut snapshot.rate_limits);
+        for estimates in parts {
+            let sent = std::mem::take(&mut snapshot.sent);
+            self.send_snapshot_part(to, locality, snapshot.shard.clone(), estimates, sent, &[]);
+        }
+        for rate_limits in rate_limits.chunks(RATE_LIMITS_PER_DATAGRAM) {
+            self.send_snapshot_part(
+                to,
+                locality,
+                snapshot.shard.clone(),
+                &[],
+                Vec::new(),
+                rate_limits,
+            );
+        }
+    }
+
+    fn send_snapshot_part(
+        &self,
+        to: SocketAddr,
+        locality: Locality,
+        shard: ShardId,
+        estimates: &[EndpointEstimate],
+        sent: Vec<SendCounts>,
+        rate_limits: &[(EndpointKey, RateUpdate)],
+    ) {
+        let (estimates, rate_limits) = (estimates.to_vec(), rate_limits.to_vec());
+        let part = ShardSnapshot { shard, estimates, sent, rate_limits };
+        if let Some(bytes) = self.encode(ShardMessage::Snapshot(part)) {
+            self.send(to, &bytes, Topic::ShardSnapshot, locality);
+        }
+    }
+
+    fn encode(&self, content: ShardMessage) -> Option<Vec<u8>> {
+        let from = self.me.name.clone();
+        let datagram = ShardDatagram { deployment: self.deployment, from, content };
+        postcard::to_extend(&datagram, vec![SHARD_DATAGRAM_TAG])
+            .inspect_err(|error| log::error!("event=news_not_encoded error={error:?}"))
+            .ok()
+    }
+
+    /// Decodes a datagram and checks its sender.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the datagram is invalid or not meant for this VM.
+    pub(crate) fn receive(
+        &self,
+        from: SocketAddr,
+        bytes: &[u8],
+    ) -> Result<ShardDatagram, ShardDatagramError> {
+        let (tag, content) = bytes.split_first().ok_or(ShardDatagramError::Length(0))?;
+        if *tag != SHARD_DATAGRAM_TAG {
+            return Err(ShardDatagramError::Version(*tag));
+        }
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(ShardDatagramError::Length(bytes.len()));
+        }
+        let datagram: ShardDatagram = postcard::from_bytes(content)?;
+        if datagram.deployment != self.deployment || datagram.from == self.me.name {
+            return Err(ShardDatagramError::Sender(datagram.from));
+        }
+        let mut subscribers = self.subscribers.lock().unwrap_or_else(PoisonError::into_inner);
+        subscribers.record_update(self.clock.now(), from, || self.is_in_same_data_centre(from));
+        Ok(datagram)
+    }
+
+    /// Logs that a datagram was dropped; at most one line per interval.
+    pub(crate) fn log_dropped(&self, from: SocketAddr, error: &ShardDatagramError) {
+        let now = self.clock.now();
+        let mut logged_at = self.drop_logged_at.lock().unwrap_or_else(PoisonError::into_inner);
+        if logged_at.is_none_or(|at| now.since(at) >= DROP_LOG_INTERVAL) {
+            *logged_at = Some(now);
+            log::warn!("event=news_unused from={from} error={:?}", error.to_string());
+        }
+    }
+
+    /// Returns whether the VM at an address is in this VM's data centre; true if its
+    /// data centre is unknown.
+    fn is_in_same_data_centre(&self, address: SocketAddr) -> bool {
+        let view = self.view.borrow();
+        let member = view.members.iter().find(|member| member.vm.peer_address == address);
+        member.is_none_or(|member| member.vm.data_centre == self.me.data_centre)
+    }
+
+    /// Returns the dispatchers of a service in this VM's view.
+    pub(crate) fn dispatchers(&self, service: &str) -> VisibleDispatchers {
+        let view = self.view.borrow();
+        let dispatchers = view.ownership.dispatchers(service);
+        VisibleDispatchers {
+            count: dispatchers.len() as u32,
+            is_member: dispatchers.iter().any(|vm| vm.name == self.me.name),
+        }
+    }
+}
--- a/crates/pistachiotrackd/src/udp.rs
+++ b/crates/pistachiotrackd/src/udp.rs
@@ -1,4 +1,4 @@
-//! The UDP link that membership messages travel on.
+//! Sends and receives the datagrams between VMs.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -10,46 +10,48 @@
     context::Context,
     fleet::{Datagram, Fleet},
     metrics::Event,
-    news_link::{NEWS_TAGS, NewsLink},
     quarantine::QUARANTINE_TAG,
-    traffic::{Place, Topic, Traffic},
+    shard_update_link::{SHARD_DATAGRAM_TAGS, ShardUpdateLink},
+    traffic::{Locality, Topic, Traffic},
 };
 
-/// Passes the datagrams that come in to the fleet actor, and those of other
-/// dispatchers to the shards.
+/// Receives datagrams and passes them on by their first byte: those of other dispatchers
+/// to the shards, those of the quarantine to its gate, all others to the fleet actor.
 pub(crate) async fn receive(
     socket: Arc<UdpSocket>,
     fleet: ActorRef<Fleet>,
     context: Arc<Context>,
-    news: Arc<NewsLink>,
+    link: Arc<ShardUpdateLink>,
 ) {
     let traffic = &context.traffic;
-    // One byte more than any VM sends shows a datagram that is too large.
+    // One byte more than the maximum, to detect datagrams that are too large.
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => {
                 let view = context.view();
                 let bytes = &buffer[..length];
-                if bytes.first().is_some_and(|tag| NEWS_TAGS.contains(tag)) {
-                    let datagram = news.receive(from, bytes);
-                    let topic = datagram.as_ref().map_or(Topic::News, |it| it.content.topic());
-                    traffic.received(topic, view.place(from), length);
+                if bytes.first().is_some_and(|tag| SHARD_DATAGRAM_TAGS.contains(tag)) {
+                    let datagram = link.receive(from, bytes);
+                    let topic = datagram
+                        .as_ref()
+                        .map_or(Topic::ShardUpdate, |datagram| datagram.content.topic());
+                    traffic.received(topic, view.locality(from), length);
                     match datagram {
                         Ok(datagram) => context.shards.on_peer_update(&view, from, datagram),
                         Err(error) => {
-                            context.metrics.count(Event::NewsUnused);
-                            news.log_unused(from, &error);
+                            context.metrics.count(Event::ShardDatagramDropped);
+                            link.log_dropped(from, &error);
                         }
                     }
                     continue;
                 }
                 if bytes.first() == Some(&QUARANTINE_TAG) {
-                    traffic.received(Topic::Quarantine, view.place(from), length);
+                    traffic.received(Topic::Quarantine, view.locality(from), length);
                     context.quarantine.receive(from, bytes);
                     continue;
                 }
-                traffic.received(Topic::Membership, view.place(from), length);
+                traffic.received(Topic::Membership, view.locality(from), length);
                 if length > MAX_DATAGRAM_BYTES {
                     continue;
                 }
@@ -58,23 +60,23 @@
                     return;
                 }
             }
-            // A send to a VM that is gone shows here as a refused connection.
+            // An earlier send to a stopped VM is reported here as a refused connection.
             Err(error) => log::debug!("event=datagram_failed error={:?}", error.to_string()),
         }
     }
 }
 
-/// Sends a datagram and counts it; one that the system has no room for is lost, as any may
-/// be.
+/// Sends a datagram and counts it. It is dropped if the send buffer is full, as datagrams
+/// may be lost anyway.
 pub(crate) fn send(
     socket: &UdpSocket,
     to: SocketAddr,
     bytes: &[u8],
     traffic: &Traffic,
-    (topic, place): (Topic, Place),
+    (topic, locality): (Topic, Locality),
 ) {
     match socket.try_send_to(bytes, to) {
-        Ok(sent) => traffic.sent(topic, place, sent),
+        Ok(sent) => traffic.sent(topic, locality, sent),
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
         Err(error) => {
             log::debug!("event=datagram_failed to={to} error={:?}", error.to_string());
