--- a/crates/pistachiotrack-standins/src/slopes/fleet.rs
+++ b/crates/pistachiotrack-standins/src/slopes/fleet.rs
@@ -1,6 +1,6 @@
-//! A few VMs of one deployment in one process: the real membership and the
-//! real spread of the configuration, a queue of messages in logical time, and
-//! a platform that counts its reads.
+//! Simulates the VMs of one deployment in one process: the production
+//! membership and configuration distribution, an event queue in logical time,
+//! and a platform that counts its reads.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,28 +25,28 @@
 const TICK_MS: u64 = 100;
 /// One-way latency between VMs.
 const LATENCY: Duration = Duration::from_millis(1);
-/// Time after which an answer that does not come is given up.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time after which a pull without a response fails.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Bytes that IP and UDP add to a datagram.
 const DATAGRAM_HEADER_BYTES: u64 = 28;
-/// Bytes that IP, TCP and framing add to a pull's question or answer, and to
-/// each segment of it.
+/// Bytes that IP, TCP and framing add to each segment of a pull's request or
+/// response.
 const SEGMENT_HEADER_BYTES: u64 = 52;
-/// Payload of one segment.
+/// Payload bytes of one TCP segment.
 const SEGMENT_BYTES: u64 = 1_448;
 
-/// How the fleet behaves.
+/// Settings of a simulated fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetSettings {
-    /// VMs.
+    /// Number of VMs.
     pub(crate) vms: usize,
-    /// Share of datagrams lost.
+    /// Fraction of datagrams lost.
     pub(crate) loss: f64,
-    /// Reads a second that the platform answers this deployment.
+    /// Reads per second that the platform serves for this deployment.
     pub(crate) platform_reads_per_s: f64,
     /// Value that the platform holds at the start.
     pub(crate) value: Arc<[u8]>,
-    /// Seed of losses and of every VM's choices.
+    /// Seed of the packet loss and of every VM's random choices.
     pub(crate) seed: u64,
 }
 
@@ -57,7 +57,7 @@
     pub(crate) datagrams: u64,
     /// Bytes of membership datagrams with their headers.
     pub(crate) datagram_bytes: u64,
-    /// Pulls of the configuration.
+    /// Requests and responses of configuration pulls.
     pub(crate) pulls: u64,
     /// Bytes of pulls with their headers.
     pub(crate) pull_bytes: u64,
@@ -66,12 +66,12 @@
 }
 
 impl Traffic {
-    fn datagram(&mut self, bytes: usize) {
+    fn add_datagram(&mut self, bytes: usize) {
         self.datagrams += 1;
         self.datagram_bytes += bytes as u64 + DATAGRAM_HEADER_BYTES;
     }
 
-    fn pull(&mut self, bytes: usize) {
+    fn add_pull_message(&mut self, bytes: usize) {
         let segments = (bytes as u64).div_ceil(SEGMENT_BYTES).max(1);
         self.pulls += 1;
         self.pull_bytes += bytes as u64 + segments * SEGMENT_HEADER_BYTES;
@@ -88,52 +88,52 @@
     /// Its configuration.
     pub(crate) sync: ConfigSync,
     /// Whether it runs.
-    pub(crate) up: bool,
-    /// Part of the network that it is in; parts don't hear each other.
-    pub(crate) part: u8,
-    /// What it sent and received.
+    pub(crate) is_running: bool,
+    /// Network partition that it is in; VMs of different partitions can't reach each other.
+    pub(crate) partition: u8,
+    /// Traffic that it has sent and received.
     pub(crate) traffic: Traffic,
 }
 
-enum Parcel {
+enum Event {
     Datagram { from: SocketAddr, bytes: Vec<u8> },
     PullRequest { from: usize, request: Vec<u8> },
-    PullAnswer { peer: Name, answer: Option<Vec<u8>> },
-    Value(Option<Arc<[u8]>>),
-    ListDue,
-    List,
+    PullResponse { peer: Name, response: Option<Vec<u8>> },
+    PlatformValue(Option<Arc<[u8]>>),
+    ListReadDue,
+    ListResponse,
 }
 
 /// The VMs, the network between them and the platform.
 pub(crate) struct Fleet {
-    /// Time of the loop.
+    /// Current logical time.
     pub(crate) now: Time,
     /// The VMs.
     pub(crate) nodes: Vec<Node>,
     /// The platform.
     pub(crate) platform: Platform,
     settings: FleetSettings,
-    places: FxHashMap<SocketAddr, usize>,
-    names: FxHashMap<Name, usize>,
-    parcels: BTreeMap<(Time, u64), (usize, Parcel)>,
-    sent: u64,
+    index_by_address: FxHashMap<SocketAddr, usize>,
+    index_by_name: FxHashMap<Name, usize>,
+    events: BTreeMap<(Time, u64), (usize, Event)>,
+    scheduled_events: u64,
     rng: Pcg64Mcg,
     datagram_cpu: Duration,
     tick_cpu: Duration,
 }
 
 impl Fleet {
-    /// Starts all VMs at once; each reads the platform's list of VMs at its time.
+    /// Starts all VMs at once; each reads the platform's VM list after its own initial delay.
     pub(crate) fn start(settings: FleetSettings) -> Fleet {
         let platform = Platform::new(settings.platform_reads_per_s, Arc::clone(&settings.value));
         let mut fleet = Fleet {
             now: Time::from_millis(1),
             nodes: Vec::new(),
             platform,
-            places: FxHashMap::default(),
-            names: FxHashMap::default(),
-            parcels: BTreeMap::new(),
-            sent: 0,
+            index_by_address: FxHashMap::default(),
+            index_by_name: FxHashMap::default(),
+            events: BTreeMap::new(),
+            scheduled_events: 0,
             rng: Pcg64Mcg::seed_from_u64(settings.seed),
             datagram_cpu: Duration::ZERO,
             tick_cpu: Duration::ZERO,
@@ -141,37 +141,37 @@
         };
         for index in 0..fleet.settings.vms {
             let vm = sample::vm(index);
-            fleet.places.insert(vm.peer_address, index);
-            fleet.names.insert(vm.name.clone(), index);
+            fleet.index_by_address.insert(vm.peer_address, index);
+            fleet.index_by_name.insert(vm.name.clone(), index);
             let node = fleet.new_node(vm, index);
             fleet.nodes.push(node);
         }
         for index in 0..fleet.nodes.len() {
-            fleet.start_list(index);
+            fleet.schedule_list_read(index);
         }
         fleet
     }
 
-    /// Replaces a VM by a new one of the same name, with nothing but the list.
+    /// Replaces a VM by a new one of the same name, which has no state until it reads the VM list.
     pub(crate) fn replace(&mut self, index: usize) {
         let mut vm = self.nodes[index].vm.clone();
         vm.incarnation += 1 + self.now.as_millis();
         let traffic = self.nodes[index].traffic;
-        self.platform.forget(index);
+        self.platform.remove_watch(index);
         self.nodes[index] = Node { traffic, ..self.new_node(vm, index) };
-        self.start_list(index);
+        self.schedule_list_read(index);
     }
 
-    /// Runs the loop for a while.
-    pub(crate) fn run(&mut self, time: Duration) {
+    /// Advances the simulation by `time`.
+    pub(crate) fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.step();
         }
     }
 
-    /// Runs until `done` holds and returns the time it took; `None` if it does
-    /// not hold within `limit`.
+    /// Runs until `done` returns true and returns the time it took, or `None` if `limit` passes
+    /// first.
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
@@ -187,40 +187,41 @@
         None
     }
 
-    /// Returns whether every running VM sees as alive just those VMs that run
-    /// in its part of the network.
-    pub(crate) fn settled(&self) -> bool {
-        self.nodes.iter().filter(|node| node.up).all(|node| {
+    /// Returns whether every running VM considers alive exactly those VMs that run
+    /// in its network partition.
+    pub(crate) fn has_converged(&self) -> bool {
+        self.nodes.iter().filter(|node| node.is_running).all(|node| {
             let alive = node
                 .membership
                 .members()
                 .filter(|member| member.state == MemberState::Alive)
-                .map(|member| self.names[&member.vm.name]);
-            let mut seen = 0;
+                .map(|member| self.index_by_name[&member.vm.name]);
+            let mut alive_count = 0;
             for index in alive {
                 let other = &self.nodes[index];
-                if !other.up || other.part != node.part {
+                if !other.is_running || other.partition != node.partition {
                     return false;
                 }
-                seen += 1;
+                alive_count += 1;
             }
-            let there = |other: &&Node| other.up && other.part == node.part;
-            seen + 1 == self.nodes.iter().filter(there).count()
+            let is_reachable =
+                |other: &&Node| other.is_running && other.partition == node.partition;
+            alive_count + 1 == self.nodes.iter().filter(is_reachable).count()
         })
     }
 
-    /// Returns whether a version is in force on every running VM.
-    pub(crate) fn in_force(&self, version: u64) -> bool {
+    /// Returns whether every running VM has `version` or a newer one active.
+    pub(crate) fn has_active_version(&self, version: u64) -> bool {
         self.nodes
             .iter()
-            .filter(|node| node.up)
-            .all(|node| node.sync.version().is_some_and(|held| held >= version))
+            .filter(|node| node.is_running)
+            .all(|node| node.sync.version().is_some_and(|active| active >= version))
     }
 
     /// Publishes a new value on the platform.
     pub(crate) fn publish(&mut self, version: u64, value: Arc<[u8]>) {
         for index in self.platform.publish(version, Arc::clone(&value)) {
-            self.send(index, LATENCY * 4, Parcel::Value(Some(Arc::clone(&value))));
+            self.schedule(index, LATENCY * 4, Event::PlatformValue(Some(Arc::clone(&value))));
         }
     }
 
@@ -252,23 +253,23 @@
             membership: Membership::new(self.now, vm.clone(), MembershipSettings::default(), seed),
             sync: ConfigSync::new(vm.clone(), deployment, ConfigSyncSettings::default(), seed),
             vm,
-            up: true,
-            part: 0,
+            is_running: true,
+            partition: 0,
             traffic: Traffic::default(),
         }
     }
 
-    /// Begins the first read of the list. Later ones are left out: they bring
-    /// nothing while the list doesn't change.
-    fn start_list(&mut self, index: usize) {
+    /// Schedules the first read of the VM list. Later reads aren't simulated: they return nothing
+    /// while the list doesn't change.
+    fn schedule_list_read(&mut self, index: usize) {
         let vms = self.settings.vms as u32;
         let settings =
             ConfigSyncSettings { assumed_fleet_vms: vms, ..ConfigSyncSettings::default() };
-        let wait = ListReadSchedule::new(settings, self.rng.random()).first_delay();
-        self.send(index, wait, Parcel::ListDue);
+        let delay = ListReadSchedule::new(settings, self.rng.random()).first_delay();
+        self.schedule(index, delay, Event::ListReadDue);
     }
 
-    fn take_list(&mut self, index: usize) {
+    fn receive_list(&mut self, index: usize) {
         let list = sample::vm_list(self.settings.vms);
         self.nodes[index].sync.on_listed_vms(list.vms.len());
         let actions = self.nodes[index].membership.on_vm_list(self.now, &list);
@@ -278,8 +279,8 @@
     fn step(&mut self) {
         self.now += Duration::from_millis(STEP_MS);
         self.deliver_due();
-        for index in self.platform.due(self.now) {
-            self.send(index, LATENCY, Parcel::Value(None));
+        for index in self.platform.expire_watches(self.now) {
+            self.schedule(index, LATENCY, Event::PlatformValue(None));
         }
         self.tick_due();
     }
@@ -288,14 +289,14 @@
     /// the clock costs little beside them.
     fn deliver_due(&mut self) {
         let mut datagrams = Vec::new();
-        while let Some(entry) = self.parcels.first_entry() {
+        while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
-            let (to, parcel) = entry.remove();
-            match parcel {
-                _ if !self.nodes[to].up => {}
-                Parcel::Datagram { from, bytes } => datagrams.push((to, from, bytes)),
+            let (to, event) = entry.remove();
+            match event {
+                _ if !self.nodes[to].is_running => {}
+                Event::Datagram { from, bytes } => datagrams.push((to, from, bytes)),
                 other => self.deliver(to, other),
             }
         }
@@ -307,7 +308,7 @@
         }
         self.datagram_cpu += start.elapsed();
         for (to, _, bytes) in &datagrams {
-            self.nodes[*to].traffic.datagram(bytes.len());
+            self.nodes[*to].traffic.add_datagram(bytes.len());
         }
         for (to, actions) in actions {
             self.perform_membership(to, actions);
@@ -317,8 +318,10 @@
     fn tick_due(&mut self) {
         let phases = (TICK_MS / STEP_MS) as usize;
         let phase = (self.now.as_millis() / STEP_MS) as usize % phases;
-        let due: Vec<usize> =
-            (phase..self.nodes.len()).step_by(phases).filter(|at| self.nodes[*at].up).collect();
+        let due: Vec<usize> = (phase..self.nodes.len())
+            .step_by(phases)
+            .filter(|at| self.nodes[*at].is_running)
+            .collect();
         let start = ThreadTime::now();
         let mut actions = Vec::with_capacity(due.len());
         for index in &due {
@@ -333,31 +336,31 @@
         }
     }
 
-    fn deliver(&mut self, to: usize, parcel: Parcel) {
-        match parcel {
-            Parcel::Datagram { .. } => unreachable!("datagrams are handed over in batches"),
-            Parcel::PullRequest { from, request } => {
-                self.nodes[to].traffic.pull(request.len());
-                let answer = self.nodes[to].sync.handle_pull(self.now, &request).ok();
-                self.nodes[to].traffic.pull(answer.as_ref().map_or(0, Vec::len));
+    fn deliver(&mut self, to: usize, event: Event) {
+        match event {
+            Event::Datagram { .. } => unreachable!("datagrams are delivered in batches"),
+            Event::PullRequest { from, request } => {
+                self.nodes[to].traffic.add_pull_message(request.len());
+                let response = self.nodes[to].sync.handle_pull(self.now, &request).ok();
+                self.nodes[to].traffic.add_pull_message(response.as_ref().map_or(0, Vec::len));
                 let peer = self.nodes[to].vm.name.clone();
-                self.send(from, LATENCY, Parcel::PullAnswer { peer, answer });
+                self.schedule(from, LATENCY, Event::PullResponse { peer, response });
             }
-            Parcel::PullAnswer { peer, answer } => {
+            Event::PullResponse { peer, response } => {
                 let node = &mut self.nodes[to];
-                node.traffic.pull(answer.as_ref().map_or(0, Vec::len));
-                let actions = node.sync.on_pull_response(self.now, &peer, answer.as_deref());
+                node.traffic.add_pull_message(response.as_ref().map_or(0, Vec::len));
+                let actions = node.sync.on_pull_response(self.now, &peer, response.as_deref());
                 self.perform_config(to, actions);
             }
-            Parcel::ListDue => {
+            Event::ListReadDue => {
                 let delay = self.platform.read_list(self.now);
-                self.send(to, delay + LATENCY * 4, Parcel::List);
+                self.schedule(to, delay + LATENCY * 4, Event::ListResponse);
             }
-            Parcel::List => self.take_list(to),
-            Parcel::Value(value) => {
-                let answer_bytes = self.platform.answer_bytes();
+            Event::ListResponse => self.receive_list(to),
+            Event::PlatformValue(value) => {
+                let response_bytes = self.platform.response_bytes();
                 let node = &mut self.nodes[to];
-                node.traffic.platform_bytes += value.as_ref().map_or(0, |_| answer_bytes);
+                node.traffic.platform_bytes += value.as_ref().map_or(0, |_| response_bytes);
                 let actions = node.sync.on_platform_value(self.now, value.as_deref());
                 node.membership.on_platform_response(self.now);
                 self.perform_config(to, actions);
@@ -374,7 +377,8 @@
             match action {
                 MembershipAction::Send { to, bytes } => self.send_datagram(index, to, bytes),
                 MembershipAction::ConfigVersion { vm, version } => {
-                    let Some(peer) = self.names.get(&vm).map(|peer| self.nodes[*peer].vm.clone())
+                    let Some(peer) =
+                        self.index_by_name.get(&vm).map(|peer| self.nodes[*peer].vm.clone())
                     else {
                         continue;
                     };
@@ -407,35 +411,37 @@
     fn watch(&mut self, index: usize, after: Option<u64>, wait_ms: u64) {
         let end = self.now + Duration::from_millis(wait_ms);
         if let Some((delay, value)) = self.platform.watch(self.now, index, after, end) {
-            self.send(index, delay + LATENCY * 4, Parcel::Value(Some(value)));
+            self.schedule(index, delay + LATENCY * 4, Event::PlatformValue(Some(value)));
         }
     }
 
     fn pull(&mut self, index: usize, peer: &Vm, request: Vec<u8>) {
-        self.nodes[index].traffic.pull(request.len());
-        let to = self.names[&peer.name];
-        let reached = self.nodes[to].up && self.nodes[to].part == self.nodes[index].part;
-        if reached {
-            self.send(to, LATENCY, Parcel::PullRequest { from: index, request });
+        self.nodes[index].traffic.add_pull_message(request.len());
+        let to = self.index_by_name[&peer.name];
+        let is_reachable =
+            self.nodes[to].is_running && self.nodes[to].partition == self.nodes[index].partition;
+        if is_reachable {
+            self.schedule(to, LATENCY, Event::PullRequest { from: index, request });
         } else {
-            let lost = Parcel::PullAnswer { peer: peer.name.clone(), answer: None };
-            self.send(index, ANSWER_TIMEOUT, lost);
+            let failed = Event::PullResponse { peer: peer.name.clone(), response: None };
+            self.schedule(index, RESPONSE_TIMEOUT, failed);
         }
     }
 
     fn send_datagram(&mut self, index: usize, to: SocketAddr, bytes: Vec<u8>) {
-        self.nodes[index].traffic.datagram(bytes.len());
-        let Some(to) = self.places.get(&to).copied() else { return };
-        if self.nodes[to].part != self.nodes[index].part || self.rng.random_bool(self.settings.loss)
+        self.nodes[index].traffic.add_datagram(bytes.len());
+        let Some(to) = self.index_by_address.get(&to).copied() else { return };
+        if self.nodes[to].partition != self.nodes[index].partition
+            || self.rng.random_bool(self.settings.loss)
         {
             return;
         }
         let from = self.nodes[index].vm.peer_address;
-        self.send(to, LATENCY, Parcel::Datagram { from, bytes });
+        self.schedule(to, LATENCY, Event::Datagram { from, bytes });
     }
 
-    fn send(&mut self, to: usize, delay: Duration, parcel: Parcel) {
-        self.sent += 1;
-        self.parcels.insert((self.now + delay, self.sent), (to, parcel));
+    fn schedule(&mut self, to: usize, delay: Duration, event: Event) {
+        self.scheduled_events += 1;
+        self.events.insert((self.now + delay, self.scheduled_events), (to, event));
     }
 }
--- a/crates/pistachiotrack-standins/src/slopes/members.rs
+++ b/crates/pistachiotrack-standins/src/slopes/members.rs
@@ -1,4 +1,4 @@
-//! Costs of the membership: steady traffic, churn, memory.
+//! Costs of the membership protocol: steady traffic, churn, memory.
 
 use std::{net::UdpSocket, sync::Arc, time::Duration};
 
@@ -10,36 +10,36 @@
 use super::{
     fit::Point,
     fleet::{Fleet, FleetSettings},
-    meter::{cpu_us, heap},
+    meter::{cpu_us, measure_heap},
     report::{Cost, Figure, Report},
     sample,
     scale::{self, Size},
 };
 
-/// Fleets whose steady traffic is measured.
+/// Fleet sizes at which steady traffic is measured.
 const FLEETS: [usize; 5] = [12, 24, 48, 96, 192];
-/// Members that one VM holds when its memory is measured.
+/// Member counts at which the memory of one VM's membership is measured.
 const MEMBERS: [usize; 5] = [48, 192, 768, 2_400, 5_800];
-/// Replacements within the time of one measurement.
+/// Numbers of VMs replaced during one measurement.
 const REPLACEMENTS: [usize; 3] = [0, 6, 12];
-/// Fleets in which the cost of one replacement is measured.
-const CHURNED_FLEETS: [usize; 5] = [12, 24, 48, 96, 192];
-/// Share of datagrams lost.
+/// Fleet sizes at which the cost of one replacement is measured.
+const CHURN_FLEETS: [usize; 5] = [12, 24, 48, 96, 192];
+/// Fraction of datagrams lost.
 pub(crate) const LOSS: f64 = 0.01;
-/// Time that a fleet gets to settle.
-pub(crate) const SETTLE: Duration = Duration::from_secs(30);
-/// Seconds, times VMs, over which steady traffic is averaged.
+/// Time in which a new fleet converges before a measurement begins.
+pub(crate) const CONVERGENCE_TIME: Duration = Duration::from_secs(30);
+/// VM-seconds (seconds times VMs) over which steady traffic is averaged.
 const STEADY_VM_S: f64 = 20_000.0;
 /// Time over which traffic with churn is averaged.
-const STEADY: Duration = Duration::from_secs(60);
-/// Payload of a datagram whose system calls are timed.
+const CHURN_TIME: Duration = Duration::from_secs(60);
+/// Payload size of the datagram whose system calls are timed.
 const DATAGRAM_BYTES: usize = 120;
 
-/// Measures all but churn.
+/// Adds all measurements but churn to the report.
 pub(crate) fn measure(report: &mut Report) {
-    steady(report);
-    memory(report);
-    report.figures.push(Figure::new("udp.send_and_receive", "us", datagram_us()));
+    measure_steady_traffic(report);
+    measure_memory(report);
+    report.figures.push(Figure::new("udp.send_and_receive", "us", measure_datagram_us()));
 }
 
 /// Returns a fleet of one deployment with a small configuration.
@@ -49,24 +49,24 @@
     Fleet::start(FleetSettings { vms, loss: LOSS, platform_reads_per_s, value, seed })
 }
 
-/// Reads a second that the platform has for one deployment.
-pub(crate) fn platform_share() -> f64 {
+/// Returns one deployment's share of the reads per second that the platform serves.
+pub(crate) fn platform_reads_per_deployment() -> f64 {
     scale::PLATFORM_READS_PER_S / scale::deployments()
 }
 
-fn steady(report: &mut Report) {
+fn measure_steady_traffic(report: &mut Report) {
     let mut datagrams = Vec::new();
     let mut bytes = Vec::new();
     let mut datagram_cpu = Vec::new();
     let mut tick_cpu = Vec::new();
     for vms in FLEETS {
-        let mut fleet = fleet(vms, platform_share(), 7);
-        fleet.run(SETTLE);
+        let mut fleet = fleet(vms, platform_reads_per_deployment(), 7);
+        fleet.run_for(CONVERGENCE_TIME);
         let before = (fleet.traffic(), fleet.datagram_cpu(), fleet.tick_cpu());
-        let steady = Duration::from_secs_f64(STEADY_VM_S / vms as f64);
-        fleet.run(steady);
+        let duration = Duration::from_secs_f64(STEADY_VM_S / vms as f64);
+        fleet.run_for(duration);
         let after = (fleet.traffic(), fleet.datagram_cpu(), fleet.tick_cpu());
-        let vm_seconds = vms as f64 * steady.as_secs_f64();
+        let vm_seconds = vms as f64 * duration.as_secs_f64();
         let size = vms as f64;
         let rate = |from: u64, to: u64| (to - from) as f64 / vm_seconds;
         datagrams.push(Point { size, value: rate(before.0.datagrams, after.0.datagrams) });
@@ -82,76 +82,77 @@
     report.costs.push(Cost::new("members.tick_cpu", "VMs", "us/s", sizes, tick_cpu));
 }
 
-/// Extra traffic of each VM for each VM that is replaced.
-pub(crate) fn churn(report: &mut Report) {
+/// Measures each VM's extra traffic per replaced VM.
+pub(crate) fn measure_churn(report: &mut Report) {
     let vms = scale::VMS_PER_DEPLOYMENT as usize;
     let points = REPLACEMENTS
         .map(|count| Point { size: count as f64, value: bytes_with_replacements(vms, count) });
     let per_day = scale::REPLACEMENTS_PER_DAY + scale::FAILURES_PER_DAY;
-    let sizes = (scale::share(per_day), per_day);
+    let sizes = (scale::per_deployment(per_day), per_day);
     let cost = Cost::new("members.bytes.replacement", "replacements", "B", sizes, points.to_vec());
     report.costs.push(cost);
-    let most = REPLACEMENTS[REPLACEMENTS.len() - 1];
-    let by_fleet = CHURNED_FLEETS.map(|vms| {
-        let more = bytes_with_replacements(vms, most) - bytes_with_replacements(vms, 0);
-        Point { size: (vms as f64).log10(), value: more / most as f64 }
+    let max_replacements = REPLACEMENTS[REPLACEMENTS.len() - 1];
+    let by_fleet = CHURN_FLEETS.map(|vms| {
+        let extra =
+            bytes_with_replacements(vms, max_replacements) - bytes_with_replacements(vms, 0);
+        Point { size: (vms as f64).log10(), value: extra / max_replacements as f64 }
     });
     let sizes = (scale::VMS_PER_DEPLOYMENT.log10(), scale::VMS.log10());
     let name = "members.bytes.one_replacement";
     report.costs.push(Cost::new(name, "log10 of VMs", "B", sizes, by_fleet.to_vec()));
 }
 
-/// Returns the bytes of one VM over a fixed time with some VMs replaced.
+/// Returns the membership bytes per VM over `CHURN_TIME` while `replacements` VMs are replaced.
 fn bytes_with_replacements(vms: usize, replacements: usize) -> f64 {
-    let mut fleet = fleet(vms, platform_share(), 11);
-    fleet.run(SETTLE);
+    let mut fleet = fleet(vms, platform_reads_per_deployment(), 11);
+    fleet.run_for(CONVERGENCE_TIME);
     let before = fleet.traffic();
-    let rounds = replacements.max(1);
-    for round in 0..rounds {
+    let intervals = replacements.max(1);
+    for interval in 0..intervals {
         if replacements > 0 {
-            fleet.replace(round * 2 % vms);
+            fleet.replace(interval * 2 % vms);
         }
-        fleet.run(STEADY / rounds as u32);
+        fleet.run_for(CHURN_TIME / intervals as u32);
     }
     let after = fleet.traffic();
     (after.datagram_bytes - before.datagram_bytes) as f64 / vms as f64
 }
 
-/// Heap of one VM's membership and the time of its tick.
-fn memory(report: &mut Report) {
-    let mut held = Vec::new();
-    let mut tick = Vec::new();
+/// Measures the heap of one VM's membership and the processor time of its tick.
+fn measure_memory(report: &mut Report) {
+    let mut heap_points = Vec::new();
+    let mut tick_points = Vec::new();
     for members in MEMBERS {
         let list = sample::vm_list(members);
-        let (mut membership, heap_bytes) = heap(|| {
+        let (mut membership, heap_bytes) = measure_heap(|| {
             let settings = MembershipSettings::default();
             let mut membership = Membership::new(Time::from_millis(1), sample::vm(0), settings, 3);
             membership.on_vm_list(Time::from_millis(1), &list);
             membership
         });
         let size = members as f64;
-        held.push(Point { size, value: heap_bytes });
+        heap_points.push(Point { size, value: heap_bytes });
         let mut now_ms = 1;
-        let ticked = cpu_us(|| {
+        let tick_us = cpu_us(|| {
             now_ms += 1;
             membership.on_tick(Time::from_millis(now_ms))
         });
-        tick.push(Point { size, value: ticked });
+        tick_points.push(Point { size, value: tick_us });
     }
     let sizes = (scale::VMS_PER_DEPLOYMENT, scale::VMS);
-    report.costs.push(Cost::new("members.heap", "members", "B", sizes, held));
-    report.costs.push(Cost::new("members.tick.unheard", "members", "us", sizes, tick));
+    report.costs.push(Cost::new("members.heap", "members", "B", sizes, heap_points));
+    report.costs.push(Cost::new("members.tick.unheard", "members", "us", sizes, tick_points));
 }
 
-/// Processor time of the system calls that send and receive one datagram.
-fn datagram_us() -> f64 {
+/// Measures the processor time of the system calls that send and receive one datagram.
+fn measure_datagram_us() -> f64 {
     let sender = UdpSocket::bind("127.0.0.1:0").expect("loopback has free ports");
     let receiver = UdpSocket::bind("127.0.0.1:0").expect("loopback has free ports");
     let to = receiver.local_addr().expect("a bound socket has an address");
     let payload = [0_u8; DATAGRAM_BYTES];
     let mut buffer = [0_u8; DATAGRAM_BYTES];
     cpu_us(|| {
-        sender.send_to(&payload, to).expect("loopback takes datagrams");
+        sender.send_to(&payload, to).expect("loopback accepts datagrams");
         receiver.recv_from(&mut buffer).expect("loopback delivers datagrams")
     })
 }
--- a/crates/pistachiotrack-standins/src/slopes/meter.rs
+++ b/crates/pistachiotrack-standins/src/slopes/meter.rs
@@ -8,50 +8,54 @@
 #[global_allocator]
 static COUNTING_ALLOCATOR: PeakAlloc = PeakAlloc;
 
-/// Batches of which the lower quartile is taken.
+/// Number of batches; the result is their lower quartile.
 const BATCHES: usize = 16;
-/// Values that a batch prepares.
-const PREPARED: usize = 16;
-/// As many for slow calls.
-const FEW_BATCHES: usize = 4;
-/// Processor time that makes a call slow.
-const SLOW_S: f64 = 0.05;
-/// Processor time that a batch takes at least.
-const BATCH_S: f64 = 0.004;
+/// Number of inputs prepared for each batch.
+const INPUTS_PER_BATCH: usize = 16;
+/// Number of batches for slow calls.
+const SLOW_CALL_BATCHES: usize = 4;
+/// Processor time above which a call is slow.
+const SLOW_CALL_S: f64 = 0.05;
+/// Minimum processor time of a batch.
+const MIN_BATCH_S: f64 = 0.004;
 
 /// Returns the processor time of one call in microseconds.
 ///
-/// Other work on the machine only ever adds to it, by caches and by sharing a
-/// core's units, so the lower quartile of several batches is taken.
+/// Other load on the machine only increases it, through caches and shared execution units of a
+/// core, so the lower quartile of several batches is taken.
 pub(crate) fn cpu_us<T>(mut call: impl FnMut() -> T) -> f64 {
     let mut calls = 1_u32;
-    while batch_s(calls, &mut call) < BATCH_S {
+    while measure_batch_s(calls, &mut call) < MIN_BATCH_S {
         calls *= 2;
     }
-    let count = if calls == 1 && batch_s(1, &mut call) > SLOW_S { FEW_BATCHES } else { BATCHES };
-    let mut batches: Vec<f64> = (0..count).map(|_| batch_s(calls, &mut call)).collect();
+    let count = if calls == 1 && measure_batch_s(1, &mut call) > SLOW_CALL_S {
+        SLOW_CALL_BATCHES
+    } else {
+        BATCHES
+    };
+    let mut batches: Vec<f64> = (0..count).map(|_| measure_batch_s(calls, &mut call)).collect();
     batches.sort_by(f64::total_cmp);
     batches[count / 4] * 1e6 / f64::from(calls)
 }
 
-/// Returns the processor time of `call` on one of `prepare`'s values in
-/// microseconds, without the time of `prepare`.
-pub(crate) fn cpu_us_on<P, T>(prepare: impl Fn() -> P, call: impl Fn(&mut P) -> T) -> f64 {
+/// Returns the processor time of `call` on one value from `prepare`, in
+/// microseconds, excluding the time of `prepare`.
+pub(crate) fn cpu_us_with_setup<P, T>(prepare: impl Fn() -> P, call: impl Fn(&mut P) -> T) -> f64 {
     let mut batches: Vec<f64> = (0..BATCHES)
         .map(|_| {
-            let mut prepared: Vec<P> = (0..PREPARED).map(|_| prepare()).collect();
+            let mut prepared: Vec<P> = (0..INPUTS_PER_BATCH).map(|_| prepare()).collect();
             let start = ThreadTime::now();
             for value in &mut prepared {
                 black_box(call(value));
             }
-            start.elapsed().as_secs_f64() * 1e6 / PREPARED as f64
+            start.elapsed().as_secs_f64() * 1e6 / INPUTS_PER_BATCH as f64
         })
         .collect();
     batches.sort_by(f64::total_cmp);
     batches[BATCHES / 4]
 }
 
-fn batch_s<T>(calls: u32, call: &mut impl FnMut() -> T) -> f64 {
+fn measure_batch_s<T>(calls: u32, call: &mut impl FnMut() -> T) -> f64 {
     let start = ThreadTime::now();
     for _ in 0..calls {
         black_box(call());
@@ -65,16 +69,16 @@
     values[values.len() / 2]
 }
 
-/// Returns what `build` makes and the heap bytes that it still holds.
-pub(crate) fn heap<T>(build: impl FnOnce() -> T) -> (T, f64) {
+/// Returns the result of `build` and the heap bytes that it retains.
+pub(crate) fn measure_heap<T>(build: impl FnOnce() -> T) -> (T, f64) {
     let before = COUNTING_ALLOCATOR.current_usage();
     let built = build();
     let after = COUNTING_ALLOCATOR.current_usage();
     (built, after as f64 - before as f64)
 }
 
-/// Returns the heap bytes that `work` holds at its worst moment.
-pub(crate) fn peak_heap<T>(work: impl FnOnce() -> T) -> f64 {
+/// Returns the peak of the heap bytes that `work` holds.
+pub(crate) fn measure_peak_heap<T>(work: impl FnOnce() -> T) -> f64 {
     let before = COUNTING_ALLOCATOR.current_usage();
     COUNTING_ALLOCATOR.reset_peak_usage();
     drop(work());
--- a/crates/pistachiotrack-standins/src/slopes/platform.rs
+++ b/crates/pistachiotrack-standins/src/slopes/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration service in logical time: answers a limited
-//! number of reads a second and counts them.
+//! The platform's configuration service in logical time: serves a limited
+//! number of reads per second and counts them.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -9,25 +9,25 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-struct Waiting {
+struct PendingWatch {
     reader: usize,
     end: Time,
 }
 
-/// The service, holding one value.
+/// The simulated service, which holds one value.
 pub(crate) struct Platform {
-    /// Reads so far; a watch counts as one.
+    /// Number of reads of the value so far, watches included.
     pub(crate) reads: u64,
-    /// First reads of the list of VMs so far.
+    /// Number of first reads of the VM list so far.
     pub(crate) list_reads: u64,
-    lately: VecDeque<Time>,
+    recent_reads: VecDeque<Time>,
     busiest_second: usize,
     version: u64,
     value: Arc<[u8]>,
     gzip_bytes: u64,
     time_per_read: Duration,
-    free_at: Time,
-    waiting: Vec<Waiting>,
+    available_at: Time,
+    watches: Vec<PendingWatch>,
 }
 
 impl Platform {
@@ -36,19 +36,19 @@
         Platform {
             reads: 0,
             list_reads: 0,
-            lately: VecDeque::new(),
+            recent_reads: VecDeque::new(),
             busiest_second: 0,
             version: 1,
             gzip_bytes: gzip(&value) as u64,
             value,
             time_per_read: Duration::from_secs_f64(1.0 / reads_per_s),
-            free_at: Time::ZERO,
-            waiting: Vec::new(),
+            available_at: Time::ZERO,
+            watches: Vec::new(),
         }
     }
 
-    /// Takes a watch; returns the value and the time until it is answered if
-    /// it is newer than `after`, and lets the reader wait otherwise.
+    /// Handles a watch. Returns the value and the time until the response if the value is newer
+    /// than `after`; otherwise the watch stays pending and `None` is returned.
     pub(crate) fn watch(
         &mut self,
         now: Time,
@@ -57,63 +57,63 @@
         end: Time,
     ) -> Option<(Duration, Arc<[u8]>)> {
         self.reads += 1;
-        self.count(now);
+        self.record_read(now);
         if after.is_none_or(|after| after < self.version) {
-            return Some((self.free_at.since(now), Arc::clone(&self.value)));
+            return Some((self.available_at.since(now), Arc::clone(&self.value)));
         }
-        self.waiting.push(Waiting { reader, end });
+        self.watches.push(PendingWatch { reader, end });
         None
     }
 
-    /// Takes a read of the list and returns the time until it is answered.
+    /// Handles a read of the VM list and returns the time until the response.
     pub(crate) fn read_list(&mut self, now: Time) -> Duration {
         self.list_reads += 1;
-        self.count(now);
-        self.free_at.since(now)
+        self.record_read(now);
+        self.available_at.since(now)
     }
 
-    fn count(&mut self, now: Time) {
-        self.lately.push_back(now);
-        while self.lately.front().is_some_and(|read| now.since(*read) >= SECOND) {
-            self.lately.pop_front();
+    fn record_read(&mut self, now: Time) {
+        self.recent_reads.push_back(now);
+        while self.recent_reads.front().is_some_and(|read| now.since(*read) >= SECOND) {
+            self.recent_reads.pop_front();
         }
-        self.busiest_second = self.busiest_second.max(self.lately.len());
-        self.free_at = self.free_at.max(now) + self.time_per_read;
+        self.busiest_second = self.busiest_second.max(self.recent_reads.len());
+        self.available_at = self.available_at.max(now) + self.time_per_read;
     }
 
-    /// Returns the most reads of both kinds asked for within one second.
+    /// Returns the largest number of reads, of the value and of the list, within one second.
     pub(crate) fn busiest_second(&self) -> usize {
         self.busiest_second
     }
 
-    /// Returns the bytes of one answer with the value, compressed.
-    pub(crate) fn answer_bytes(&self) -> u64 {
+    /// Returns the bytes of one response with the compressed value.
+    pub(crate) fn response_bytes(&self) -> u64 {
         self.gzip_bytes
     }
 
-    /// Returns how many watches wait.
-    pub(crate) fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Returns the number of pending watches.
+    pub(crate) fn pending_watches(&self) -> usize {
+        self.watches.len()
     }
 
-    /// Takes a new value and returns the readers that waited for one.
+    /// Publishes a new value and returns the readers of the pending watches.
     pub(crate) fn publish(&mut self, version: u64, value: Arc<[u8]>) -> Vec<usize> {
         self.version = version;
         self.gzip_bytes = gzip(&value) as u64;
         self.value = value;
-        self.waiting.drain(..).map(|waiting| waiting.reader).collect()
+        self.watches.drain(..).map(|watch| watch.reader).collect()
     }
 
-    /// Drops the watch of a reader that is gone.
-    pub(crate) fn forget(&mut self, reader: usize) {
-        self.waiting.retain(|waiting| waiting.reader != reader);
+    /// Removes the watches of a reader that was replaced.
+    pub(crate) fn remove_watch(&mut self, reader: usize) {
+        self.watches.retain(|watch| watch.reader != reader);
     }
 
-    /// Returns the readers whose watch has waited to its end.
-    pub(crate) fn due(&mut self, now: Time) -> Vec<usize> {
-        let (due, waiting) = self.waiting.drain(..).partition(|waiting| waiting.end <= now);
-        self.waiting = waiting;
-        let due: Vec<Waiting> = due;
-        due.into_iter().map(|waiting| waiting.reader).collect()
+    /// Removes the watches that have timed out and returns their readers.
+    pub(crate) fn expire_watches(&mut self, now: Time) -> Vec<usize> {
+        let (expired, remaining) = self.watches.drain(..).partition(|watch| watch.end <= now);
+        self.watches = remaining;
+        let expired: Vec<PendingWatch> = expired;
+        expired.into_iter().map(|watch| watch.reader).collect()
     }
 }
--- a/crates/pistachiotrack-standins/src/slopes/report.rs
+++ b/crates/pistachiotrack-standins/src/slopes/report.rs
@@ -1,37 +1,38 @@
-//! Measured costs and how they are printed.
+//! The report of measured costs and its printed form.
 
 use serde::Serialize;
 
-use super::fit::{Fit, Point, between};
+use super::fit::{Fit, Point, interpolate};
 
 /// One cost, measured at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Cost {
-    /// Name by which sums refer to it.
+    /// Name by which sums look it up.
     pub(crate) name: String,
-    /// What the size counts.
+    /// What the size of a point counts.
     pub(crate) against: String,
     /// Unit of the values.
     pub(crate) unit: String,
-    /// What was measured.
+    /// Measured points.
     pub(crate) points: Vec<Point>,
     /// The line through the points.
     pub(crate) fit: Fit,
-    /// Size of one deployment among many.
+    /// Size of one of many deployments.
     pub(crate) deployment_size: f64,
-    /// Value there: between measured points, or on the line beyond them.
+    /// Value at `deployment_size`: interpolated between measured points, on the fitted line outside
+    /// of them.
     pub(crate) at_deployment: f64,
-    /// Size of one deployment that holds everything.
+    /// Size of a single deployment that holds the whole target size.
     pub(crate) whole_size: f64,
-    /// Value there, as above.
+    /// Value at `whole_size`, computed like `at_deployment`.
     pub(crate) at_whole: f64,
     /// Largest difference between rounds at the size of one deployment, as a
-    /// share of the least.
+    /// fraction of the smallest.
     pub(crate) round_spread: f64,
 }
 
 impl Cost {
-    /// Fits the points of a cost.
+    /// Creates a cost with a line fitted to its points.
     pub(crate) fn new(
         name: &str,
         against: &str,
@@ -40,8 +41,8 @@
         points: Vec<Point>,
     ) -> Cost {
         let fit = Fit::new(&points);
-        let at = |size: f64| between(&points, size).unwrap_or_else(|| fit.at(size));
-        let (at_deployment, at_whole) = (at(sizes.0), at(sizes.1));
+        let value_at = |size: f64| interpolate(&points, size).unwrap_or_else(|| fit.value_at(size));
+        let (at_deployment, at_whole) = (value_at(sizes.0), value_at(sizes.1));
         Cost {
             name: name.to_owned(),
             against: against.to_owned(),
@@ -56,44 +57,43 @@
         }
     }
 
-    /// Returns the cost of several rounds: the least time at each point, since
-    /// other work on the machine only ever adds to it.
-    fn of_rounds(rounds: &[&Cost]) -> Cost {
+    /// Combines several rounds: takes the shortest time at each point, since other load on the
+    /// machine only increases it.
+    fn from_rounds(rounds: &[&Cost]) -> Cost {
         let first = rounds[0];
         if !is_time(&first.unit) {
             return first.clone();
         }
-        let least = |at: usize| {
-            let values = rounds.iter().map(|cost| cost.points[at].value);
-            Point { size: first.points[at].size, value: values.fold(f64::INFINITY, f64::min) }
+        let min_point = |index: usize| {
+            let values = rounds.iter().map(|cost| cost.points[index].value);
+            Point { size: first.points[index].size, value: values.fold(f64::INFINITY, f64::min) }
         };
-        let points = (0..first.points.len()).map(least).collect();
+        let points = (0..first.points.len()).map(min_point).collect();
         let sizes = (first.deployment_size, first.whole_size);
         let values: Vec<f64> = rounds.iter().map(|cost| cost.at_deployment).collect();
         Cost {
-            round_spread: spread(&values),
+            round_spread: relative_range(&values),
             ..Cost::new(&first.name, &first.against, &first.unit, sizes, points)
         }
     }
 
-    /// Returns how far beyond the largest measured size a size lies; 1 when it
-    /// was within what was measured.
-    pub(crate) fn reach(&self, size: f64) -> f64 {
+    /// Returns the ratio of a size to the largest measured size, or 1 if it is not larger.
+    pub(crate) fn extrapolation(&self, size: f64) -> f64 {
         let largest = self.points.iter().map(|point| point.size).fold(0.0, f64::max);
         (size / largest).max(1.0)
     }
 }
 
-/// One figure that isn't a line: an event, a total or a verdict.
+/// A single value, which may have a budget.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Figure {
-    /// Name by which the page refers to it.
+    /// Name in the documentation.
     pub(crate) name: String,
     /// Unit of the value.
     pub(crate) unit: String,
     /// The value.
     pub(crate) value: f64,
-    /// Largest value that fits, if there is a budget.
+    /// Largest allowed value, if there is a budget.
     pub(crate) budget: Option<f64>,
 }
 
@@ -103,52 +103,56 @@
         Figure { name: name.to_owned(), unit: unit.to_owned(), value, budget: None }
     }
 
-    /// Returns the figure with a budget to be held.
-    pub(crate) fn within(self, budget: f64) -> Figure {
+    /// Returns the figure with a budget.
+    pub(crate) fn with_budget(self, budget: f64) -> Figure {
         Figure { budget: Some(budget), ..self }
     }
 
-    /// Returns the figure of several rounds; times as for costs.
-    fn of_rounds(rounds: &[&Figure]) -> Figure {
+    /// Combines several rounds; like costs, times take the minimum.
+    fn from_rounds(rounds: &[&Figure]) -> Figure {
         if !is_time(&rounds[0].unit) {
             return rounds[0].clone();
         }
-        let least = rounds.iter().map(|figure| figure.value).fold(f64::INFINITY, f64::min);
-        Figure { value: least, ..rounds[0].clone() }
+        let min = rounds.iter().map(|figure| figure.value).fold(f64::INFINITY, f64::min);
+        Figure { value: min, ..rounds[0].clone() }
     }
 
-    fn verdict(&self) -> String {
+    fn budget_result(&self) -> String {
         match self.budget {
             None => String::new(),
-            Some(budget) if self.value <= budget => format!("fits {}", short(budget)),
-            Some(budget) => format!("OVER {} by {:.2}x", short(budget), self.value / budget),
+            Some(budget) if self.value <= budget => format!("fits {}", format_short(budget)),
+            Some(budget) => format!("OVER {} by {:.2}x", format_short(budget), self.value / budget),
         }
     }
 }
 
-/// All that a run measured.
+/// Everything that a run measured.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Report {
-    /// Costs with their lines.
+    /// Costs with their fitted lines.
     pub(crate) costs: Vec<Cost>,
     /// Other figures.
     pub(crate) figures: Vec<Figure>,
 }
 
 impl Report {
-    /// Returns the report of several rounds that measured the same.
-    pub(crate) fn of_rounds(rounds: &[Report]) -> Report {
-        let costs = |at: usize| rounds.iter().map(|round| &round.costs[at]).collect::<Vec<_>>();
-        let figures = |at: usize| rounds.iter().map(|round| &round.figures[at]).collect::<Vec<_>>();
+    /// Combines the reports of several rounds that measured the same costs and figures.
+    pub(crate) fn from_rounds(rounds: &[Report]) -> Report {
+        let costs =
+            |index: usize| rounds.iter().map(|round| &round.costs[index]).collect::<Vec<_>>();
+        let figures =
+            |index: usize| rounds.iter().map(|round| &round.figures[index]).collect::<Vec<_>>();
         Report {
-            costs: (0..rounds[0].costs.len()).map(|at| Cost::of_rounds(&costs(at))).collect(),
+            costs: (0..rounds[0].costs.len())
+                .map(|index| Cost::from_rounds(&costs(index)))
+                .collect(),
             figures: (0..rounds[0].figures.len())
-                .map(|at| Figure::of_rounds(&figures(at)))
+                .map(|index| Figure::from_rounds(&figures(index)))
                 .collect(),
         }
     }
 
-    /// Adds what another report has.
+    /// Appends the costs and figures of another report.
     pub(crate) fn append(&mut self, mut other: Report) {
         self.costs.append(&mut other.costs);
         self.figures.append(&mut other.figures);
@@ -160,7 +164,7 @@
     ///
     /// Panics if the run did not measure it.
     pub(crate) fn cost(&self, name: &str) -> &Cost {
-        self.costs.iter().find(|cost| cost.name == name).expect("a sum names measured costs only")
+        self.costs.iter().find(|cost| cost.name == name).expect("sums use only measured costs")
     }
 
     /// Returns a figure's value by name.
@@ -170,10 +174,10 @@
     /// Panics if the run did not measure it.
     pub(crate) fn figure(&self, name: &str) -> f64 {
         let figure = self.figures.iter().find(|figure| figure.name == name);
-        figure.expect("a sum names measured figures only").value
+        figure.expect("sums use only measured figures").value
     }
 
-    /// Prints the report for people.
+    /// Prints the report as text tables.
     pub(crate) fn print(&self) {
         println!(
             "{:<34} {:<22} {:>11} {:>11} {:>7} {:>7} {:>11} {:>11} {:>6} {:>7}",
@@ -193,13 +197,13 @@
                 "{:<34} {:<22} {:>11} {:>11} {:>7.4} {:>6.1}% {:>11} {:>11} {:>5.1}x {:>6.1}% {}",
                 cost.name,
                 cost.against,
-                short(cost.fit.intercept),
-                short(cost.fit.slope),
+                format_short(cost.fit.intercept),
+                format_short(cost.fit.slope),
                 cost.fit.r_squared,
                 cost.fit.worst_residual * 100.0,
-                short(cost.at_deployment),
-                short(cost.at_whole),
-                cost.reach(cost.whole_size),
+                format_short(cost.at_deployment),
+                format_short(cost.at_whole),
+                cost.extrapolation(cost.whole_size),
                 cost.round_spread * 100.0,
                 cost.unit,
             );
@@ -209,9 +213,9 @@
             println!(
                 "{:<52} {:>12} {:<8} {}",
                 figure.name,
-                short(figure.value),
+                format_short(figure.value),
                 figure.unit,
-                figure.verdict()
+                figure.budget_result()
             );
         }
     }
@@ -221,14 +225,14 @@
     unit == "us" || unit == "us/s"
 }
 
-fn spread(values: &[f64]) -> f64 {
-    let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    if least == 0.0 { 0.0 } else { (most - least) / least.abs() }
+fn relative_range(values: &[f64]) -> f64 {
+    let min = values.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    if min == 0.0 { 0.0 } else { (max - min) / min.abs() }
 }
 
 /// Formats a number with four significant digits.
-fn short(value: f64) -> String {
+fn format_short(value: f64) -> String {
     let magnitude = value.abs();
     if magnitude >= 1e7 {
         return format!("{value:.3e}");
--- a/crates/pistachiotrack-standins/src/slopes/sample.rs
+++ b/crates/pistachiotrack-standins/src/slopes/sample.rs
@@ -1,4 +1,4 @@
-//! Configurations and VMs of any size, with names as long as real ones.
+//! Sample configurations and VMs of any size, with names as long as real ones.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -38,34 +38,35 @@
     }
 }
 
-/// Returns the JSON value of a configuration as operators write it: what is
-/// absent or at its default is left out.
+/// Returns the JSON value of a configuration as operators write it: without
+/// absent fields and defaults.
 pub(crate) fn json(config: &Config) -> Vec<u8> {
-    serde_json::to_vec(&written(config)).expect("a configuration has only string keys")
+    serde_json::to_vec(&operator_value(config)).expect("a configuration has only string keys")
 }
 
 /// Returns the JSON value with indentation.
 pub(crate) fn indented_json(config: &Config) -> Vec<u8> {
-    serde_json::to_vec_pretty(&written(config)).expect("a configuration has only string keys")
+    serde_json::to_vec_pretty(&operator_value(config))
+        .expect("a configuration has only string keys")
 }
 
-/// Returns the JSON value with every field spelled out.
+/// Returns the JSON value with every field written out.
 pub(crate) fn full_json(config: &Config) -> Vec<u8> {
     serde_json::to_vec(config).expect("a configuration has only string keys")
 }
 
-fn written(config: &Config) -> Value {
+fn operator_value(config: &Config) -> Value {
     let mut value = serde_json::to_value(config).expect("a configuration has only string keys");
-    leave_out_defaults(&mut value);
+    remove_defaults(&mut value);
     value
 }
 
-fn leave_out_defaults(value: &mut Value) {
+fn remove_defaults(value: &mut Value) {
     match value {
-        Value::Array(items) => items.iter_mut().for_each(leave_out_defaults),
+        Value::Array(items) => items.iter_mut().for_each(remove_defaults),
         Value::Object(fields) => {
             fields.retain(|name, field| !is_default(name, field));
-            fields.values_mut().for_each(leave_out_defaults);
+            fields.values_mut().for_each(remove_defaults);
         }
         _ => {}
     }
@@ -187,8 +188,8 @@
     }
 }
 
-/// Settings of a VM that takes the platform's first value without waiting for
-/// peers, so that the cost of taking it can be measured.
-pub(crate) fn accepting_at_once() -> ConfigSyncSettings {
+/// Returns settings of a VM that accepts the platform's first value without waiting for peers, so
+/// that the cost of accepting it can be measured.
+pub(crate) fn settings_without_first_value_grace() -> ConfigSyncSettings {
     ConfigSyncSettings { first_value_grace_ms: 0, ..ConfigSyncSettings::default() }
 }
--- a/crates/pistachiotrack-standins/tests/slopes.rs
+++ b/crates/pistachiotrack-standins/tests/slopes.rs
@@ -1,5 +1,4 @@
-//! The straight lines of the `slopes` command and the sizes that they start
-//! from.
+//! Tests of the line fitting and the sample sizes of the `slopes` command.
 
 #[path = "../src/slopes/fit.rs"]
 mod fit;
@@ -10,7 +9,7 @@
 #[expect(dead_code, reason = "the command uses the rest")]
 mod scale;
 
-use fit::{Fit, Point, between};
+use fit::{Fit, Point, interpolate};
 use pistachiotrack_core::{
     config::{Config, MAX_VALUE_BYTES},
     config_sync::{ConfigAction, ConfigSync},
@@ -26,8 +25,8 @@
 }
 
 #[test]
-fn points_on_a_line_give_that_line() {
-    fn holds(intercept: i16, slope: i16, sizes: Vec<u8>) -> bool {
+fn fit_recovers_an_exact_line() {
+    fn fit_matches_line(intercept: i16, slope: i16, sizes: Vec<u8>) -> bool {
         let line = |size: f64| f64::from(intercept) + f64::from(slope) * size;
         let mut points: Vec<Point> = sizes
             .into_iter()
@@ -36,15 +35,15 @@
             .collect();
         points.extend([0.0, 300.0].map(|size| Point { size, value: line(size) }));
         let fit = Fit::new(&points);
-        (fit.at(5_800.0) - line(5_800.0)).abs() < 1.0
+        (fit.value_at(5_800.0) - line(5_800.0)).abs() < 1.0
             && fit.r_squared > 0.999
             && fit.worst_residual < 1e-6
     }
-    checker().quickcheck(holds as fn(i16, i16, Vec<u8>) -> bool);
+    checker().quickcheck(fit_matches_line as fn(i16, i16, Vec<u8>) -> bool);
 }
 
 #[test]
-fn a_curve_shows_in_the_error() {
+fn fit_of_a_curve_has_large_residuals() {
     let points: Vec<Point> =
         (0..20).map(f64::from).map(|size| Point { size, value: size * size }).collect();
     let fit = Fit::new(&points);
@@ -53,46 +52,45 @@
 }
 
 #[test]
-fn scatter_alone_gives_no_slope() {
+fn insignificant_slope_is_zero() {
     let values = [677.0, 681.0, 676.0, 684.0, 668.0];
     let sizes = [12.0, 24.0, 48.0, 96.0, 192.0];
     let points: Vec<Point> =
         sizes.into_iter().zip(values).map(|(size, value)| Point { size, value }).collect();
     let fit = Fit::new(&points);
     assert_eq!(fit.slope, 0.0);
-    assert!((fit.at(5_800.0) - 677.2).abs() < 0.01, "{fit:?}");
+    assert!((fit.value_at(5_800.0) - 677.2).abs() < 0.01, "{fit:?}");
 }
 
 #[test]
-fn values_between_points_don_t_come_from_the_line() {
+fn values_between_points_are_interpolated() {
     let points = [(1.0, 10.0), (3.0, 20.0), (4.0, 0.0)].map(|(size, value)| Point { size, value });
-    assert_eq!(between(&points, 2.0), Some(15.0));
-    assert_eq!(between(&points, 4.0), Some(0.0));
-    assert_eq!(between(&points, 4.1), None);
-    assert_eq!(between(&points, 0.9), None);
+    assert_eq!(interpolate(&points, 2.0), Some(15.0));
+    assert_eq!(interpolate(&points, 4.0), Some(0.0));
+    assert_eq!(interpolate(&points, 4.1), None);
+    assert_eq!(interpolate(&points, 0.9), None);
 }
 
-/// Operators publish a deployment of the size to design for and the platform
-/// turns the value away, or every VM rejects it: the deployment can't be
-/// changed any more. The cause would be a value over the platform's limit, or
-/// a sample that isn't a valid configuration, which no cost should rest on.
+/// Guards against a deployment of the target size that can't be changed any more, because its value
+/// exceeds the platform's limit or every VM rejects it. Costs must also not be measured with an
+/// invalid sample.
 #[test]
-fn an_even_share_of_the_design_size_fits_the_platform() {
+fn one_deployment_fits_the_platform_value_limit() {
     let config = sample::config(scale::deployment());
     let json = sample::json(&config);
     assert!(json.len() <= MAX_VALUE_BYTES, "{} B", json.len());
     assert_eq!(Config::parse("platform", &json).as_ref(), Ok(&config));
 }
 
-/// An operator runs `slopes` and it ends at once with a panic: a VM that has no
-/// configuration holds the platform's first value back to hear its peers, and the
-/// measurement has none. It needs a VM that doesn't wait.
+/// Guards against a panic at the start of `slopes`: a VM without a configuration defers the
+/// platform's first value until its peers have responded, and the measurement has no peers, so the
+/// grace period must be 0.
 #[test]
-fn a_measured_vm_takes_its_first_value_at_once() {
-    let settings = sample::accepting_at_once();
+fn first_value_is_activated_without_grace() {
+    let settings = sample::settings_without_first_value_grace();
     let mut sync = ConfigSync::new(sample::vm(0), sample::deployment_name(), settings, 1);
     let json = sample::json(&sample::config(scale::deployment()));
     let actions = sync.on_platform_value(Time::from_millis(1), Some(&json));
-    let in_force = |action: &ConfigAction| matches!(action, ConfigAction::Activate(_));
-    assert!(actions.iter().any(in_force), "{} actions", actions.len());
+    let is_activation = |action: &ConfigAction| matches!(action, ConfigAction::Activate(_));
+    assert!(actions.iter().any(is_activation), "{} actions", actions.len());
 }
