--- a/crates/pistachiotrack-standins/src/experiment.rs
+++ b/crates/pistachiotrack-standins/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments: ours against a baseline, in the same run.
+//! Experiments that compare the fleet with baselines in the same run.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 mod detect;
 mod options;
 mod overload;
-mod owners;
+mod ownership_monitor;
 mod partition;
 mod rollout;
 mod table;
@@ -19,13 +19,13 @@
 /// Names of the experiments, in the order in which `list` shows them.
 const NAMES: &[&str] = &["churn", "detect", "overload", "partition", "rollout"];
 
-/// Runs the experiment that the arguments name.
+/// Runs the experiment named by the first argument.
 ///
 /// # Errors
 ///
-/// Returns an error if there is no such experiment or if it could not be run.
+/// Returns an error if the experiment doesn't exist or fails.
 pub fn run(mut arguments: pico_args::Arguments) -> anyhow::Result<ExitCode> {
-    let name = arguments.subcommand()?.context("no experiment named; try `list`")?;
+    let name = arguments.subcommand()?.context("no experiment given; try `list`")?;
     match name.as_str() {
         "list" => list(),
         "churn" => churn::run(Options::parse(arguments)?),
--- a/crates/pistachiotrack-standins/src/experiment/detect.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect.rs
@@ -1,25 +1,25 @@
-//! Measures detection time against false ejections, for the core's decisions
-//! and the baselines, on the same work.
+//! Measures detection time and false ejections of the core's health decisions
+//! and of baselines under the same load.
 
 use std::{process::ExitCode, time::Duration};
 
 use anyhow::bail;
 
 mod detector;
+mod environment;
 mod jobs;
 mod report;
 mod run;
-mod world;
 
-use detector::{Baseline, Core, Detector};
-use world::Service;
+use detector::{Baseline, CoreDetector, Detector};
+use environment::Service;
 
-/// VMs of the fleet in the comparison "every VM on its own".
-const FLEET: usize = 48;
-/// Threads that work on runs at the same time.
+/// Number of VMs for the method in which every VM detects on its own.
+const FLEET_VMS: usize = 48;
+/// Number of threads that execute runs.
 const THREADS: usize = 3;
 
-/// A customer's services and detection setting.
+/// A customer's services and detection sensitivity.
 #[derive(Clone, Copy, Debug)]
 struct Customer {
     name: &'static str,
@@ -48,16 +48,16 @@
     },
 ];
 
-/// A way of detection.
+/// A detection method.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Method {
     /// The core's health decisions at the owner.
     Core,
-    /// Five consecutive failures, seen by one VM.
+    /// Five consecutive failures, counted by one VM.
     Consecutive,
-    /// Success-rate outliers at intervals and five consecutive failures.
+    /// Success-rate outliers at fixed intervals, and five consecutive failures.
     Outlier,
-    /// The core's health decisions on every VM, each with its own requests.
+    /// The core's health decisions on every VM, each of which has only its own requests.
     EveryVm,
 }
 
@@ -76,12 +76,12 @@
     fn detectors(self, service: &Service, sensitivity: f64, seed: u64) -> Vec<Box<dyn Detector>> {
         let (endpoints, floor) = (service.endpoints, service.floor);
         match self {
-            Method::Core => vec![Box::new(Core::new(endpoints, floor, sensitivity, seed))],
+            Method::Core => vec![Box::new(CoreDetector::new(endpoints, floor, sensitivity, seed))],
             Method::Consecutive => vec![Box::new(Baseline::consecutive(endpoints, floor))],
             Method::Outlier => vec![Box::new(Baseline::outlier(endpoints))],
-            Method::EveryVm => (0..FLEET)
+            Method::EveryVm => (0..FLEET_VMS)
                 .map(|vm| {
-                    let core = Core::new(endpoints, floor, sensitivity, seed + vm as u64);
+                    let core = CoreDetector::new(endpoints, floor, sensitivity, seed + vm as u64);
                     Box::new(core) as Box<dyn Detector>
                 })
                 .collect(),
@@ -89,31 +89,31 @@
     }
 
     fn vms(self) -> usize {
-        if self == Method::EveryVm { FLEET } else { 1 }
+        if self == Method::EveryVm { FLEET_VMS } else { 1 }
     }
 }
 
-/// What is to be measured.
+/// The runs to execute.
 #[derive(Clone, Debug)]
 struct Plan {
     seeds: Vec<u64>,
     methods: Vec<Method>,
     customers: Vec<Customer>,
-    /// Healthy time per seed and service.
-    background: Duration,
-    /// Runs per seed, service and fault.
+    /// Duration of the run without a fault per seed and service.
+    background_time: Duration,
+    /// Number of runs per seed, service and fault.
     fault_runs: u64,
 }
 
-/// Runs the experiment.
+/// Runs the experiment and prints its report.
 ///
 /// # Errors
 ///
-/// Returns an error if an argument is wrong.
+/// Returns an error if an argument is invalid.
 pub(super) fn run(mut arguments: pico_args::Arguments) -> anyhow::Result<ExitCode> {
     let json = arguments.contains("--json");
-    let first: u64 = arguments.opt_value_from_str("--seed")?.unwrap_or(1);
-    let seeds: u64 = arguments.opt_value_from_str("--seeds")?.unwrap_or(1);
+    let first_seed: u64 = arguments.opt_value_from_str("--seed")?.unwrap_or(1);
+    let seed_count: u64 = arguments.opt_value_from_str("--seeds")?.unwrap_or(1);
     let hours: f64 = arguments.opt_value_from_str("--hours")?.unwrap_or(0.25);
     let fault_runs = arguments.opt_value_from_str("--fault-runs")?.unwrap_or(2);
     let customer: Option<String> = arguments.opt_value_from_str("--customer")?;
@@ -124,16 +124,16 @@
         bail!("unknown arguments {rest:?}");
     }
     let mut customers = CUSTOMERS.to_vec();
-    customers.retain(|known| customer.as_ref().is_none_or(|name| known.name == name));
+    customers.retain(|candidate| customer.as_ref().is_none_or(|name| candidate.name == name));
     for customer in &mut customers {
         customer.sensitivity = sensitivity.unwrap_or(customer.sensitivity);
     }
     let methods = if core_only { vec![Method::Core] } else { Method::ALL.to_vec() };
     let plan = Plan {
-        seeds: (first..first + seeds).collect(),
+        seeds: (first_seed..first_seed + seed_count).collect(),
         methods,
         customers,
-        background: Duration::from_secs_f64(hours * 3_600.0),
+        background_time: Duration::from_secs_f64(hours * 3_600.0),
         fault_runs,
     };
     let results = jobs::run_all(&plan);
--- a/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
@@ -1,4 +1,4 @@
-//! The ways of detection that are compared.
+//! The detectors that are compared.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
     Closed,
     /// One idempotent request at a time.
     Trial,
-    /// A share of the slots.
+    /// A fraction of the slots.
     Share(f64),
 }
 
-/// What a detector wants done or has done.
+/// An ejection or a probe request by a detector.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Effect {
     /// An endpoint was ejected.
@@ -32,12 +32,17 @@
     Probe { endpoint: usize },
 }
 
-/// One VM's way of detection.
+/// The detector of one VM.
 pub(super) trait Detector {
     fn on_dispatch(&mut self, now: Time, attempt: u64, endpoint: usize, kind: AttemptKind);
     fn on_fresh_connection(&mut self, _attempt: u64) {}
-    fn on_end(&mut self, now: Time, attempt: u64, endpoint: usize, outcome: Outcome)
-    -> Vec<Effect>;
+    fn on_attempt_end(
+        &mut self,
+        now: Time,
+        attempt: u64,
+        endpoint: usize,
+        outcome: Outcome,
+    ) -> Vec<Effect>;
     fn on_report(&mut self, _now: Time, _endpoint: usize, _report: EndpointReport) {}
     fn on_tick(&mut self, now: Time) -> Vec<Effect>;
     fn access(&self, now: Time, endpoint: usize) -> Access;
@@ -46,22 +51,22 @@
     }
 }
 
-/// The health decisions of the core.
-pub(super) struct Core {
+/// A detector with the core's health decisions.
+pub(super) struct CoreDetector {
     health: Health,
     names: Vec<Name>,
 }
 
-impl Core {
-    pub(super) fn new(endpoints: usize, floor: u32, sensitivity: f64, seed: u64) -> Core {
+impl CoreDetector {
+    pub(super) fn new(endpoints: usize, floor: u32, sensitivity: f64, seed: u64) -> CoreDetector {
         let names: Vec<Name> =
             (0..endpoints).map(|index| Name::from(format!("e{index}"))).collect();
-        let candidates: Vec<ConfiguredEndpoint> = names
+        let configured: Vec<ConfiguredEndpoint> = names
             .iter()
             .map(|name| ConfiguredEndpoint { name: name.clone(), leaving: false })
             .collect();
         let settings = HealthSettings { sensitivity, ..HealthSettings::default() };
-        Core { health: Health::new(Time::ZERO, settings, &candidates, floor, seed), names }
+        CoreDetector { health: Health::new(Time::ZERO, settings, &configured, floor, seed), names }
     }
 
     fn effects(&mut self, now: Time, actions: Vec<HealthAction>) -> Vec<Effect> {
@@ -76,8 +81,8 @@
                 }
                 HealthAction::CheckPath { endpoint } => {
                     let answer = PathAnswer::UnreachableByOthers;
-                    let more = self.health.on_path_answer(now, &endpoint, answer);
-                    effects.extend(self.effects(now, more));
+                    let actions = self.health.on_path_answer(now, &endpoint, answer);
+                    effects.extend(self.effects(now, actions));
                 }
                 _ => {}
             }
@@ -86,11 +91,11 @@
     }
 
     fn index(&self, name: &Name) -> usize {
-        self.names.iter().position(|known| known == name).unwrap_or_default()
+        self.names.iter().position(|other| other == name).unwrap_or_default()
     }
 }
 
-impl Detector for Core {
+impl Detector for CoreDetector {
     fn on_dispatch(&mut self, now: Time, attempt: u64, endpoint: usize, kind: AttemptKind) {
         let name = &self.names[endpoint];
         self.health.on_dispatch(now, AttemptId(attempt), name, Class::Standard, kind);
@@ -100,7 +105,13 @@
         self.health.on_fresh_connection(AttemptId(attempt));
     }
 
-    fn on_end(&mut self, now: Time, attempt: u64, _: usize, outcome: Outcome) -> Vec<Effect> {
+    fn on_attempt_end(
+        &mut self,
+        now: Time,
+        attempt: u64,
+        _: usize,
+        outcome: Outcome,
+    ) -> Vec<Effect> {
         let mut actions = self.health.on_outcome(now, AttemptId(attempt), outcome);
         if matches!(outcome, Outcome::Answered { .. }) {
             let end = BodyEnd::Complete;
@@ -134,57 +145,58 @@
     }
 }
 
-/// Settings of the baselines, after the usual published defaults.
+/// Settings of the baselines, which follow the commonly published defaults.
 const CONSECUTIVE_FAILURES: u32 = 5;
 const BASE_EJECTION: Duration = Duration::from_secs(30);
 const MAX_EJECTION: Duration = Duration::from_secs(300);
-const INTERVAL: Duration = Duration::from_secs(10);
-const DEVIATIONS: f64 = 1.9;
+const OUTLIER_INTERVAL: Duration = Duration::from_secs(10);
+const MAX_DEVIATIONS: f64 = 1.9;
 const MIN_REQUESTS: u32 = 100;
 const MIN_ENDPOINTS: usize = 5;
-const MAX_EJECTED_PART: f64 = 0.1;
+const MAX_EJECTED_FRACTION: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    consecutive: u32,
+    consecutive_failures: u32,
     requests: u32,
     successes: u32,
     ejections: u32,
-    out_until: Option<Time>,
+    ejected_until: Option<Time>,
 }
 
-/// Ejection after consecutive failures and, if told, of success-rate outliers
-/// at fixed intervals.
+/// Ejects after consecutive failures and, if enabled, ejects success-rate outliers at fixed
+/// intervals.
 pub(super) struct Baseline {
     counts: Vec<Counts>,
-    max_out: usize,
+    max_ejected: usize,
     next_interval: Option<Time>,
 }
 
 impl Baseline {
-    /// Creates the rule of consecutive failures, held back by the floor only.
+    /// Creates a detector of consecutive failures, limited only by the floor.
     pub(super) fn consecutive(endpoints: usize, floor: u32) -> Baseline {
-        let max_out = endpoints.saturating_sub(floor as usize);
-        Baseline { counts: vec![Counts::default(); endpoints], max_out, next_interval: None }
+        let max_ejected = endpoints.saturating_sub(floor as usize);
+        Baseline { counts: vec![Counts::default(); endpoints], max_ejected, next_interval: None }
     }
 
-    /// Creates both rules, with at most a tenth ejected.
+    /// Creates a detector of consecutive failures and outliers, which ejects at most a tenth of the
+    /// endpoints but always allows one.
     pub(super) fn outlier(endpoints: usize) -> Baseline {
-        let max_out = ((endpoints as f64 * MAX_EJECTED_PART) as usize).max(1);
-        let next_interval = Some(Time::ZERO + INTERVAL);
-        Baseline { counts: vec![Counts::default(); endpoints], max_out, next_interval }
+        let max_ejected = ((endpoints as f64 * MAX_EJECTED_FRACTION) as usize).max(1);
+        let next_interval = Some(Time::ZERO + OUTLIER_INTERVAL);
+        Baseline { counts: vec![Counts::default(); endpoints], max_ejected, next_interval }
     }
 
     fn eject(&mut self, now: Time, endpoint: usize) -> Option<Effect> {
-        let out = self.counts.iter().filter(|counts| counts.out_until.is_some()).count();
+        let ejected = self.counts.iter().filter(|counts| counts.ejected_until.is_some()).count();
         let counts = &mut self.counts[endpoint];
-        if counts.out_until.is_some() || out >= self.max_out {
+        if counts.ejected_until.is_some() || ejected >= self.max_ejected {
             return None;
         }
         counts.ejections += 1;
-        counts.consecutive = 0;
-        let time = (BASE_EJECTION * counts.ejections).min(MAX_EJECTION);
-        counts.out_until = Some(now + time);
+        counts.consecutive_failures = 0;
+        let duration = (BASE_EJECTION * counts.ejections).min(MAX_EJECTION);
+        counts.ejected_until = Some(now + duration);
         Some(Effect::Ejected { endpoint })
     }
 
@@ -200,7 +212,7 @@
             .collect();
         for counts in &mut self.counts {
             (counts.requests, counts.successes) = (0, 0);
-            if counts.out_until.is_none() {
+            if counts.ejected_until.is_none() {
                 counts.ejections = counts.ejections.saturating_sub(1);
             }
         }
@@ -210,10 +222,10 @@
         let count = rates.len() as f64;
         let mean = rates.iter().map(|(_, rate)| rate).sum::<f64>() / count;
         let variance = rates.iter().map(|(_, rate)| (rate - mean).powi(2)).sum::<f64>() / count;
-        let limit = mean - DEVIATIONS * variance.sqrt();
+        let min_rate = mean - MAX_DEVIATIONS * variance.sqrt();
         rates
             .into_iter()
-            .filter(|(_, rate)| *rate < limit)
+            .filter(|(_, rate)| *rate < min_rate)
             .filter_map(|(endpoint, _)| self.eject(now, endpoint))
             .collect()
     }
@@ -222,9 +234,15 @@
 impl Detector for Baseline {
     fn on_dispatch(&mut self, _: Time, _: u64, _: usize, _: AttemptKind) {}
 
-    fn on_end(&mut self, now: Time, _: u64, endpoint: usize, outcome: Outcome) -> Vec<Effect> {
+    fn on_attempt_end(
+        &mut self,
+        now: Time,
+        _: u64,
+        endpoint: usize,
+        outcome: Outcome,
+    ) -> Vec<Effect> {
         let counts = &mut self.counts[endpoint];
-        let success = match outcome {
+        let is_success = match outcome {
             Outcome::Answered { status, .. } => status < 500,
             Outcome::ConnectFailed
             | Outcome::Misdirected
@@ -235,13 +253,13 @@
             }
         };
         counts.requests += 1;
-        if success {
+        if is_success {
             counts.successes += 1;
-            counts.consecutive = 0;
+            counts.consecutive_failures = 0;
             return Vec::new();
         }
-        counts.consecutive += 1;
-        if counts.consecutive < CONSECUTIVE_FAILURES {
+        counts.consecutive_failures += 1;
+        if counts.consecutive_failures < CONSECUTIVE_FAILURES {
             return Vec::new();
         }
         self.eject(now, endpoint).into_iter().collect()
@@ -249,13 +267,13 @@
 
     fn on_tick(&mut self, now: Time) -> Vec<Effect> {
         for counts in &mut self.counts {
-            if counts.out_until.is_some_and(|until| now >= until) {
-                counts.out_until = None;
+            if counts.ejected_until.is_some_and(|until| now >= until) {
+                counts.ejected_until = None;
             }
         }
         match self.next_interval {
             Some(at) if now >= at => {
-                self.next_interval = Some(at + INTERVAL);
+                self.next_interval = Some(at + OUTLIER_INTERVAL);
                 self.end_interval(now)
             }
             _ => Vec::new(),
@@ -263,7 +281,7 @@
     }
 
     fn access(&self, _: Time, endpoint: usize) -> Access {
-        match self.counts[endpoint].out_until {
+        match self.counts[endpoint].ejected_until {
             Some(_) => Access::Closed,
             None => Access::Share(1.0),
         }
--- a/crates/pistachiotrack-standins/src/experiment/detect/jobs.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/jobs.rs
@@ -1,4 +1,4 @@
-//! The runs that the experiment consists of, and what each showed.
+//! The runs of the experiment and their results.
 
 use std::{
     sync::{
@@ -11,19 +11,18 @@
 
 use super::{
     Method, Plan, THREADS,
-    run::{self, PROBE, Record},
-    world::{Fault, World},
+    environment::{Environment, Fault},
+    run::{self, Measurements, PROBE_TIME},
 };
 
-/// Time after which a fault that was not found counts as missed.
-pub(super) const MISSED_AFTER: Duration = Duration::from_secs(60);
+/// Time after which an undetected fault counts as missed.
+pub(super) const DETECTION_LIMIT: Duration = Duration::from_secs(60);
 /// Longest time until a fault begins.
-const WARM_UP: Duration = Duration::from_secs(30);
+const MAX_FAULT_START: Duration = Duration::from_secs(30);
+/// Number of runs between two progress messages on standard error.
+const PROGRESS_INTERVAL: usize = 100;
 
-/// Runs after which the experiment shows on the standard error that it goes on.
-const PROGRESS_EVERY: usize = 100;
-
-/// One run to be done.
+/// One run to execute.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     customer: usize,
@@ -34,9 +33,9 @@
     run: u64,
 }
 
-/// What one run showed.
+/// Result of one run.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Finding {
+pub(super) struct RunResult {
     pub(super) customer: usize,
     pub(super) method: Method,
     pub(super) fault: Fault,
@@ -46,45 +45,45 @@
     /// Ejections of healthy endpoints, per VM that could eject.
     pub(super) false_ejections: f64,
     pub(super) hours: f64,
-    /// Slot time of health checks in parts of all slot time.
+    /// Slot time of health checks as a fraction of all slot time.
     pub(super) probe_share: f64,
     pub(super) failed_share: f64,
 }
 
-/// Does all runs of a plan; the result does not depend on the threads.
-pub(super) fn run_all(plan: &Plan) -> Vec<Finding> {
+/// Executes all runs of a plan; the results don't depend on the number of threads.
+pub(super) fn run_all(plan: &Plan) -> Vec<RunResult> {
     let jobs = jobs(plan);
     let next = AtomicUsize::new(0);
-    let findings = Mutex::new(vec![None; jobs.len()]);
+    let results = Mutex::new(vec![None; jobs.len()]);
     thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
                 loop {
                     let index = next.fetch_add(1, Ordering::Relaxed);
                     let Some(job) = jobs.get(index) else { return };
-                    if index.is_multiple_of(PROGRESS_EVERY) {
+                    if index.is_multiple_of(PROGRESS_INTERVAL) {
                         eprintln!("detect: run {} of {}", index + 1, jobs.len());
                     }
-                    let finding = run_job(plan, job);
-                    if let Ok(mut findings) = findings.lock() {
-                        findings[index] = Some(finding);
+                    let result = run_job(plan, job);
+                    if let Ok(mut results) = results.lock() {
+                        results[index] = Some(result);
                     }
                 }
             });
         }
     });
-    findings.into_inner().unwrap_or_default().into_iter().flatten().collect()
+    results.into_inner().unwrap_or_default().into_iter().flatten().collect()
 }
 
 fn jobs(plan: &Plan) -> Vec<Job> {
     let mut jobs = Vec::new();
     for &seed in &plan.seeds {
-        for (customer, known) in plan.customers.iter().enumerate() {
-            for service in 0..known.services.len() {
+        for (customer, config) in plan.customers.iter().enumerate() {
+            for service in 0..config.services.len() {
                 for &method in &plan.methods {
                     let job = Job { customer, service, method, fault: Fault::None, seed, run: 0 };
                     jobs.push(job);
-                    for (_, fault) in Fault::SICK.into_iter().chain(Fault::NOT_SICK) {
+                    for (_, fault) in Fault::EJECTABLE.into_iter().chain(Fault::NOT_EJECTABLE) {
                         jobs.extend((0..plan.fault_runs).map(|run| Job { fault, run, ..job }));
                     }
                 }
@@ -94,38 +93,45 @@
     jobs
 }
 
-fn run_job(plan: &Plan, job: &Job) -> Finding {
+fn run_job(plan: &Plan, job: &Job) -> RunResult {
     let customer = &plan.customers[job.customer];
     let service = &customer.services[job.service];
     let seed = job.seed * 1_000_003 + job.service as u64 * 10_007 + job.run * 101;
     let length = match job.fault {
-        Fault::None => plan.background,
-        _ => WARM_UP + MISSED_AFTER,
+        Fault::None => plan.background_time,
+        _ => MAX_FAULT_START + DETECTION_LIMIT,
     };
-    let world = World::new(service, job.fault, seed, length);
+    let environment = Environment::new(service, job.fault, seed, length);
     let detectors = job.method.detectors(service, customer.sensitivity, seed);
-    let needed = job.method.vms().div_ceil(2);
-    let is_sick = Fault::SICK.iter().any(|(_, fault)| *fault == job.fault);
-    let stop = is_sick.then_some(needed);
-    let record = run::run(service, &world, detectors, length, seed, stop);
-    let slot_time = record.length.as_secs_f64() * (service.endpoints * service.slots) as f64;
-    Finding {
+    let majority = job.method.vms().div_ceil(2);
+    let is_ejectable = Fault::EJECTABLE.iter().any(|(_, fault)| *fault == job.fault);
+    let stop_after_vms = is_ejectable.then_some(majority);
+    let measurements = run::run(service, &environment, detectors, length, seed, stop_after_vms);
+    let slot_time = measurements.length.as_secs_f64() * (service.endpoints * service.slots) as f64;
+    RunResult {
         customer: job.customer,
         method: job.method,
         fault: job.fault,
         seed: job.seed,
-        detected_after: record.found_at.map(|at| at.since(world.fault_start)),
-        false_ejections: false_ejections(&record, &world, is_sick) / job.method.vms() as f64,
-        hours: record.length.as_secs_f64() / 3_600.0,
-        probe_share: record.probes as f64 * PROBE.as_secs_f64() / slot_time,
-        failed_share: record.failed as f64 / record.requests.max(1) as f64,
+        detected_after: measurements.detected_at.map(|at| at.since(environment.fault_start)),
+        false_ejections: false_ejections(&measurements, &environment, is_ejectable)
+            / job.method.vms() as f64,
+        hours: measurements.length.as_secs_f64() / 3_600.0,
+        probe_share: measurements.probes as f64 * PROBE_TIME.as_secs_f64() / slot_time,
+        failed_share: measurements.failed as f64 / measurements.requests.max(1) as f64,
     }
 }
 
 /// Counts ejections of endpoints that had no fault at that time.
-fn false_ejections(record: &Record, world: &World, is_sick: bool) -> f64 {
-    let healthy = record.ejections.iter().filter(|ejection| {
-        !is_sick || ejection.endpoint != world.target || ejection.at < world.fault_start
+fn false_ejections(
+    measurements: &Measurements,
+    environment: &Environment,
+    is_ejectable: bool,
+) -> f64 {
+    let healthy = measurements.ejections.iter().filter(|ejection| {
+        !is_ejectable
+            || ejection.endpoint != environment.target
+            || ejection.at < environment.fault_start
     });
     healthy.count() as f64
 }
--- a/crates/pistachiotrack-standins/src/experiment/detect/report.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/report.rs
@@ -1,4 +1,4 @@
-//! The tables of the detection experiment.
+//! The report of the detection experiment.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 use super::{
     Customer, Method, Plan,
-    jobs::{Finding, MISSED_AFTER},
-    world::Fault,
+    environment::Fault,
+    jobs::{DETECTION_LIMIT, RunResult},
 };
 
 /// Prints the results as a table or as JSON.
@@ -15,81 +15,81 @@
 /// # Errors
 ///
 /// Returns an error if the JSON can't be written.
-pub(super) fn print(plan: &Plan, findings: &[Finding], json: bool) -> anyhow::Result<()> {
-    let mut all = Vec::new();
+pub(super) fn print(plan: &Plan, results: &[RunResult], json: bool) -> anyhow::Result<()> {
+    let mut summaries = Vec::new();
     for (index, customer) in plan.customers.iter().enumerate() {
         for &method in &plan.methods {
-            let own: Vec<&Finding> = findings
+            let selected: Vec<&RunResult> = results
                 .iter()
-                .filter(|finding| finding.customer == index && finding.method == method)
+                .filter(|result| result.customer == index && result.method == method)
                 .collect();
             if json {
-                all.push(summary(customer, method, &plan.seeds, &own));
+                summaries.push(summary(customer, method, &plan.seeds, &selected));
             } else {
-                print_table(customer, method, &plan.seeds, &own);
+                print_table(customer, method, &plan.seeds, &selected);
             }
         }
     }
     if json {
-        println!("{}", serde_json::to_string_pretty(&all)?);
+        println!("{}", serde_json::to_string_pretty(&summaries)?);
     }
     Ok(())
 }
 
-fn print_table(customer: &Customer, method: Method, seeds: &[u64], findings: &[&Finding]) {
+fn print_table(customer: &Customer, method: Method, seeds: &[u64], results: &[&RunResult]) {
     let (name, sensitivity) = (customer.name, customer.sensitivity);
     println!("\n{name} sensitivity={sensitivity} method={}", method.as_str());
     println!(
         "{:<20}{:>10}{:>10}{:>8}{:>9}{:>10}",
         "fault", "median_ms", "p99_ms", "missed", "runs", "false"
     );
-    for (label, fault) in Fault::SICK {
-        let own = of_fault(findings, fault);
-        let times = detection_times(&own);
+    for (label, fault) in Fault::EJECTABLE {
+        let selected = results_of_fault(results, fault);
+        let times = detection_times(&selected);
         println!(
             "{label:<20}{:>10}{:>10}{:>8}{:>9}{:>10.2}",
             quantile(&times, 0.5).as_millis(),
             quantile(&times, 0.99).as_millis(),
-            missed(&own),
-            own.len(),
-            false_ejections(&own),
+            count_missed(&selected),
+            selected.len(),
+            false_ejections(&selected),
         );
     }
-    for (label, fault) in Fault::NOT_SICK {
-        let own = of_fault(findings, fault);
-        println!("{label:<20}{:>37}{:>10.2}", own.len(), false_ejections(&own));
+    for (label, fault) in Fault::NOT_EJECTABLE {
+        let selected = results_of_fault(results, fault);
+        println!("{label:<20}{:>37}{:>10.2}", selected.len(), false_ejections(&selected));
     }
-    let (median, low, high) = over_seeds(seeds, findings, median_all);
+    let (median, low, high) = range_over_seeds(seeds, results, median_detection_ms);
     println!("detection of all faults: median_ms={median:.0} seeds={low:.0}..{high:.0}");
-    let (median, low, high) = over_seeds(seeds, findings, false_per_hour);
+    let (median, low, high) = range_over_seeds(seeds, results, false_ejections_per_hour);
     println!("false ejections per hour: median={median:.2} seeds={low:.2}..{high:.2}");
     println!(
         "probe share: background={:.6} faults={:.6}; background failed share={:.5}",
-        mean(findings, true, |finding| finding.probe_share),
-        mean(findings, false, |finding| finding.probe_share),
-        mean(findings, true, |finding| finding.failed_share),
+        mean(results, true, |result| result.probe_share),
+        mean(results, false, |result| result.probe_share),
+        mean(results, true, |result| result.failed_share),
     );
 }
 
-fn summary(customer: &Customer, method: Method, seeds: &[u64], findings: &[&Finding]) -> Value {
-    let faults: Vec<Value> = Fault::SICK
+fn summary(customer: &Customer, method: Method, seeds: &[u64], results: &[&RunResult]) -> Value {
+    let faults: Vec<Value> = Fault::EJECTABLE
         .into_iter()
-        .chain(Fault::NOT_SICK)
+        .chain(Fault::NOT_EJECTABLE)
         .map(|(label, fault)| {
-            let own = of_fault(findings, fault);
-            let times = detection_times(&own);
+            let selected = results_of_fault(results, fault);
+            let times = detection_times(&selected);
             json!({
                 "fault": label,
-                "runs": own.len(),
+                "runs": selected.len(),
                 "median_ms": quantile(&times, 0.5).as_millis() as u64,
                 "p99_ms": quantile(&times, 0.99).as_millis() as u64,
-                "missed": missed(&own),
-                "false_ejections": false_ejections(&own),
+                "missed": count_missed(&selected),
+                "false_ejections": false_ejections(&selected),
             })
         })
         .collect();
-    let detection = over_seeds(seeds, findings, median_all);
-    let false_alarms = over_seeds(seeds, findings, false_per_hour);
+    let detection = range_over_seeds(seeds, results, median_detection_ms);
+    let false_ejection_rate = range_over_seeds(seeds, results, false_ejections_per_hour);
     json!({
         "customer": customer.name,
         "sensitivity": customer.sensitivity,
@@ -97,33 +97,32 @@
         "faults": faults,
         "detection_median_ms": detection.0,
         "detection_median_ms_seeds": [detection.1, detection.2],
-        "false_ejections_per_hour": false_alarms.0,
-        "false_ejections_per_hour_seeds": [false_alarms.1, false_alarms.2],
-        "probe_share_background": mean(findings, true, |finding| finding.probe_share),
-        "probe_share_faults": mean(findings, false, |finding| finding.probe_share),
-        "failed_share_background": mean(findings, true, |finding| finding.failed_share),
+        "false_ejections_per_hour": false_ejection_rate.0,
+        "false_ejections_per_hour_seeds": [false_ejection_rate.1, false_ejection_rate.2],
+        "probe_share_background": mean(results, true, |result| result.probe_share),
+        "probe_share_faults": mean(results, false, |result| result.probe_share),
+        "failed_share_background": mean(results, true, |result| result.failed_share),
     })
 }
 
-fn of_fault<'a>(findings: &[&'a Finding], fault: Fault) -> Vec<&'a Finding> {
-    findings.iter().filter(|finding| finding.fault == fault).copied().collect()
+fn results_of_fault<'a>(results: &[&'a RunResult], fault: Fault) -> Vec<&'a RunResult> {
+    results.iter().filter(|result| result.fault == fault).copied().collect()
 }
 
-/// Returns the detection times in order; a missed fault counts with the time
-/// that was waited for it.
-fn detection_times(findings: &[&Finding]) -> Vec<Duration> {
+/// Returns the detection times in ascending order; a missed fault counts as `DETECTION_LIMIT`.
+fn detection_times(results: &[&RunResult]) -> Vec<Duration> {
     let mut times: Vec<Duration> =
-        findings.iter().map(|finding| finding.detected_after.unwrap_or(MISSED_AFTER)).collect();
+        results.iter().map(|result| result.detected_after.unwrap_or(DETECTION_LIMIT)).collect();
     times.sort_unstable();
     times
 }
 
-fn missed(findings: &[&Finding]) -> usize {
-    findings.iter().filter(|finding| finding.detected_after.is_none()).count()
+fn count_missed(results: &[&RunResult]) -> usize {
+    results.iter().filter(|result| result.detected_after.is_none()).count()
 }
 
-fn false_ejections(findings: &[&Finding]) -> f64 {
-    findings.iter().map(|finding| finding.false_ejections).sum()
+fn false_ejections(results: &[&RunResult]) -> f64 {
+    results.iter().map(|result| result.false_ejections).sum()
 }
 
 fn quantile(sorted: &[Duration], quantile: f64) -> Duration {
@@ -133,34 +132,34 @@
     sorted[((sorted.len() - 1) as f64 * quantile).round() as usize]
 }
 
-fn median_all(findings: &[&Finding]) -> f64 {
-    let sick: Vec<&Finding> = findings
+fn median_detection_ms(results: &[&RunResult]) -> f64 {
+    let ejectable: Vec<&RunResult> = results
         .iter()
-        .filter(|finding| Fault::SICK.iter().any(|(_, fault)| *fault == finding.fault))
+        .filter(|result| Fault::EJECTABLE.iter().any(|(_, fault)| *fault == result.fault))
         .copied()
         .collect();
-    quantile(&detection_times(&sick), 0.5).as_secs_f64() * 1_000.0
+    quantile(&detection_times(&ejectable), 0.5).as_secs_f64() * 1_000.0
 }
 
 /// Returns the false ejections per hour of a customer's mean service.
-fn false_per_hour(findings: &[&Finding]) -> f64 {
-    let background = of_fault(findings, Fault::None);
-    let hours: f64 = background.iter().map(|finding| finding.hours).sum();
+fn false_ejections_per_hour(results: &[&RunResult]) -> f64 {
+    let background = results_of_fault(results, Fault::None);
+    let hours: f64 = background.iter().map(|result| result.hours).sum();
     false_ejections(&background) / hours.max(f64::MIN_POSITIVE)
 }
 
-/// Returns median, least and greatest of a figure over the seeds.
-fn over_seeds(
+/// Returns the median, minimum and maximum of a figure over the seeds.
+fn range_over_seeds(
     seeds: &[u64],
-    findings: &[&Finding],
-    figure: fn(&[&Finding]) -> f64,
+    results: &[&RunResult],
+    figure: fn(&[&RunResult]) -> f64,
 ) -> (f64, f64, f64) {
     let mut figures: Vec<f64> = seeds
         .iter()
         .map(|seed| {
-            let own: Vec<&Finding> =
-                findings.iter().filter(|finding| finding.seed == *seed).copied().collect();
-            figure(&own)
+            let selected: Vec<&RunResult> =
+                results.iter().filter(|result| result.seed == *seed).copied().collect();
+            figure(&selected)
         })
         .collect();
     figures.sort_unstable_by(f64::total_cmp);
@@ -171,11 +170,11 @@
     }
 }
 
-fn mean(findings: &[&Finding], background: bool, figure: fn(&Finding) -> f64) -> f64 {
-    let figures: Vec<f64> = findings
+fn mean(results: &[&RunResult], is_background: bool, figure: fn(&RunResult) -> f64) -> f64 {
+    let figures: Vec<f64> = results
         .iter()
-        .filter(|finding| (finding.fault == Fault::None) == background)
-        .map(|finding| figure(finding))
+        .filter(|result| (result.fault == Fault::None) == is_background)
+        .map(|result| figure(result))
         .collect();
     figures.iter().sum::<f64>() / figures.len().max(1) as f64
 }
--- a/crates/pistachiotrack-standins/src/experiment/options.rs
+++ b/crates/pistachiotrack-standins/src/experiment/options.rs
@@ -1,8 +1,8 @@
-//! Options of the experiments with real daemons.
+//! Options of the experiments that run real daemons.
 
 use std::path::PathBuf;
 
-/// Seed where the arguments don't give one.
+/// Seed if the arguments don't give one.
 const DEFAULT_SEED: u64 = 1;
 
 /// Options of an experiment.
@@ -10,14 +10,14 @@
 pub(super) struct Options {
     /// Seed of the load, the endpoints and the links.
     pub(super) seed: u64,
-    /// Whether the last line is the report as JSON.
+    /// Whether to print the report as JSON on the last line.
     pub(super) json: bool,
     /// Directory that the daemons' logs are written to.
     pub(super) log_directory: Option<PathBuf>,
 }
 
 impl Options {
-    /// Takes the options from the command line.
+    /// Parses the options from the command line.
     ///
     /// # Errors
     ///
--- a/crates/pistachiotrack-standins/src/experiment/overload.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload.rs
@@ -1,6 +1,6 @@
-//! The experiment `overload`: a service between 0.6 and 4 times its capacity.
+//! The experiment `overload`: compares balancers at loads of 0.6 to 4 times the service's capacity.
 //!
-//! All in logical time and from a seed, so that a run can be repeated.
+//! Runs in logical time with seeded randomness, so that a run can be repeated.
 
 mod alternatives;
 mod balancer;
@@ -15,7 +15,7 @@
 
 use self::{
     alternatives::{Leases, TwoChoices},
-    balancer::{Balancer, Fifo, Fleet},
+    balancer::{Balancer, Fifo, FleetBalancer},
     report::{Row, print_table},
     simulation::Simulation,
     workload::{Workload, config},
@@ -23,16 +23,16 @@
 
 /// Offered load relative to the endpoints' capacity.
 const LOADS: [f64; 5] = [0.6, 1.0, 1.5, 2.0, 4.0];
-/// Entry VMs of a deployment of today.
+/// Number of entry VMs, as in today's deployments.
 const VMS: usize = 48;
-/// Seed where the command line names none.
+/// Seed if the command line gives none.
 const DEFAULT_SEED: u64 = 1;
 
 /// Runs the experiment and prints its rows.
 ///
 /// # Errors
 ///
-/// Returns an error if the arguments are not understood.
+/// Returns an error if the arguments are invalid.
 pub(super) fn run(mut arguments: pico_args::Arguments) -> anyhow::Result<ExitCode> {
     let as_json = arguments.contains("--json");
     let seed = arguments.opt_value_from_str("--seed")?.unwrap_or(DEFAULT_SEED);
@@ -51,13 +51,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Returns ours and the baselines, all before the same work.
+/// Returns the fleet's balancers and the baselines.
 fn balancers(seed: u64) -> [(&'static str, Box<dyn Balancer>); 6] {
     let config = config();
     [
-        ("owner", Box::new(Fleet::new(&config, 1, ShardMode::Owner, seed))),
-        ("alone", Box::new(Fleet::new(&config, VMS, ShardMode::Owner, seed))),
-        ("careful", Box::new(Fleet::new(&config, VMS, ShardMode::Careful, seed))),
+        ("owner", Box::new(FleetBalancer::new(&config, 1, ShardMode::Owner, seed))),
+        ("alone", Box::new(FleetBalancer::new(&config, VMS, ShardMode::Owner, seed))),
+        ("careful", Box::new(FleetBalancer::new(&config, VMS, ShardMode::Careful, seed))),
         ("leases", Box::new(Leases::new(&config, VMS))),
         ("two-choices", Box::new(TwoChoices::new(&config, VMS, seed))),
         ("fifo", Box::new(Fifo::new(&config))),
--- a/crates/pistachiotrack-standins/src/experiment/overload/alternatives.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/alternatives.rs
@@ -1,5 +1,5 @@
-//! The ways that were weighed against one owner: load reports with the power of
-//! two choices, and leases of slots.
+//! Alternatives to a single owner: load reports with the power of two choices, and
+//! leases of slots.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,31 +14,31 @@
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 
-use super::balancer::{Balancer, Command, Tag};
+use super::balancer::{AttemptKey, Balancer, Command};
 
 /// Time between two reports of the endpoints' load to all VMs.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Endpoints that are asked for one request at most.
-const MAX_SENDS: u32 = 2;
-/// Time for which a VM keeps a leased slot that it has no work for.
-const LEASE_IDLE: Duration = Duration::from_millis(20);
+/// Maximum number of endpoints that a request is sent to.
+const MAX_ATTEMPTS: u32 = 2;
+/// Time for which a VM keeps an unused leased slot.
+const LEASE_IDLE_TIMEOUT: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Debug)]
 struct Running {
     request: Request,
     endpoint: usize,
     vm: usize,
-    sends: u32,
+    attempts: u32,
 }
 
-/// VMs that choose the less loaded of two endpoints by reports of their load.
+/// VMs that choose the less loaded of two random endpoints by load reports.
 ///
-/// Reports reach every VM at the same moment and are true then. A VM adds what it
-/// has sent itself since. It has no queue: a request is sent at once.
+/// Reports are accurate and reach every VM at the same time. A VM adds the requests that it has sent
+/// since. There is no queue: a request is sent immediately.
 pub(super) struct TwoChoices {
     names: Vec<Name>,
     load: Vec<u32>,
-    reported: Vec<u32>,
+    reported_load: Vec<u32>,
     sent_since: Vec<Vec<u32>>,
     reported_at: Time,
     running: FxHashMap<AttemptId, Running>,
@@ -54,7 +54,7 @@
         TwoChoices {
             names,
             load: vec![0; count],
-            reported: vec![0; count],
+            reported_load: vec![0; count],
             sent_since: vec![vec![0; count]; vms],
             reported_at: Time::ZERO,
             running: FxHashMap::default(),
@@ -64,19 +64,19 @@
         }
     }
 
-    fn send(&mut self, vm: usize, request: Request, sends: u32) -> Command {
+    fn send(&mut self, vm: usize, request: Request, attempts: u32) -> Command {
         let endpoint = self.choose(vm);
         self.load[endpoint] += 1;
         self.sent_since[vm][endpoint] += 1;
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
         let command = Command::Send {
-            tag: (vm, attempt),
+            key: (vm, attempt),
             request: request.id,
             endpoint: self.names[endpoint].clone(),
             time_limit: request.deadline,
         };
-        self.running.insert(attempt, Running { request, endpoint, vm, sends });
+        self.running.insert(attempt, Running { request, endpoint, vm, attempts });
         command
     }
 
@@ -84,8 +84,9 @@
         let count = self.names.len();
         let first = self.rng.random_range(0..count);
         let second = (first + self.rng.random_range(1..count)) % count;
-        let seen = |endpoint: usize| self.reported[endpoint] + self.sent_since[vm][endpoint];
-        if seen(second) < seen(first) { second } else { first }
+        let estimated_load =
+            |endpoint: usize| self.reported_load[endpoint] + self.sent_since[vm][endpoint];
+        if estimated_load(second) < estimated_load(first) { second } else { first }
     }
 
     fn release(&mut self, attempt: AttemptId) -> Option<Running> {
@@ -102,49 +103,49 @@
         vec![self.send(vm, request, 1)]
     }
 
-    fn on_outcome(&mut self, now: Time, tag: Tag, outcome: Outcome) -> Vec<Command> {
+    fn on_outcome(&mut self, now: Time, key: AttemptKey, outcome: Outcome) -> Vec<Command> {
         if matches!(outcome, Outcome::Answered { .. }) {
-            let running = self.running.get(&tag.1);
+            let running = self.running.get(&key.1);
             return running
                 .map(|running| Command::Deliver { request: running.request.id })
                 .into_iter()
                 .collect();
         }
-        let Some(running) = self.release(tag.1) else { return Vec::new() };
-        let goes_on = outcome.certainly_not_run() && running.sends < MAX_SENDS;
-        if goes_on && now < running.request.deadline {
-            return vec![self.send(running.vm, running.request, running.sends + 1)];
+        let Some(running) = self.release(key.1) else { return Vec::new() };
+        let may_retry = outcome.certainly_not_run() && running.attempts < MAX_ATTEMPTS;
+        if may_retry && now < running.request.deadline {
+            return vec![self.send(running.vm, running.request, running.attempts + 1)];
         }
         vec![refuse(running.request.id, outcome)]
     }
 
-    fn on_body_end(&mut self, _now: Time, tag: Tag) -> Vec<Command> {
-        self.release(tag.1);
+    fn on_body_end(&mut self, _now: Time, key: AttemptKey) -> Vec<Command> {
+        self.release(key.1);
         Vec::new()
     }
 
     fn on_tick(&mut self, now: Time) -> Vec<Command> {
         if now.since(self.reported_at) >= REPORT_INTERVAL {
             self.reported_at = now;
-            self.reported.clone_from(&self.load);
+            self.reported_load.clone_from(&self.load);
             self.sent_since.iter_mut().for_each(|sent| sent.fill(0));
         }
         Vec::new()
     }
 }
 
-/// VMs that lease slots from an owner and send by themselves.
+/// VMs that lease slots from an owner and send requests themselves.
 ///
-/// The owner grants a free slot in no time, which favours this way. A VM works
-/// through its own queue with the slots that it has and returns one that it has
-/// had no work for; a VM that waits for a slot gets the next returned one.
+/// The owner grants a free slot without delay, which favours this alternative. A VM serves its own
+/// queue with its leased slots and returns a slot that has been idle; the next VM that waits for a
+/// slot gets the returned one.
 pub(super) struct Leases {
     names: Vec<Name>,
     free: Vec<usize>,
-    /// Slots that a VM holds without work, since when.
+    /// Idle leased slots of each VM: the endpoint and the time since which it is idle.
     idle: Vec<Vec<(usize, Time)>>,
     queues: Vec<VecDeque<Request>>,
-    /// VMs that wait for a slot, in the order in which they asked.
+    /// VMs that wait for a slot, in the order of their requests.
     waiting: VecDeque<usize>,
     running: FxHashMap<AttemptId, Running>,
     next_vm: usize,
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Sends what the VM has slots for and asks the owner for the rest.
-    fn work(&mut self, now: Time, vm: usize) -> Vec<Command> {
+    /// Sends queued requests on the VM's idle slots and on slots newly leased from the owner.
+    fn send_queued(&mut self, now: Time, vm: usize) -> Vec<Command> {
         let mut commands = Vec::new();
         while let Some(request) = self.queues[vm].pop_front() {
             if request.deadline <= now {
@@ -190,21 +191,21 @@
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
         let command = Command::Send {
-            tag: (vm, attempt),
+            key: (vm, attempt),
             request: request.id,
             endpoint: self.names[endpoint].clone(),
             time_limit: request.deadline,
         };
-        self.running.insert(attempt, Running { request, endpoint, vm, sends: 1 });
+        self.running.insert(attempt, Running { request, endpoint, vm, attempts: 1 });
         command
     }
 
-    /// Grants free slots to the VMs that wait.
+    /// Grants free slots to waiting VMs.
     fn grant(&mut self, now: Time) -> Vec<Command> {
         let mut commands = Vec::new();
         while !self.free.is_empty() {
             let Some(vm) = self.waiting.pop_front() else { break };
-            commands.extend(self.work(now, vm));
+            commands.extend(self.send_queued(now, vm));
         }
         commands
     }
@@ -215,32 +216,32 @@
         let vm = self.next_vm;
         self.next_vm = (vm + 1) % self.queues.len();
         self.queues[vm].push_back(request);
-        self.work(now, vm)
+        self.send_queued(now, vm)
     }
 
-    fn on_outcome(&mut self, now: Time, tag: Tag, outcome: Outcome) -> Vec<Command> {
-        let Some(running) = self.running.get(&tag.1) else { return Vec::new() };
+    fn on_outcome(&mut self, now: Time, key: AttemptKey, outcome: Outcome) -> Vec<Command> {
+        let Some(running) = self.running.get(&key.1) else { return Vec::new() };
         let request = running.request.id;
         if matches!(outcome, Outcome::Answered { .. }) {
             return vec![Command::Deliver { request }];
         }
         let mut commands = vec![refuse(request, outcome)];
-        commands.extend(self.on_body_end(now, tag));
+        commands.extend(self.on_body_end(now, key));
         commands
     }
 
-    fn on_body_end(&mut self, now: Time, tag: Tag) -> Vec<Command> {
-        let Some(running) = self.running.remove(&tag.1) else { return Vec::new() };
+    fn on_body_end(&mut self, now: Time, key: AttemptKey) -> Vec<Command> {
+        let Some(running) = self.running.remove(&key.1) else { return Vec::new() };
         self.idle[running.vm].push((running.endpoint, now));
-        self.work(now, running.vm)
+        self.send_queued(now, running.vm)
     }
 
     fn on_tick(&mut self, now: Time) -> Vec<Command> {
         for idle in &mut self.idle {
-            let (keep, back): (Vec<_>, Vec<_>) =
-                idle.drain(..).partition(|(_, since)| now.since(*since) < LEASE_IDLE);
-            *idle = keep;
-            self.free.extend(back.into_iter().map(|(endpoint, _)| endpoint));
+            let (kept, returned): (Vec<_>, Vec<_>) =
+                idle.drain(..).partition(|(_, since)| now.since(*since) < LEASE_IDLE_TIMEOUT);
+            *idle = kept;
+            self.free.extend(returned.into_iter().map(|(endpoint, _)| endpoint));
         }
         self.grant(now)
     }
--- a/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
@@ -1,4 +1,4 @@
-//! Ours and the baselines behind one interface.
+//! The interface of the balancers, the fleet's balancer and the baseline with a queue.
 
 use std::collections::VecDeque;
 
@@ -15,54 +15,53 @@
 
 use super::workload::SERVICE;
 
-/// Identifies an attempt: the VM and its own number for it.
-pub(super) type Tag = (usize, AttemptId);
+/// Identifies an attempt: the index of the VM and that VM's attempt ID.
+pub(super) type AttemptKey = (usize, AttemptId);
 
-/// What a balancer does.
+/// A command of a balancer.
 #[derive(Clone, Debug)]
 pub(super) enum Command {
     /// Sends a request to an endpoint.
-    Send { tag: Tag, request: RequestId, endpoint: Name, time_limit: Time },
-    /// Ends an attempt as if its time had passed.
-    GiveUp { tag: Tag },
+    Send { key: AttemptKey, request: RequestId, endpoint: Name, time_limit: Time },
+    /// Ends an attempt as if its time limit had passed.
+    Abandon { key: AttemptKey },
     /// Ends an attempt.
-    Cancel { tag: Tag },
-    /// Passes an attempt's answer on.
+    Cancel { key: AttemptKey },
+    /// Delivers an attempt's answer to the caller.
     Deliver { request: RequestId },
     /// Refuses a request.
     Refuse { request: RequestId, execution: Execution },
 }
 
-/// Decides which request goes where when.
+/// Decides when and to which endpoint a request is sent.
 pub(super) trait Balancer {
     fn on_request(&mut self, now: Time, request: Request) -> Vec<Command>;
-    fn on_outcome(&mut self, now: Time, tag: Tag, outcome: Outcome) -> Vec<Command>;
-    fn on_body_end(&mut self, now: Time, tag: Tag) -> Vec<Command>;
+    fn on_outcome(&mut self, now: Time, key: AttemptKey, outcome: Outcome) -> Vec<Command>;
+    fn on_body_end(&mut self, now: Time, key: AttemptKey) -> Vec<Command>;
     fn on_tick(&mut self, now: Time) -> Vec<Command>;
 }
 
-/// VMs that run the core's decisions, each on its own.
+/// VMs that each run the core's shard independently.
 ///
-/// With one VM it is the owner that all requests are sent to; with many, each
-/// gets an equal part of the requests and sees only its own.
-pub(super) struct Fleet {
+/// A single VM is the owner that receives all requests. With several, each receives an equal part of
+/// the requests and has no information about the others.
+pub(super) struct FleetBalancer {
     shards: Vec<Shard>,
     next_vm: usize,
 }
 
-impl Fleet {
-    pub(super) fn new(config: &Config, vms: usize, mode: ShardMode, seed: u64) -> Fleet {
+impl FleetBalancer {
+    pub(super) fn new(config: &Config, vms: usize, mode: ShardMode, seed: u64) -> FleetBalancer {
         let shard = |vm: usize| {
             let id = ShardId { service: Name::from(SERVICE), index: 0 };
             let settings =
                 ShardSettings { mode, seed: seed + vm as u64, ..ShardSettings::default() };
             Shard::new(Time::ZERO, id, config, settings)
         };
-        Fleet { shards: (0..vms).map(shard).collect(), next_vm: 0 }
+        FleetBalancer { shards: (0..vms).map(shard).collect(), next_vm: 0 }
     }
 
-    /// Turns actions into commands; health checks pass at once and cost the
-    /// endpoints nothing.
+    /// Converts actions into commands. Health checks succeed immediately and don't use the endpoints.
     fn commands(&mut self, now: Time, vm: usize, actions: Vec<ShardAction>) -> Vec<Command> {
         let mut pending = VecDeque::from(actions);
         let mut commands = Vec::new();
@@ -79,7 +78,7 @@
     }
 }
 
-impl Balancer for Fleet {
+impl Balancer for FleetBalancer {
     fn on_request(&mut self, now: Time, request: Request) -> Vec<Command> {
         let vm = self.next_vm;
         self.next_vm = (vm + 1) % self.shards.len();
@@ -87,14 +86,14 @@
         self.commands(now, vm, actions)
     }
 
-    fn on_outcome(&mut self, now: Time, tag: Tag, outcome: Outcome) -> Vec<Command> {
-        let actions = self.shards[tag.0].on_outcome(now, tag.1, outcome, EndpointReport::default());
-        self.commands(now, tag.0, actions)
+    fn on_outcome(&mut self, now: Time, key: AttemptKey, outcome: Outcome) -> Vec<Command> {
+        let actions = self.shards[key.0].on_outcome(now, key.1, outcome, EndpointReport::default());
+        self.commands(now, key.0, actions)
     }
 
-    fn on_body_end(&mut self, now: Time, tag: Tag) -> Vec<Command> {
-        let actions = self.shards[tag.0].on_body_end(now, tag.1, BodyEnd::Complete);
-        self.commands(now, tag.0, actions)
+    fn on_body_end(&mut self, now: Time, key: AttemptKey) -> Vec<Command> {
+        let actions = self.shards[key.0].on_body_end(now, key.1, BodyEnd::Complete);
+        self.commands(now, key.0, actions)
     }
 
     fn on_tick(&mut self, now: Time) -> Vec<Command> {
@@ -110,13 +109,13 @@
 fn command(vm: usize, action: ShardAction) -> Option<Command> {
     match action {
         ShardAction::Dispatch(dispatch) => Some(Command::Send {
-            tag: (vm, dispatch.attempt),
+            key: (vm, dispatch.attempt),
             request: dispatch.request,
             endpoint: dispatch.endpoint,
             time_limit: dispatch.time_limit,
         }),
-        ShardAction::Cancel { attempt, .. } => Some(Command::Cancel { tag: (vm, attempt) }),
-        ShardAction::GiveUp { attempt, .. } => Some(Command::GiveUp { tag: (vm, attempt) }),
+        ShardAction::Cancel { attempt, .. } => Some(Command::Cancel { key: (vm, attempt) }),
+        ShardAction::GiveUp { attempt, .. } => Some(Command::Abandon { key: (vm, attempt) }),
         ShardAction::Deliver { request, .. } => Some(Command::Deliver { request }),
         ShardAction::Refuse { request, refusal } => {
             Some(Command::Refuse { request, execution: refusal.execution })
@@ -130,8 +129,7 @@
     }
 }
 
-/// One queue without bounds for all, first come, first served, with the slots
-/// kept and deadlines unheeded.
+/// A single unbounded first-in-first-out queue, which respects the slots and ignores deadlines.
 pub(super) struct Fifo {
     free: Vec<Name>,
     queue: VecDeque<RequestId>,
@@ -162,7 +160,7 @@
             self.queue.pop_front();
             self.running.insert(attempt, (request, endpoint.clone()));
             let time_limit = Time::from_micros(u64::MAX);
-            commands.push(Command::Send { tag: (0, attempt), request, endpoint, time_limit });
+            commands.push(Command::Send { key: (0, attempt), request, endpoint, time_limit });
         }
         commands
     }
@@ -174,19 +172,19 @@
         self.send()
     }
 
-    fn on_outcome(&mut self, now: Time, tag: Tag, outcome: Outcome) -> Vec<Command> {
-        let Some((request, _)) = self.running.get(&tag.1) else { return Vec::new() };
+    fn on_outcome(&mut self, now: Time, key: AttemptKey, outcome: Outcome) -> Vec<Command> {
+        let Some((request, _)) = self.running.get(&key.1) else { return Vec::new() };
         if matches!(outcome, Outcome::Answered { .. }) {
             return vec![Command::Deliver { request: *request }];
         }
-        let refused = Command::Refuse { request: *request, execution: Execution::Unknown };
-        let mut commands = self.on_body_end(now, tag);
-        commands.push(refused);
+        let refusal = Command::Refuse { request: *request, execution: Execution::Unknown };
+        let mut commands = self.on_body_end(now, key);
+        commands.push(refusal);
         commands
     }
 
-    fn on_body_end(&mut self, _now: Time, tag: Tag) -> Vec<Command> {
-        if let Some((_, endpoint)) = self.running.remove(&tag.1) {
+    fn on_body_end(&mut self, _now: Time, key: AttemptKey) -> Vec<Command> {
+        if let Some((_, endpoint)) = self.running.remove(&key.1) {
             self.free.insert(0, endpoint);
         }
         self.send()
--- a/crates/pistachiotrack-standins/src/experiment/overload/report.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/report.rs
@@ -1,23 +1,27 @@
-//! What the experiment reports.
+//! The report of the experiment.
 
 use serde::Serialize;
 
 use super::{
-    simulation::{BuyerCounts, Counts},
-    workload::{BUYERS, Buyer, ENDPOINTS, SLOTS},
+    simulation::{Counts, CustomerCounts},
+    workload::{CUSTOMERS, ENDPOINTS, SLOTS, SimCustomer},
 };
 
-/// What one customer got, in slots.
+/// Load and completed work of one customer, in slots.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct Share {
+pub(super) struct CustomerResult {
     customer: &'static str,
-    bought_slots: u32,
-    asked_slots: f64,
-    /// Slots whose work was answered in time.
-    got_slots: f64,
-    /// What it got relative to the lesser of asked and bought; none without
-    /// a contract.
-    of_due: Option<f64>,
+    #[serde(rename = "bought_slots")]
+    contracted_slots: u32,
+    #[serde(rename = "asked_slots")]
+    offered_slots: f64,
+    /// Work answered before its deadline.
+    #[serde(rename = "got_slots")]
+    timely_slots: f64,
+    /// `timely_slots` relative to the lesser of `offered_slots` and `contracted_slots`; `None`
+    /// without a contract.
+    #[serde(rename = "of_due")]
+    entitlement_ratio: Option<f64>,
 }
 
 /// One balancer at one load.
@@ -25,21 +29,23 @@
 pub(super) struct Row {
     balancer: String,
     load: f64,
-    /// Work answered in time relative to the capacity.
+    /// Work answered before its deadline, relative to the capacity.
     goodput: f64,
-    /// The same relative to the lesser of load and capacity.
+    /// The same work relative to the lesser of load and capacity.
     goodput_of_possible: f64,
-    shares: Vec<Share>,
-    /// Dispatches over an endpoint's slots, relative to all.
+    #[serde(rename = "shares")]
+    customers: Vec<CustomerResult>,
+    /// Dispatches to endpoints without a free slot, relative to all dispatches.
     overshoot: f64,
-    /// Requests refused as not run relative to all.
+    /// Requests refused as not run, relative to all requests.
     refused: f64,
-    /// Requests refused with an unknown outcome relative to all.
+    /// Requests refused with an unknown outcome, relative to all requests.
     unknown: f64,
     /// Answers after the deadline relative to all requests.
     late: f64,
     /// Retries and hedges relative to dispatches.
-    again: f64,
+    #[serde(rename = "again")]
+    repeated: f64,
     /// Sheds relative to dispatches.
     shed: f64,
     interactive_p50_ms: f64,
@@ -48,15 +54,15 @@
 
 impl Row {
     pub(super) fn new(balancer: &str, load: f64, counts: &Counts) -> Row {
-        let counted_us = counts.counted.as_micros() as f64;
+        let measured_us = counts.measured_time.as_micros() as f64;
         let capacity_slots = f64::from(ENDPOINTS) * f64::from(SLOTS);
-        let good_us: f64 = counts.buyers.iter().map(|buyer| buyer.good_work_us).sum();
-        let asked: u64 = counts.buyers.iter().map(|buyer| buyer.asked).sum();
-        let goodput = good_us / (counted_us * capacity_slots);
-        let shares = BUYERS
+        let timely_us: f64 = counts.customers.iter().map(|customer| customer.timely_work_us).sum();
+        let offered: u64 = counts.customers.iter().map(|customer| customer.offered).sum();
+        let goodput = timely_us / (measured_us * capacity_slots);
+        let customers = CUSTOMERS
             .iter()
-            .zip(&counts.buyers)
-            .map(|(buyer, counts)| Share::new(buyer, counts, counted_us))
+            .zip(&counts.customers)
+            .map(|(customer, counts)| CustomerResult::new(customer, counts, measured_us))
             .collect();
         let percentile_ms =
             |quantile| counts.interactive_us.value_at_quantile(quantile) as f64 / 1_000.0;
@@ -65,12 +71,12 @@
             load,
             goodput,
             goodput_of_possible: goodput / load.min(1.0),
-            shares,
-            overshoot: ratio(counts.overshot, counts.dispatched),
-            refused: ratio(counts.refused, asked),
-            unknown: ratio(counts.unknown, asked),
-            late: ratio(counts.late, asked),
-            again: ratio(counts.again, counts.dispatched),
+            customers,
+            overshoot: ratio(counts.dispatches_over_slots, counts.dispatched),
+            refused: ratio(counts.refused, offered),
+            unknown: ratio(counts.unknown, offered),
+            late: ratio(counts.late, offered),
+            repeated: ratio(counts.repeated_dispatches, counts.dispatched),
             shed: ratio(counts.shed, counts.dispatched),
             interactive_p50_ms: percentile_ms(0.5),
             interactive_p99_ms: percentile_ms(0.99),
@@ -78,31 +84,31 @@
     }
 }
 
-impl Share {
-    fn new(buyer: &Buyer, counts: &BuyerCounts, counted_us: f64) -> Share {
-        let asked_slots = counts.asked_work_us / counted_us;
-        let got_slots = counts.good_work_us / counted_us;
-        let due = asked_slots.min(f64::from(buyer.slots));
-        Share {
-            customer: buyer.name,
-            bought_slots: buyer.slots,
-            asked_slots,
-            got_slots,
-            of_due: (due > 0.0).then(|| got_slots / due),
+impl CustomerResult {
+    fn new(customer: &SimCustomer, counts: &CustomerCounts, measured_us: f64) -> CustomerResult {
+        let offered_slots = counts.offered_work_us / measured_us;
+        let timely_slots = counts.timely_work_us / measured_us;
+        let entitled_slots = offered_slots.min(f64::from(customer.slots));
+        CustomerResult {
+            customer: customer.name,
+            contracted_slots: customer.slots,
+            offered_slots,
+            timely_slots,
+            entitlement_ratio: (entitled_slots > 0.0).then(|| timely_slots / entitled_slots),
         }
     }
 }
 
-fn ratio(part: u64, whole: u64) -> f64 {
-    part as f64 / whole.max(1) as f64
+fn ratio(count: u64, total: u64) -> f64 {
+    count as f64 / total.max(1) as f64
 }
 
 /// Prints the rows as a table.
 pub(super) fn print_table(seed: u64, rows: &[Row]) {
     println!("experiment=overload seed={seed} endpoints={ENDPOINTS} slots={SLOTS}");
     print!("{:>5} {:<11} {:>8} {:>9}", "load", "balancer", "goodput", "possible");
-    for buyer in BUYERS {
-        print!(" {:>8}", format!("{}/{}", buyer.name, buyer.slots));
+    for customer in CUSTOMERS {
+        print!(" {:>8}", format!("{}/{}", customer.name, customer.slots));
     }
     println!(
         " {:>9} {:>8} {:>8} {:>7} {:>7} {:>7} {:>7} {:>7}",
@@ -116,10 +122,10 @@
             row.goodput * 100.0,
             row.goodput_of_possible * 100.0
         );
-        for share in &row.shares {
-            let text = share.of_due.map_or_else(
-                || format!("{:.1}", share.got_slots),
-                |of_due| format!("{:.1}%", of_due * 100.0),
+        for result in &row.customers {
+            let text = result.entitlement_ratio.map_or_else(
+                || format!("{:.1}", result.timely_slots),
+                |ratio| format!("{:.1}%", ratio * 100.0),
             );
             print!(" {text:>8}");
         }
@@ -129,12 +135,14 @@
             row.refused * 100.0,
             row.unknown * 100.0,
             row.late * 100.0,
-            row.again * 100.0,
+            row.repeated * 100.0,
             row.shed * 100.0,
             row.interactive_p50_ms,
             row.interactive_p99_ms
         );
     }
-    println!("customers: slots answered in time of the lesser of asked and bought; without");
-    println!("a contract in slots. possible: goodput of the lesser of load and capacity.");
+    println!("customers: slots answered in time relative to the lesser of offered and contracted;");
+    println!(
+        "without a contract in slots. possible: goodput relative to the lesser of load and capacity."
+    );
 }
--- a/crates/pistachiotrack-standins/src/experiment/overload/simulation.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/simulation.rs
@@ -1,4 +1,4 @@
-//! Events in logical time between callers, balancer and endpoints.
+//! Simulates callers, a balancer and endpoints as events in logical time.
 
 use std::{
     cmp::Reverse,
@@ -16,78 +16,78 @@
 use rustc_hash::FxHashMap;
 
 use super::{
-    balancer::{Balancer, Command, Tag},
+    balancer::{AttemptKey, Balancer, Command},
     endpoint::SimEndpoint,
-    workload::{Arrival, BUYERS, SLOTS, Workload, config},
+    workload::{Arrival, CUSTOMERS, SLOTS, Workload, config},
 };
 
-/// Time from a VM to an endpoint or back.
-const ONE_WAY: Duration = Duration::from_micros(500);
+/// One-way latency between a VM and an endpoint.
+const ONE_WAY_LATENCY: Duration = Duration::from_micros(500);
 /// Time between two ticks of the balancer.
 const TICK: Duration = Duration::from_millis(20);
-/// Requests that come before this are not counted.
+/// Requests that arrive before this time are not counted.
 const WARM_UP: Time = Time::from_millis(5_000);
-/// Requests that come from here on are not counted.
+/// Requests that arrive at or after this time are not counted.
 const END: Time = Time::from_millis(65_000);
-/// Time in which the last counted requests come to their end.
-const RUN_OUT: Duration = Duration::from_secs(10);
-
-/// Largest latency that is told apart.
+/// Time in which the last counted requests complete.
+const DRAIN_TIME: Duration = Duration::from_secs(10);
+/// Largest latency that the histogram distinguishes.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// What was counted for one customer.
+/// Counts for one customer; only requests answered before their deadline are timely.
 #[derive(Clone, Debug, Default)]
-pub(super) struct BuyerCounts {
-    pub(super) asked: u64,
-    pub(super) asked_work_us: f64,
-    pub(super) good: u64,
-    pub(super) good_work_us: f64,
+pub(super) struct CustomerCounts {
+    pub(super) offered: u64,
+    pub(super) offered_work_us: f64,
+    pub(super) timely: u64,
+    pub(super) timely_work_us: f64,
 }
 
-/// What was counted.
+/// Counts of a run.
 #[derive(Clone, Debug)]
 pub(super) struct Counts {
-    pub(super) buyers: Vec<BuyerCounts>,
-    /// Requests refused as not run.
+    pub(super) customers: Vec<CustomerCounts>,
+    /// Number of requests refused as not run.
     pub(super) refused: u64,
-    /// Requests refused with an unknown outcome.
+    /// Number of requests refused with an unknown outcome.
     pub(super) unknown: u64,
+    /// Number of requests answered after their deadline.
     pub(super) late: u64,
     pub(super) dispatched: u64,
-    /// Dispatches of a request that had been dispatched before.
-    pub(super) again: u64,
+    /// Number of dispatches of requests that had been dispatched before.
+    pub(super) repeated_dispatches: u64,
     pub(super) shed: u64,
-    /// Dispatches that an endpoint got while all its slots were in use.
-    pub(super) overshot: u64,
+    /// Number of dispatches that reached an endpoint while all its slots were in use.
+    pub(super) dispatches_over_slots: u64,
     pub(super) interactive_us: Histogram<u64>,
-    pub(super) counted: Duration,
+    pub(super) measured_time: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive,
-    Reach { job: usize },
-    Done { endpoint: usize, version: u64 },
-    Answer { job: usize, is_shed: bool },
-    Cancelled { job: usize },
+    Arrival,
+    ReachEndpoint { job: usize },
+    Completion { endpoint: usize, version: u64 },
+    Response { job: usize, is_shed: bool },
+    Cancellation { job: usize },
     TimeLimit { job: usize },
     Tick,
 }
 
 struct Job {
-    tag: Tag,
+    key: AttemptKey,
     endpoint: usize,
     work_us: f64,
     is_open: bool,
 }
 
-struct Open {
+struct OpenRequest {
     arrival: Arrival,
-    came_at: Time,
+    arrived_at: Time,
     dispatches: u32,
 }
 
-/// One run of a balancer before a workload.
+/// One run of a balancer under a workload.
 pub(super) struct Simulation {
     now: Time,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
@@ -98,8 +98,8 @@
     endpoints: Vec<SimEndpoint>,
     endpoint_index: BTreeMap<Name, usize>,
     jobs: Vec<Job>,
-    by_tag: FxHashMap<Tag, usize>,
-    open: FxHashMap<RequestId, Open>,
+    job_by_key: FxHashMap<AttemptKey, usize>,
+    open: FxHashMap<RequestId, OpenRequest>,
     counts: Counts,
 }
 
@@ -118,19 +118,19 @@
             endpoints: vec![SimEndpoint::new(SLOTS); endpoint_index.len()],
             endpoint_index,
             jobs: Vec::new(),
-            by_tag: FxHashMap::default(),
+            job_by_key: FxHashMap::default(),
             open: FxHashMap::default(),
             counts: Counts {
-                buyers: vec![BuyerCounts::default(); BUYERS.len()],
+                customers: vec![CustomerCounts::default(); CUSTOMERS.len()],
                 refused: 0,
                 unknown: 0,
                 late: 0,
                 dispatched: 0,
-                again: 0,
+                repeated_dispatches: 0,
                 shed: 0,
-                overshot: 0,
-                interactive_us: latencies(),
-                counted: END.since(WARM_UP),
+                dispatches_over_slots: 0,
+                interactive_us: latency_histogram(),
+                measured_time: END.since(WARM_UP),
             },
         };
         simulation.schedule_arrival();
@@ -138,10 +138,10 @@
         simulation
     }
 
-    /// Runs to the end and returns what was counted.
+    /// Runs to the end and returns the counts.
     pub(super) fn run(mut self) -> Counts {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
-            if now > END + RUN_OUT {
+            if now > END + DRAIN_TIME {
                 break;
             }
             self.now = now;
@@ -159,26 +159,26 @@
         let (at, arrival) = self.workload.next();
         if at < END {
             self.next_arrival = Some(arrival);
-            self.schedule(at, Event::Arrive);
+            self.schedule(at, Event::Arrival);
         }
     }
 
     fn on_event(&mut self, event: Event) {
         let commands = match event {
-            Event::Arrive => self.on_arrive(),
-            Event::Reach { job } => {
-                self.on_reach(job);
+            Event::Arrival => self.on_arrival(),
+            Event::ReachEndpoint { job } => {
+                self.on_reach_endpoint(job);
                 Vec::new()
             }
-            Event::Done { endpoint, version } => {
-                self.on_done(endpoint, version);
+            Event::Completion { endpoint, version } => {
+                self.on_completion(endpoint, version);
                 Vec::new()
             }
-            Event::Answer { job, is_shed } => self.on_answer(job, is_shed),
-            Event::Cancelled { job } => {
+            Event::Response { job, is_shed } => self.on_response(job, is_shed),
+            Event::Cancellation { job } => {
                 let endpoint = self.jobs[job].endpoint;
                 self.endpoints[endpoint].cancel(self.now, job);
-                self.schedule_done(endpoint);
+                self.schedule_completion(endpoint);
                 Vec::new()
             }
             Event::TimeLimit { job } => {
@@ -189,86 +189,87 @@
                 self.balancer.on_tick(self.now)
             }
         };
-        self.obey(commands);
+        self.execute(commands);
     }
 
-    fn on_arrive(&mut self) -> Vec<Command> {
+    fn on_arrival(&mut self) -> Vec<Command> {
         let Some(arrival) = self.next_arrival.take() else { return Vec::new() };
         self.schedule_arrival();
         if self.is_counted(self.now) {
-            let counts = &mut self.counts.buyers[arrival.buyer];
-            counts.asked += 1;
-            counts.asked_work_us += arrival.work_us;
+            let counts = &mut self.counts.customers[arrival.customer];
+            counts.offered += 1;
+            counts.offered_work_us += arrival.work_us;
         }
         let request = arrival.request.clone();
-        self.open.insert(request.id, Open { arrival, came_at: self.now, dispatches: 0 });
+        self.open.insert(request.id, OpenRequest { arrival, arrived_at: self.now, dispatches: 0 });
         self.balancer.on_request(self.now, request)
     }
 
-    fn on_reach(&mut self, job: usize) {
+    fn on_reach_endpoint(&mut self, job: usize) {
         let Job { endpoint, work_us, is_open, .. } = self.jobs[job];
         if !is_open {
             return;
         }
         if !self.endpoints[endpoint].start(self.now, job, work_us) {
             self.counts.shed += u64::from(self.is_counted(self.now));
-            return self.schedule(self.now + ONE_WAY, Event::Answer { job, is_shed: true });
+            return self
+                .schedule(self.now + ONE_WAY_LATENCY, Event::Response { job, is_shed: true });
         }
-        let is_over = self.endpoints[endpoint].is_over() && self.is_counted(self.now);
-        self.counts.overshot += u64::from(is_over);
-        self.schedule_done(endpoint);
+        let is_over_slots = self.endpoints[endpoint].is_over_slots() && self.is_counted(self.now);
+        self.counts.dispatches_over_slots += u64::from(is_over_slots);
+        self.schedule_completion(endpoint);
     }
 
-    fn on_done(&mut self, endpoint: usize, version: u64) {
+    fn on_completion(&mut self, endpoint: usize, version: u64) {
         if self.endpoints[endpoint].version != version {
             return;
         }
-        for job in self.endpoints[endpoint].take_done(self.now) {
-            self.schedule(self.now + ONE_WAY, Event::Answer { job, is_shed: false });
+        for job in self.endpoints[endpoint].take_completed(self.now) {
+            self.schedule(self.now + ONE_WAY_LATENCY, Event::Response { job, is_shed: false });
         }
-        self.schedule_done(endpoint);
+        self.schedule_completion(endpoint);
     }
 
-    fn schedule_done(&mut self, endpoint: usize) {
-        let Some(at) = self.endpoints[endpoint].next_done() else { return };
+    fn schedule_completion(&mut self, endpoint: usize) {
+        let Some(at) = self.endpoints[endpoint].next_completion() else { return };
         let version = self.endpoints[endpoint].version;
-        self.schedule(at, Event::Done { endpoint, version });
+        self.schedule(at, Event::Completion { endpoint, version });
     }
 
-    fn on_answer(&mut self, job: usize, is_shed: bool) -> Vec<Command> {
+    fn on_response(&mut self, job: usize, is_shed: bool) -> Vec<Command> {
         if !self.jobs[job].is_open {
             return Vec::new();
         }
         self.jobs[job].is_open = false;
-        let tag = self.jobs[job].tag;
+        let key = self.jobs[job].key;
         if is_shed {
-            return self.balancer.on_outcome(self.now, tag, Outcome::Shed);
+            return self.balancer.on_outcome(self.now, key, Outcome::Shed);
         }
         let outcome = Outcome::Answered { status: 200, fresh_connection: false };
-        let mut commands = self.balancer.on_outcome(self.now, tag, outcome);
-        commands.extend(self.balancer.on_body_end(self.now, tag));
+        let mut commands = self.balancer.on_outcome(self.now, key, outcome);
+        commands.extend(self.balancer.on_body_end(self.now, key));
         commands
     }
 
-    /// Closes an attempt's connection, which the endpoint sees a little later.
+    /// Closes an attempt's connection, which reaches the endpoint after the one-way latency.
     fn close(&mut self, job: usize, outcome: Outcome) -> Vec<Command> {
         if !self.jobs[job].is_open {
             return Vec::new();
         }
         self.jobs[job].is_open = false;
-        self.schedule(self.now + ONE_WAY, Event::Cancelled { job });
-        self.balancer.on_outcome(self.now, self.jobs[job].tag, outcome)
+        self.schedule(self.now + ONE_WAY_LATENCY, Event::Cancellation { job });
+        self.balancer.on_outcome(self.now, self.jobs[job].key, outcome)
     }
 
-    fn obey(&mut self, commands: Vec<Command>) {
+    fn execute(&mut self, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Send { tag, request, endpoint, time_limit } => {
-                    self.send(tag, request, &endpoint, time_limit);
+                Command::Send { key, request, endpoint, time_limit } => {
+                    self.send(key, request, &endpoint, time_limit);
                 }
-                Command::Cancel { tag } => self.end(tag, Outcome::Cancelled),
-                Command::GiveUp { tag } => {
-                    self.end(tag, Outcome::TimedOut { fresh_connection: true });
+                Command::Cancel { key } => self.end_attempt(key, Outcome::Cancelled),
+                Command::Abandon { key } => {
+                    self.end_attempt(key, Outcome::TimedOut { fresh_connection: true });
                 }
                 Command::Deliver { request } => self.on_delivered(request),
                 Command::Refuse { request, execution } => self.on_refused(request, execution),
@@ -276,50 +277,50 @@
         }
     }
 
-    fn end(&mut self, tag: Tag, outcome: Outcome) {
-        if let Some(job) = self.by_tag.get(&tag).copied() {
-            let more = self.close(job, outcome);
-            self.obey(more);
+    fn end_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
+        if let Some(job) = self.job_by_key.get(&key).copied() {
+            let commands = self.close(job, outcome);
+            self.execute(commands);
         }
     }
 
-    fn send(&mut self, tag: Tag, request: RequestId, endpoint: &Name, time_limit: Time) {
+    fn send(&mut self, key: AttemptKey, request: RequestId, endpoint: &Name, time_limit: Time) {
         let Some(open) = self.open.get_mut(&request) else { return };
         open.dispatches += 1;
-        let (is_again, work_us) = (open.dispatches > 1, open.arrival.work_us);
+        let (is_repeated, work_us) = (open.dispatches > 1, open.arrival.work_us);
         if self.is_counted(self.now) {
             self.counts.dispatched += 1;
-            self.counts.again += u64::from(is_again);
+            self.counts.repeated_dispatches += u64::from(is_repeated);
         }
         let job = self.jobs.len();
         let endpoint = self.endpoint_index[endpoint];
-        self.jobs.push(Job { tag, endpoint, work_us, is_open: true });
-        self.by_tag.insert(tag, job);
-        self.schedule(self.now + ONE_WAY, Event::Reach { job });
+        self.jobs.push(Job { key, endpoint, work_us, is_open: true });
+        self.job_by_key.insert(key, job);
+        self.schedule(self.now + ONE_WAY_LATENCY, Event::ReachEndpoint { job });
         self.schedule(time_limit, Event::TimeLimit { job });
     }
 
     fn on_delivered(&mut self, request: RequestId) {
         let Some(open) = self.open.remove(&request) else { return };
-        if !self.is_counted(open.came_at) {
+        if !self.is_counted(open.arrived_at) {
             return;
         }
         if self.now > open.arrival.request.deadline {
             self.counts.late += 1;
             return;
         }
-        let counts = &mut self.counts.buyers[open.arrival.buyer];
-        counts.good += 1;
-        counts.good_work_us += open.arrival.work_us;
+        let counts = &mut self.counts.customers[open.arrival.customer];
+        counts.timely += 1;
+        counts.timely_work_us += open.arrival.work_us;
         if open.arrival.request.class == Class::Interactive {
-            let latency_us = self.now.since(open.came_at).as_micros() as u64;
+            let latency_us = self.now.since(open.arrived_at).as_micros() as u64;
             self.counts.interactive_us.saturating_record(latency_us);
         }
     }
 
     fn on_refused(&mut self, request: RequestId, execution: Execution) {
         let Some(open) = self.open.remove(&request) else { return };
-        let count = u64::from(self.is_counted(open.came_at));
+        let count = u64::from(self.is_counted(open.arrived_at));
         match execution {
             Execution::NotRun => self.counts.refused += count,
             Execution::Unknown => self.counts.unknown += count,
@@ -334,6 +335,6 @@
 /// # Panics
 ///
 /// Never: the bounds are constants that the histogram accepts.
-fn latencies() -> Histogram<u64> {
+fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("constant bounds are valid")
 }
--- a/crates/pistachiotrack-standins/src/experiment/overload/workload.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/workload.rs
@@ -1,4 +1,4 @@
-//! Customers, their contracts and the work that they send.
+//! Customers, their contracts and the requests that they send.
 
 use std::{f64::consts::TAU, time::Duration};
 
@@ -17,40 +17,40 @@
 
 /// Name of the only service.
 pub(super) const SERVICE: &str = "booking";
-/// Endpoints of the service.
+/// Number of endpoints of the service.
 pub(super) const ENDPOINTS: u16 = 14;
-/// Slots of each endpoint.
+/// Number of slots of each endpoint.
 pub(super) const SLOTS: u32 = 2;
-/// Mean time that an endpoint works on a request.
+/// Mean service time of a request.
 pub(super) const MEAN_WORK_US: f64 = 50_000.0;
-/// Spread of that time: standard deviation of its logarithm.
+/// Standard deviation of the logarithm of the service time.
 const WORK_SIGMA: f64 = 0.6;
-/// Part of the requests that may be repeated.
-const IDEMPOTENT_PART: f64 = 0.7;
-/// Part of the requests that may be hedged.
-const HEDGE_PART: f64 = 0.2;
+/// Fraction of the requests that are idempotent and may be retried.
+const IDEMPOTENT_FRACTION: f64 = 0.7;
+/// Fraction of the requests that may be hedged.
+const HEDGE_FRACTION: f64 = 0.2;
 
 /// A customer of the experiment.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Buyer {
+pub(super) struct SimCustomer {
     /// Name.
     pub(super) name: &'static str,
-    /// Slots bought.
+    /// Slots in the contract.
     pub(super) slots: u32,
-    /// Part of the offered load that it sends.
-    pub(super) part: f64,
+    /// Fraction of the offered load that it sends.
+    pub(super) load_fraction: f64,
 }
 
-/// The customers: one that asks for less than it bought up to twice the
-/// capacity, two that ask for more, and one without a contract.
-pub(super) const BUYERS: [Buyer; 4] = [
-    Buyer { name: "modest", slots: 12, part: 0.2 },
-    Buyer { name: "even", slots: 8, part: 0.3 },
-    Buyer { name: "greedy", slots: 6, part: 0.4 },
-    Buyer { name: "none", slots: 0, part: 0.1 },
+/// The customers: one that offers less load than its contract up to twice the
+/// capacity, two that offer more, and one without a contract.
+pub(super) const CUSTOMERS: [SimCustomer; 4] = [
+    SimCustomer { name: "modest", slots: 12, load_fraction: 0.2 },
+    SimCustomer { name: "even", slots: 8, load_fraction: 0.3 },
+    SimCustomer { name: "greedy", slots: 6, load_fraction: 0.4 },
+    SimCustomer { name: "none", slots: 0, load_fraction: 0.1 },
 ];
 
-/// Classes with their part of the requests and their time allowed.
+/// Classes with their fraction of the requests and their timeout.
 const CLASSES: [(Class, f64, Duration); 3] = [
     (Class::Interactive, 0.6, Duration::from_millis(500)),
     (Class::Standard, 0.3, Duration::from_millis(1_000)),
@@ -67,9 +67,9 @@
         connections: DEFAULT_CONNECTIONS,
         leaving: false,
     };
-    let customer = |buyer: &Buyer| Customer {
-        name: Name::from(buyer.name),
-        contracts: vec![Contract { service: Name::from(SERVICE), slots: buyer.slots }],
+    let customer = |customer: &SimCustomer| Customer {
+        name: Name::from(customer.name),
+        contracts: vec![Contract { service: Name::from(SERVICE), slots: customer.slots }],
     };
     Config {
         version: 1,
@@ -88,66 +88,67 @@
             probe_path: Name::from(DEFAULT_PROBE_PATH),
             endpoints: (0..ENDPOINTS).map(endpoint).collect(),
         }],
-        customers: BUYERS.iter().map(customer).collect(),
+        customers: CUSTOMERS.iter().map(customer).collect(),
         rules: Vec::new(),
     }
 }
 
-/// A request and the work it makes at an endpoint.
+/// A request and the work that it causes at an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Arrival {
     /// The request.
     pub(super) request: Request,
     /// Index of its customer.
-    pub(super) buyer: usize,
-    /// Time that an endpoint needs for it when it has a slot of its own.
+    pub(super) customer: usize,
+    /// Service time when the request has its own slot.
     pub(super) work_us: f64,
 }
 
-/// Requests as they come, one after the other.
+/// Generator of requests in the order of their arrival.
 pub(super) struct Workload {
     rng: Pcg64Mcg,
-    mean_gap_us: f64,
+    mean_interarrival_us: f64,
     now_us: f64,
     next_id: u64,
 }
 
 impl Workload {
-    /// Creates the workload that offers `load` times the capacity.
+    /// Creates a workload that offers `load` times the capacity.
     pub(super) fn new(load: f64, seed: u64) -> Workload {
         let slots = f64::from(ENDPOINTS) * f64::from(SLOTS);
         Workload {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            mean_gap_us: MEAN_WORK_US / (slots * load),
+            mean_interarrival_us: MEAN_WORK_US / (slots * load),
             now_us: 0.0,
             next_id: 1,
         }
     }
 
-    /// Returns the next request and the moment it comes.
+    /// Returns the next request and its time of arrival.
     pub(super) fn next(&mut self) -> (Time, Arrival) {
-        self.now_us -= self.mean_gap_us * (1.0 - self.rng.random::<f64>()).ln();
+        self.now_us -= self.mean_interarrival_us * (1.0 - self.rng.random::<f64>()).ln();
         let now = Time::from_micros(self.now_us as u64);
-        let buyer = pick(self.rng.random(), BUYERS.iter().map(|buyer| buyer.part));
-        let class = pick(self.rng.random(), CLASSES.iter().map(|(_, part, _)| *part));
-        let (class, _, allowed) = CLASSES[class];
-        let idempotent = self.rng.random_bool(IDEMPOTENT_PART);
+        let customer =
+            pick(self.rng.random(), CUSTOMERS.iter().map(|customer| customer.load_fraction));
+        let class = pick(self.rng.random(), CLASSES.iter().map(|(_, fraction, _)| *fraction));
+        let (class, _, timeout) = CLASSES[class];
+        let idempotent = self.rng.random_bool(IDEMPOTENT_FRACTION);
         let request = Request {
             id: RequestId(self.next_id),
-            customer: Name::from(BUYERS[buyer].name),
+            customer: Name::from(CUSTOMERS[customer].name),
             class,
-            deadline: now + allowed,
+            deadline: now + timeout,
             idempotent,
-            hedge: idempotent && self.rng.random_bool(HEDGE_PART / IDEMPOTENT_PART),
+            hedge: idempotent && self.rng.random_bool(HEDGE_FRACTION / IDEMPOTENT_FRACTION),
             max_attempts: DEFAULT_MAX_ATTEMPTS,
             key: None,
             repeat: false,
         };
         self.next_id += 1;
-        (now, Arrival { request, buyer, work_us: self.work_us() })
+        (now, Arrival { request, customer, work_us: self.work_us() })
     }
 
-    /// Draws from a lognormal distribution with the wanted mean.
+    /// Draws from a lognormal distribution with mean `MEAN_WORK_US`.
     fn work_us(&mut self) -> f64 {
         let radius = (-2.0 * (1.0 - self.rng.random::<f64>()).ln()).sqrt();
         let normal = radius * (TAU * self.rng.random::<f64>()).cos();
@@ -155,12 +156,12 @@
     }
 }
 
-/// Returns the index of the part that `point`, from 0 to 1, falls into.
-fn pick(point: f64, parts: impl Iterator<Item = f64>) -> usize {
+/// Returns the index of the fraction that `point`, from 0 to 1, falls into.
+fn pick(point: f64, fractions: impl Iterator<Item = f64>) -> usize {
     let mut end = 0.0;
     let mut last = 0;
-    for (index, part) in parts.enumerate() {
-        end += part;
+    for (index, fraction) in fractions.enumerate() {
+        end += fraction;
         last = index;
         if point < end {
             return index;
--- a/crates/pistachiotrack-standins/src/experiment/rollout.rs
+++ b/crates/pistachiotrack-standins/src/experiment/rollout.rs
@@ -1,5 +1,5 @@
-//! Configurations published while datagrams are lost, while the service goes
-//! away and while it is stale, against the same with a whole network.
+//! Compares the rollout of configurations while datagrams are lost, while the
+//! platform's service is unavailable and while it is stale with a rollout without faults.
 
 use std::{
     process::ExitCode,
@@ -16,20 +16,20 @@
 };
 use crate::{daemon::DaemonBinary, link::Link, platform::Availability, runtime};
 
-/// Configurations published in each case.
-const ROUNDS: usize = 8;
-/// Share of the datagrams lost.
+/// Number of configurations published in each case.
+const CONFIGS_PER_CASE: usize = 8;
+/// Fraction of the datagrams lost.
 const DROP_SHARE: f64 = 0.2;
-/// Time allowed for a configuration to be in force everywhere.
-const LIMIT: Duration = Duration::from_secs(30);
-/// Time for which VMs are watched for going back to an older configuration.
-const WATCH: Duration = Duration::from_secs(5);
-/// Time between two looks at the VMs.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time within which a configuration must be active on all VMs.
+const ACTIVATION_LIMIT: Duration = Duration::from_secs(30);
+/// Time for which VMs are checked for a return to an older configuration.
+const OBSERVATION_TIME: Duration = Duration::from_secs(5);
+/// Time between two polls of the VMs.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Times until configurations were in force on all VMs.
+/// Times until configurations were active on all VMs.
 #[derive(Debug, Serialize)]
-struct Spread {
+struct ActivationTimes {
     median_ms: u64,
     max_ms: u64,
     platform_calls: u64,
@@ -40,19 +40,19 @@
     experiment: &'static str,
     seed: u64,
     vms: usize,
-    /// Nothing goes wrong.
-    baseline: Spread,
+    /// No faults.
+    baseline: ActivationTimes,
     /// Datagrams are lost.
-    lossy: Spread,
-    /// The service goes away once one VM has the configuration.
-    away: Spread,
+    lossy: ActivationTimes,
+    /// The platform's service becomes unavailable once one VM has the configuration.
+    away: ActivationTimes,
     lossy_ratio: f64,
     away_ratio: f64,
-    /// Time until a VM that starts while the service is stale has the newest.
+    /// Time until a VM that starts while the service is stale has the newest configuration.
     stale_start_ms: u64,
-    /// Looks at which a VM held an older configuration than before.
+    /// Number of polls in which a VM had an older configuration than before.
     reverts: u64,
-    /// VMs that did not say what is wrong with an invalid configuration.
+    /// Number of VMs that did not report the error of an invalid configuration.
     silent_about_invalid: usize,
 }
 
@@ -60,42 +60,42 @@
 ///
 /// # Errors
 ///
-/// Returns an error if a configuration is not in force everywhere in time.
+/// Returns an error if a configuration does not become active on all VMs in time.
 pub(super) fn run(options: Options) -> anyhow::Result<ExitCode> {
     let settings = TrialSettings { seed: options.seed, vms: 12, ..TrialSettings::default() };
     let report = runtime::run(measure(settings, &options))?;
     let mut table = Table::default();
     let cells = |cells: [&str; 3]| cells.map(str::to_owned).to_vec();
-    table.row("in force everywhere", cells(["median ms", "max ms", "platform calls"]));
+    table.add_row("in force everywhere", cells(["median ms", "max ms", "platform calls"]));
     let cases = [("baseline", &report.baseline), ("lossy", &report.lossy), ("away", &report.away)];
-    for (name, spread) in cases {
-        let Spread { median_ms, max_ms, platform_calls } = spread;
-        table.row(name, [median_ms, max_ms, platform_calls].map(u64::to_string).to_vec());
+    for (name, times) in cases {
+        let ActivationTimes { median_ms, max_ms, platform_calls } = times;
+        table.add_row(name, [median_ms, max_ms, platform_calls].map(u64::to_string).to_vec());
     }
-    table.note("lossy against baseline", format!("{:.2}", report.lossy_ratio));
-    table.note("away against baseline", format!("{:.2}", report.away_ratio));
-    table.note("start while stale ms", report.stale_start_ms.to_string());
-    table.note("reverts", report.reverts.to_string());
-    table.note("silent about invalid", report.silent_about_invalid.to_string());
+    table.add_note("lossy against baseline", format!("{:.2}", report.lossy_ratio));
+    table.add_note("away against baseline", format!("{:.2}", report.away_ratio));
+    table.add_note("start while stale ms", report.stale_start_ms.to_string());
+    table.add_note("reverts", report.reverts.to_string());
+    table.add_note("silent about invalid", report.silent_about_invalid.to_string());
     table.print();
     if options.json {
         println!("{}", serde_json::to_string(&report)?);
     }
-    let clean = report.reverts + report.silent_about_invalid as u64 == 0;
-    Ok(if clean { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let is_clean = report.reverts + report.silent_about_invalid as u64 == 0;
+    Ok(if is_clean { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 async fn measure(settings: TrialSettings, options: &Options) -> anyhow::Result<Report> {
     let binary = DaemonBinary::find(options.log_directory.clone())?;
     let mut trial = Trial::start(&binary, settings).await?;
     let mut config = trial.deployment.config.clone();
-    let baseline = spread(&mut trial, &mut config, false).await?;
+    let baseline = measure_activation(&mut trial, &mut config, false).await?;
     trial.links.set_all(Link { drop_share: DROP_SHARE, ..Link::default() });
-    let lossy = spread(&mut trial, &mut config, false).await?;
+    let lossy = measure_activation(&mut trial, &mut config, false).await?;
     trial.links.set_all(Link::default());
-    let away = spread(&mut trial, &mut config, true).await?;
-    let (stale_start, reverts) = stale(&mut trial, config.version).await?;
-    let silent_about_invalid = invalid(&mut trial, config.version).await?;
+    let away = measure_activation(&mut trial, &mut config, true).await?;
+    let (stale_start, reverts) = measure_stale_platform(&mut trial, config.version).await?;
+    let silent_about_invalid = measure_invalid_config(&mut trial, config.version).await?;
     Ok(Report {
         experiment: "rollout",
         seed: settings.seed,
@@ -111,16 +111,20 @@
     })
 }
 
-/// Publishes some configurations and takes the times until all VMs have them.
-async fn spread(trial: &mut Trial, config: &mut Config, away: bool) -> anyhow::Result<Spread> {
-    let calls = trial.deployment.platform.calls();
+/// Publishes some configurations and measures the times until all VMs have them.
+async fn measure_activation(
+    trial: &mut Trial,
+    config: &mut Config,
+    makes_unavailable: bool,
+) -> anyhow::Result<ActivationTimes> {
+    let calls_before = trial.deployment.platform.calls();
     let mut times_ms = Vec::new();
-    for _ in 0..ROUNDS {
+    for _ in 0..CONFIGS_PER_CASE {
         config.version += 1;
         config.entry_lifetime_ms = if config.version.is_multiple_of(2) { 4_000 } else { 5_000 };
         let start = Instant::now();
         trial.deployment.platform.publish(config)?;
-        if away {
+        if makes_unavailable {
             wait_for_first(trial, config.version).await?;
             trial.deployment.platform.set_availability(Availability::Refusing);
         }
@@ -129,30 +133,34 @@
         trial.deployment.platform.set_availability(Availability::Up);
     }
     times_ms.sort_unstable();
-    Ok(Spread {
+    Ok(ActivationTimes {
         median_ms: times_ms[times_ms.len() / 2],
         max_ms: times_ms[times_ms.len() - 1],
-        platform_calls: trial.deployment.platform.calls() - calls,
+        platform_calls: trial.deployment.platform.calls() - calls_before,
     })
 }
 
 async fn wait_for_all(trial: &mut Trial, version: u64) -> anyhow::Result<Duration> {
-    let holds = |status: &Status| status.config_version == Some(version);
-    trial.fleet.wait_until(&format!("version {version}"), LIMIT, holds).await
+    let is_active = |status: &Status| status.config_version == Some(version);
+    trial.fleet.wait_until(&format!("version {version}"), ACTIVATION_LIMIT, is_active).await
 }
 
 async fn wait_for_first(trial: &Trial, version: u64) -> anyhow::Result<()> {
     let start = Instant::now();
-    while !trial.fleet.statuses().await.iter().any(|it| it.config_version == Some(version)) {
-        anyhow::ensure!(start.elapsed() < LIMIT, "no VM has version {version}");
+    while !trial.fleet.statuses().await.iter().any(|status| status.config_version == Some(version))
+    {
+        anyhow::ensure!(start.elapsed() < ACTIVATION_LIMIT, "no VM has version {version}");
         tokio::task::yield_now().await;
     }
     Ok(())
 }
 
-/// Serves the configuration before the newest, starts a VM anew meanwhile, and
-/// counts the looks at which a VM has gone back.
-async fn stale(trial: &mut Trial, version: u64) -> anyhow::Result<(Duration, u64)> {
+/// Serves the configuration before the newest, restarts a VM meanwhile, and counts the polls in
+/// which a VM has returned to an older configuration.
+async fn measure_stale_platform(
+    trial: &mut Trial,
+    version: u64,
+) -> anyhow::Result<(Duration, u64)> {
     trial.deployment.platform.set_stale(true);
     let vm = trial.fleet.daemons()[0].settings().vm.clone();
     let mut daemon = trial.fleet.take(&vm)?;
@@ -160,39 +168,39 @@
     let start = Instant::now();
     trial.fleet.replace(daemon.settings().clone()).await?;
     let mut reverts = 0;
-    let mut started = None;
-    while start.elapsed() < WATCH {
+    let mut up_to_date_after = None;
+    while start.elapsed() < OBSERVATION_TIME {
         for status in trial.fleet.statuses().await {
-            let newest = status.config_version == Some(version);
+            let has_newest = status.config_version == Some(version);
             match status.vm.as_str() == vm {
-                true if newest => started = started.or(Some(start.elapsed())),
-                true => reverts += u64::from(started.is_some()),
-                false => reverts += u64::from(!newest),
+                true if has_newest => up_to_date_after = up_to_date_after.or(Some(start.elapsed())),
+                true => reverts += u64::from(up_to_date_after.is_some()),
+                false => reverts += u64::from(!has_newest),
             }
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     wait_for_all(trial, version).await?;
-    let started = started.unwrap_or(start.elapsed());
+    let up_to_date_after = up_to_date_after.unwrap_or(start.elapsed());
     trial.deployment.platform.set_stale(false);
-    Ok((started, reverts))
+    Ok((up_to_date_after, reverts))
 }
 
-/// Publishes a value that is no configuration; returns how many of the VMs that
-/// watch the service don't show it, 0 as soon as one does.
-async fn invalid(trial: &mut Trial, version: u64) -> anyhow::Result<usize> {
+/// Publishes a value that is not a valid configuration. Returns 0 as soon as one VM reports the
+/// error, and the number of VMs if none does in time.
+async fn measure_invalid_config(trial: &mut Trial, version: u64) -> anyhow::Result<usize> {
     trial.deployment.platform.publish_bytes(version + 1, b"{\"version\": \"x\"}".to_vec());
     let start = Instant::now();
-    while start.elapsed() < WATCH {
+    while start.elapsed() < OBSERVATION_TIME {
         let statuses = trial.fleet.statuses().await;
         anyhow::ensure!(
             statuses.iter().all(|status| status.config_version == Some(version)),
-            "an invalid configuration is in force"
+            "an invalid configuration is active"
         );
         if statuses.iter().any(|status| status.config_error.is_some()) {
             return Ok(0);
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(trial.settings.vms)
 }
--- a/crates/pistachiotrack-standins/src/experiment/table.rs
+++ b/crates/pistachiotrack-standins/src/experiment/table.rs
@@ -1,64 +1,64 @@
-//! Tables of runs side by side.
+//! Text tables that show trials side by side.
 
-use super::trial::Outcome;
+use super::trial::TrialResult;
 
-/// Returns `value` against `baseline`, or 0 where the baseline is 0.
+/// Returns the ratio of `value` to `baseline`, or 0 if the baseline is 0.
 pub(super) fn ratio(value: f64, baseline: f64) -> f64 {
     if baseline == 0.0 { 0.0 } else { value / baseline }
 }
 
-/// Rows of text, each with a name.
+/// Named rows of text cells.
 #[derive(Debug, Default)]
 pub(super) struct Table {
     rows: Vec<(String, Vec<String>)>,
 }
 
-type Cell = fn(&Outcome) -> String;
+type FormatCell = fn(&TrialResult) -> String;
 
-const ROWS: &[(&str, Cell)] = &[
-    ("requests", |outcome| outcome.counts.requests.to_string()),
-    ("ok", |outcome| outcome.counts.ok.to_string()),
-    ("goodput", |outcome| format!("{:.4}", outcome.goodput)),
-    ("endpoint failed", |outcome| outcome.counts.endpoint_failed.to_string()),
-    ("refused, not run", |outcome| outcome.counts.refused_not_run.to_string()),
-    ("refused, unknown", |outcome| outcome.counts.unknown.to_string()),
-    ("no VM reached", |outcome| outcome.counts.no_vm.to_string()),
-    ("lost", |outcome| outcome.counts.lost.to_string()),
-    ("doubled", |outcome| outcome.counts.doubled.to_string()),
-    ("wrong answer", |outcome| outcome.counts.wrong_answer.to_string()),
-    ("false not-run", |outcome| outcome.counts.false_not_run.to_string()),
-    ("added p50/p99 ms", |outcome| {
-        format!("{:.2} / {:.2}", outcome.added.p50_ms, outcome.added.p99_ms)
+const ROWS: &[(&str, FormatCell)] = &[
+    ("requests", |result| result.counts.requests.to_string()),
+    ("ok", |result| result.counts.ok.to_string()),
+    ("goodput", |result| format!("{:.4}", result.goodput)),
+    ("endpoint failed", |result| result.counts.endpoint_failed.to_string()),
+    ("refused, not run", |result| result.counts.refused_not_run.to_string()),
+    ("refused, unknown", |result| result.counts.unknown.to_string()),
+    ("no VM reached", |result| result.counts.no_vm.to_string()),
+    ("lost", |result| result.counts.lost.to_string()),
+    ("doubled", |result| result.counts.doubled.to_string()),
+    ("wrong answer", |result| result.counts.wrong_answer.to_string()),
+    ("false not-run", |result| result.counts.false_not_run.to_string()),
+    ("added p50/p99 ms", |result| {
+        format!("{:.2} / {:.2}", result.added.p50_ms, result.added.p99_ms)
     }),
-    ("unsteered p50/p99 ms", |outcome| {
-        format!("{:.2} / {:.2}", outcome.unsteered.p50_ms, outcome.unsteered.p99_ms)
+    ("unsteered p50/p99 ms", |result| {
+        format!("{:.2} / {:.2}", result.unsteered.p50_ms, result.unsteered.p99_ms)
     }),
-    ("slots overshot by at most", |outcome| outcome.slot_overshoot.to_string()),
-    ("shed by endpoints", |outcome| outcome.shed.to_string()),
+    ("slots overshot by at most", |result| result.slot_overshoot.to_string()),
+    ("shed by endpoints", |result| result.shed.to_string()),
 ];
 
 impl Table {
-    /// Puts runs side by side.
-    pub(super) fn of_outcomes(columns: &[(&str, &Outcome)]) -> Table {
+    /// Creates a table with one column per trial.
+    pub(super) fn from_results(columns: &[(&str, &TrialResult)]) -> Table {
         let mut table = Table::default();
-        table.row("", columns.iter().map(|(name, _)| (*name).to_owned()).collect());
-        for (name, cell) in ROWS {
-            table.row(name, columns.iter().map(|(_, outcome)| cell(outcome)).collect());
+        table.add_row("", columns.iter().map(|(name, _)| (*name).to_owned()).collect());
+        for (name, format_cell) in ROWS {
+            table.add_row(name, columns.iter().map(|(_, result)| format_cell(result)).collect());
         }
-        for (name, outcome) in columns {
-            table.note(&format!("reasons, {name}"), format!("{:?}", outcome.counts.reasons));
+        for (name, result) in columns {
+            table.add_note(&format!("reasons, {name}"), format!("{:?}", result.counts.reasons));
         }
         table
     }
 
     /// Adds a row.
-    pub(super) fn row(&mut self, name: &str, cells: Vec<String>) {
+    pub(super) fn add_row(&mut self, name: &str, cells: Vec<String>) {
         self.rows.push((name.to_owned(), cells));
     }
 
     /// Adds a row with one cell.
-    pub(super) fn note(&mut self, name: &str, cell: String) {
-        self.row(name, vec![cell]);
+    pub(super) fn add_note(&mut self, name: &str, cell: String) {
+        self.add_row(name, vec![cell]);
     }
 
     /// Prints the table.
--- a/crates/pistachiotrack-standins/src/experiment/trial.rs
+++ b/crates/pistachiotrack-standins/src/experiment/trial.rs
@@ -1,4 +1,4 @@
-//! One run of a fleet under load, with or without something going wrong.
+//! One run of a fleet under load, with or without a disruption.
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
     workload::operations,
 };
 
-/// Settings of a run.
+/// Settings of a trial.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TrialSettings {
     /// Which deployment runs.
     pub(super) kind: Kind,
-    /// VMs of the fleet.
+    /// Number of VMs of the fleet.
     pub(super) vms: usize,
-    /// Time of the load.
+    /// Duration of the load.
     pub(super) duration: Duration,
-    /// Share of the slots that the load uses.
+    /// Load as a fraction of the endpoints' slots.
     pub(super) load: f64,
     /// Seed of the load, the endpoints and the links.
     pub(super) seed: u64,
@@ -42,14 +42,14 @@
     }
 }
 
-/// Time allowed for the daemons to serve.
-const START_LIMIT: Duration = Duration::from_secs(60);
-/// Groups of callers, each of which knows its own part of the VMs.
+/// Time within which the daemons must serve requests.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of groups of callers; each group uses its own part of the VMs.
 const CALLER_GROUPS: usize = 2;
-/// Callers of each group that are steered; one more is not.
-const CALLERS: usize = 3;
+/// Number of steered callers in each group, which also has one unsteered caller.
+const STEERED_CALLERS: usize = 3;
 
-/// A fleet that serves, behind relays.
+/// A running fleet behind link proxies.
 pub(super) struct Trial {
     pub(super) settings: TrialSettings,
     pub(super) deployment: Deployment,
@@ -57,30 +57,30 @@
     pub(super) links: Links,
 }
 
-/// What the callers of a run saw and what it did to the endpoints.
+/// Results of a trial as measured by the callers and the endpoints.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct Outcome {
-    /// What came of the requests.
+pub(super) struct TrialResult {
+    /// Requests by outcome.
     #[serde(flatten)]
     pub(super) counts: Counts,
-    /// Share of the requests that ended in success.
+    /// Fraction of the requests that succeeded.
     pub(super) goodput: f64,
-    /// Added by the fleet to requests of steered callers.
+    /// Latency that the fleet adds to requests of steered callers.
     pub(super) added: Added,
-    /// Added by the fleet to requests that are forwarded.
+    /// Latency that the fleet adds to requests of unsteered callers, which are forwarded.
     pub(super) unsteered: Added,
-    /// Most requests above an endpoint's slots.
+    /// Largest number of requests beyond an endpoint's slots.
     pub(super) slot_overshoot: u32,
-    /// Requests that endpoints refused unrun.
+    /// Number of requests that endpoints shed.
     pub(super) shed: u64,
 }
 
 impl Trial {
-    /// Starts a fleet behind relays and waits until it serves.
+    /// Starts a fleet behind link proxies and waits until it serves requests.
     ///
     /// # Errors
     ///
-    /// Returns an error if it does not serve in time.
+    /// Returns an error if the fleet does not serve requests in time.
     pub(super) async fn start(
         binary: &DaemonBinary,
         settings: TrialSettings,
@@ -88,42 +88,42 @@
         let deployment = Deployment::start(settings.kind, settings.seed).await?;
         let links = Links::new(settings.seed);
         let mut fleet = Fleet::start(binary, &deployment, settings.vms, Some(&links)).await?;
-        fleet.wait_until_settled(deployment.shards(), START_LIMIT).await?;
+        fleet.wait_until_settled(deployment.shards(), START_TIMEOUT).await?;
         Ok(Trial { settings, deployment, fleet, links })
     }
 
-    /// Sends the load to a fleet of its own that nothing disturbs.
+    /// Runs the load against a separate, undisturbed fleet.
     ///
     /// # Errors
     ///
-    /// Returns an error if the fleet does not serve in time.
-    pub(super) async fn undisturbed(
+    /// Returns an error if the fleet does not serve requests in time.
+    pub(super) async fn run_baseline(
         binary: &DaemonBinary,
         settings: TrialSettings,
-    ) -> anyhow::Result<Outcome> {
+    ) -> anyhow::Result<TrialResult> {
         let mut trial = Trial::start(binary, settings).await?;
         Ok(trial.run(async |_, _, _| Ok(())).await?.0)
     }
 
-    /// Sends the load while `disturb` runs.
+    /// Runs the load while `disrupt` runs.
     ///
     /// # Errors
     ///
-    /// Returns the error of `disturb`.
+    /// Returns the error of `disrupt`.
     pub(super) async fn run<T>(
         &mut self,
-        disturb: impl AsyncFnOnce(&Deployment, &mut Fleet, &Links) -> anyhow::Result<T>,
-    ) -> anyhow::Result<(Outcome, T)> {
+        disrupt: impl AsyncFnOnce(&Deployment, &mut Fleet, &Links) -> anyhow::Result<T>,
+    ) -> anyhow::Result<(TrialResult, T)> {
         let TrialSettings { kind, duration, load, seed, .. } = self.settings;
         let operations = operations(kind.work(), &self.deployment.config, load);
         let callers = callers(&self.fleet);
         let load = LoadSettings { duration, ids: WorkIds::default(), seed };
-        let (samples, disturbed) = tokio::join!(
+        let (samples, disruption_result) = tokio::join!(
             drive(&callers, &operations, load),
-            disturb(&self.deployment, &mut self.fleet, &self.links)
+            disrupt(&self.deployment, &mut self.fleet, &self.links)
         );
         let counts = Counts::of(&samples, &self.deployment.ledger);
-        let outcome = Outcome {
+        let result = TrialResult {
             goodput: counts.goodput(),
             added: Added::of(samples.iter().filter(|sample| sample.steered)),
             unsteered: Added::of(samples.iter().filter(|sample| !sample.steered)),
@@ -131,20 +131,20 @@
             shed: self.deployment.endpoints.iter().map(|endpoint| endpoint.counts().shed).sum(),
             counts,
         };
-        Ok((outcome, disturbed?))
+        Ok((result, disruption_result?))
     }
 }
 
-/// Returns callers of which each group knows only its own part of the VMs, in
-/// the order of the VMs.
+/// Returns the callers; each group knows only the addresses of its own part of the VMs, in the
+/// order of the VMs.
 fn callers(fleet: &Fleet) -> Vec<Caller> {
     let addresses = fleet.caller_addresses();
-    let part = addresses.len().div_ceil(CALLER_GROUPS);
+    let group_size = addresses.len().div_ceil(CALLER_GROUPS);
     addresses
-        .chunks(part)
-        .flat_map(|known| {
-            let steered = (0..CALLERS).map(|_| Caller::new(known.to_vec()));
-            steered.chain([Caller::unsteered(known.to_vec())])
+        .chunks(group_size)
+        .flat_map(|group_addresses| {
+            let steered = (0..STEERED_CALLERS).map(|_| Caller::new(group_addresses.to_vec()));
+            steered.chain([Caller::unsteered(group_addresses.to_vec())])
         })
         .collect()
 }
--- a/crates/pistachiotrack-standins/src/slopes/faults.rs
+++ b/crates/pistachiotrack-standins/src/slopes/faults.rs
@@ -86,9 +86,9 @@
     for index in &lost {
         fleet.nodes[*index].is_running = false;
     }
-    let lost_s = seconds(fleet.run_until(CONVERGENCE_LIMIT, Fleet::has_converged));
-    let bytes = rate(before.traffic, fleet.traffic(), vms - lost.len(), lost_s);
-    add_figure(report, &format!("fault.{name}.settled"), "s", lost_s);
+    let detected_s = seconds(fleet.run_until(CONVERGENCE_LIMIT, Fleet::has_converged));
+    let bytes = rate(before.traffic, fleet.traffic(), vms - lost.len(), detected_s);
+    add_figure(report, &format!("fault.{name}.settled"), "s", detected_s);
     add_figure(report, &format!("fault.{name}.bytes_per_vm"), "B/s", bytes);
     add_minute(report, name, &mut fleet, before, vms - lost.len());
     let before = TrafficSnapshot::of(&fleet);
@@ -115,9 +115,9 @@
     for (index, node) in fleet.nodes.iter_mut().enumerate() {
         node.partition = u8::from(index % scale::DATA_CENTRES_PER_DEPLOYMENT == 0);
     }
-    let partitioned = fleet.run_until(CONVERGENCE_LIMIT, Fleet::has_converged);
-    add_figure(report, "fault.cut.settled", "s", seconds(partitioned));
-    fleet.run_for(PARTITION_TIME.saturating_sub(partitioned.unwrap_or(PARTITION_TIME)));
+    let detected = fleet.run_until(CONVERGENCE_LIMIT, Fleet::has_converged);
+    add_figure(report, "fault.cut.settled", "s", seconds(detected));
+    fleet.run_for(PARTITION_TIME.saturating_sub(detected.unwrap_or(PARTITION_TIME)));
     let bytes = rate(before, fleet.traffic(), vms, PARTITION_TIME.as_secs_f64());
     add_figure(report, "fault.cut.bytes_per_vm", "B/s", bytes);
     let before = TrafficSnapshot::of(&fleet);
--- a/crates/pistachiotrack-standins/src/slopes/scale.rs
+++ b/crates/pistachiotrack-standins/src/slopes/scale.rs
@@ -16,9 +16,9 @@
 pub(crate) const FAILURES_PER_DAY: f64 = 620.0;
 /// VMs restarted or replaced per day.
 pub(crate) const REPLACEMENTS_PER_DAY: f64 = 23_000.0;
-/// VMs of one deployment, as in today\'s fleet.
+/// VMs of one deployment, as in today's fleet.
 pub(crate) const VMS_PER_DEPLOYMENT: f64 = 48.0;
-/// Data centres of one deployment, as in today\'s fleet.
+/// Data centres of one deployment, as in today's fleet.
 pub(crate) const DATA_CENTRES_PER_DEPLOYMENT: usize = 3;
 /// Seconds of a day.
 pub(crate) const DAY_S: f64 = 86_400.0;
