--- a/crates/pistachiotrack-standins/src/experiment/churn.rs
+++ b/crates/pistachiotrack-standins/src/experiment/churn.rs
@@ -128,7 +128,8 @@
     })
 }
 
-/// Disrupts random VMs until `duration` has passed; those that exit are replaced at the same addresses.
+/// Disrupts random VMs until `duration` has passed; VMs that exit before are replaced at the same
+/// addresses.
 async fn disrupt_vms(
     fleet: &mut Fleet,
     duration: Duration,
--- a/crates/pistachiotrack-standins/src/experiment/overload/alternatives.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/alternatives.rs
@@ -18,7 +18,7 @@
 
 /// Time between two reports of the endpoints' load to all VMs.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum number of endpoints that a request is sent to.
+/// Maximum number of times that a request is sent to an endpoint.
 const MAX_ATTEMPTS: u32 = 2;
 /// Time for which a VM keeps an unused leased slot.
 const LEASE_IDLE_TIMEOUT: Duration = Duration::from_millis(20);
@@ -33,8 +33,8 @@
 
 /// VMs that choose the less loaded of two random endpoints by load reports.
 ///
-/// Reports are accurate and reach every VM at the same time. A VM adds the requests that it has sent
-/// since. There is no queue: a request is sent immediately.
+/// Reports are accurate and reach every VM at the same time. A VM adds the requests that it has
+/// sent since. There is no queue: a request is sent immediately.
 pub(super) struct TwoChoices {
     names: Vec<Name>,
     load: Vec<u32>,
--- a/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
@@ -43,8 +43,8 @@
 
 /// VMs that each run the core's shard independently.
 ///
-/// A single VM is the owner that receives all requests. With several, each receives an equal part of
-/// the requests and has no information about the others.
+/// A single VM is the owner that receives all requests. With several, each receives an equal part
+/// of the requests and has no information about the others.
 pub(super) struct FleetBalancer {
     shards: Vec<Shard>,
     next_vm: usize,
--- a/crates/pistachiotrack-standins/src/experiment/rollout.rs
+++ b/crates/pistachiotrack-standins/src/experiment/rollout.rs
@@ -45,15 +45,18 @@
     /// Datagrams are lost.
     lossy: ActivationTimes,
     /// The platform's service becomes unavailable once one VM has the configuration.
-    away: ActivationTimes,
+    #[serde(rename = "away")]
+    unavailable: ActivationTimes,
     lossy_ratio: f64,
-    away_ratio: f64,
+    #[serde(rename = "away_ratio")]
+    unavailable_ratio: f64,
     /// Time until a VM that starts while the service is stale has the newest configuration.
     stale_start_ms: u64,
     /// Number of polls in which a VM had an older configuration than before.
     reverts: u64,
     /// Number of VMs that did not report the error of an invalid configuration.
-    silent_about_invalid: usize,
+    #[serde(rename = "silent_about_invalid")]
+    vms_without_config_error: usize,
 }
 
 /// Runs the experiment and prints its report.
@@ -67,21 +70,22 @@
     let mut table = Table::default();
     let cells = |cells: [&str; 3]| cells.map(str::to_owned).to_vec();
     table.add_row("in force everywhere", cells(["median ms", "max ms", "platform calls"]));
-    let cases = [("baseline", &report.baseline), ("lossy", &report.lossy), ("away", &report.away)];
+    let cases =
+        [("baseline", &report.baseline), ("lossy", &report.lossy), ("away", &report.unavailable)];
     for (name, times) in cases {
         let ActivationTimes { median_ms, max_ms, platform_calls } = times;
         table.add_row(name, [median_ms, max_ms, platform_calls].map(u64::to_string).to_vec());
     }
     table.add_note("lossy against baseline", format!("{:.2}", report.lossy_ratio));
-    table.add_note("away against baseline", format!("{:.2}", report.away_ratio));
+    table.add_note("away against baseline", format!("{:.2}", report.unavailable_ratio));
     table.add_note("start while stale ms", report.stale_start_ms.to_string());
     table.add_note("reverts", report.reverts.to_string());
-    table.add_note("silent about invalid", report.silent_about_invalid.to_string());
+    table.add_note("silent about invalid", report.vms_without_config_error.to_string());
     table.print();
     if options.json {
         println!("{}", serde_json::to_string(&report)?);
     }
-    let is_clean = report.reverts + report.silent_about_invalid as u64 == 0;
+    let is_clean = report.reverts + report.vms_without_config_error as u64 == 0;
     Ok(if is_clean { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
@@ -93,21 +97,21 @@
     trial.links.set_all(Link { drop_share: DROP_SHARE, ..Link::default() });
     let lossy = measure_activation(&mut trial, &mut config, false).await?;
     trial.links.set_all(Link::default());
-    let away = measure_activation(&mut trial, &mut config, true).await?;
+    let unavailable = measure_activation(&mut trial, &mut config, true).await?;
     let (stale_start, reverts) = measure_stale_platform(&mut trial, config.version).await?;
-    let silent_about_invalid = measure_invalid_config(&mut trial, config.version).await?;
+    let vms_without_config_error = measure_invalid_config(&mut trial, config.version).await?;
     Ok(Report {
         experiment: "rollout",
         seed: settings.seed,
         vms: settings.vms,
         lossy_ratio: ratio(lossy.median_ms as f64, baseline.median_ms as f64),
-        away_ratio: ratio(away.median_ms as f64, baseline.median_ms as f64),
+        unavailable_ratio: ratio(unavailable.median_ms as f64, baseline.median_ms as f64),
         baseline,
         lossy,
-        away,
+        unavailable,
         stale_start_ms: millis(stale_start),
         reverts,
-        silent_about_invalid,
+        vms_without_config_error,
     })
 }
 
@@ -115,7 +119,7 @@
 async fn measure_activation(
     trial: &mut Trial,
     config: &mut Config,
-    makes_unavailable: bool,
+    platform_fails: bool,
 ) -> anyhow::Result<ActivationTimes> {
     let calls_before = trial.deployment.platform.calls();
     let mut times_ms = Vec::new();
@@ -124,7 +128,7 @@
         config.entry_lifetime_ms = if config.version.is_multiple_of(2) { 4_000 } else { 5_000 };
         let start = Instant::now();
         trial.deployment.platform.publish(config)?;
-        if makes_unavailable {
+        if platform_fails {
             wait_for_first(trial, config.version).await?;
             trial.deployment.platform.set_availability(Availability::Refusing);
         }
--- a/crates/pistachiotrack-standins/src/slopes/fleet.rs
+++ b/crates/pistachiotrack-standins/src/slopes/fleet.rs
@@ -18,7 +18,7 @@
 
 use super::{platform::Platform, sample};
 
-/// Time between two steps of the loop.
+/// Time between two steps of the simulation.
 const STEP_MS: u64 = 10;
 /// Time between two ticks of a VM's membership and configuration, as in the
 /// daemon.
@@ -285,8 +285,8 @@
         self.tick_due();
     }
 
-    /// Hands over what has arrived; datagrams in one batch, so that reading
-    /// the clock costs little beside them.
+    /// Delivers the events that are due. Datagrams are processed in one batch, so that reading the
+    /// clock adds little to their measured time.
     fn deliver_due(&mut self) {
         let mut datagrams = Vec::new();
         while let Some(entry) = self.events.first_entry() {
