--- a/crates/pistachiotrack-core/src/config_sync/candidates.rs
+++ b/crates/pistachiotrack-core/src/config_sync/candidates.rs
@@ -121,11 +121,11 @@
             });
         }
         if config.deployment != self.deployment {
-            let (wanted, found) = (self.deployment.as_str(), config.deployment.as_str());
+            let (expected, found) = (self.deployment.as_str(), config.deployment.as_str());
             return Some(ConfigError {
                 file: Name::from(source),
                 field: "deployment".to_owned(),
-                problem: format!("{found:?} is not this deployment, {wanted:?}"),
+                problem: format!("{found:?} is not this deployment, {expected:?}"),
             });
         }
         config.check(source).into_iter().next()
--- a/crates/pistachiotrack-core/src/rule.rs
+++ b/crates/pistachiotrack-core/src/rule.rs
@@ -189,7 +189,7 @@
 pub struct Mismatch {
     /// Name of the rule.
     pub rule: Name,
-    /// First condition that did not match, with the wanted and the found value.
+    /// First condition that did not match, with the expected and the actual value.
     pub condition: String,
 }
 
--- a/crates/pistachiotrack-core/src/rule/condition.rs
+++ b/crates/pistachiotrack-core/src/rule/condition.rs
@@ -15,16 +15,16 @@
 /// A condition of a rule that doesn't match, and the value found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FailedCondition<'a> {
-    Customer { wanted: &'a str, found: &'a str },
-    Host { wanted: &'a str, found: &'a str },
-    Method { wanted: &'a str, found: &'a str },
-    Path { wanted: &'a str, found: &'a str },
-    Header { wanted: &'a HeaderCondition, found: Option<&'a str> },
-    Class { wanted: &'a str, found: &'a str },
-    Service { wanted: &'a str, found: Option<&'a str> },
-    DataCentre { wanted: &'a str, found: &'a str },
+    Customer { expected: &'a str, found: &'a str },
+    Host { expected: &'a str, found: &'a str },
+    Method { expected: &'a str, found: &'a str },
+    Path { expected: &'a str, found: &'a str },
+    Header { expected: &'a HeaderCondition, found: Option<&'a str> },
+    Class { expected: &'a str, found: &'a str },
+    Service { expected: &'a str, found: Option<&'a str> },
+    DataCentre { expected: &'a str, found: &'a str },
     Floor { service: &'a str },
-    QueueWait { wanted: &'a QueueWaitCondition, found_ms: u64 },
+    QueueWait { expected: &'a QueueWaitCondition, found_ms: u64 },
 }
 
 impl Conditions {
@@ -42,39 +42,42 @@
         &'a self,
         request: &RequestAttributes<'a>,
     ) -> Option<FailedCondition<'a>> {
-        if let Some(wanted) = unequal(self.customer.as_deref(), request.customer) {
-            return Some(FailedCondition::Customer { wanted, found: request.customer });
+        if let Some(expected) = unequal(self.customer.as_deref(), request.customer) {
+            return Some(FailedCondition::Customer { expected, found: request.customer });
         }
-        if let Some(wanted) = unequal(self.host.as_deref(), request.host) {
-            return Some(FailedCondition::Host { wanted, found: request.host });
+        if let Some(expected) = unequal(self.host.as_deref(), request.host) {
+            return Some(FailedCondition::Host { expected, found: request.host });
         }
-        if let Some(wanted) = unequal(self.method.as_deref(), request.method) {
-            return Some(FailedCondition::Method { wanted, found: request.method });
+        if let Some(expected) = unequal(self.method.as_deref(), request.method) {
+            return Some(FailedCondition::Method { expected, found: request.method });
         }
-        if let Some(wanted) = self.path_prefix.as_deref()
-            && !path_starts_with(request.path, wanted)
+        if let Some(expected) = self.path_prefix.as_deref()
+            && !path_starts_with(request.path, expected)
         {
-            return Some(FailedCondition::Path { wanted, found: request.path });
+            return Some(FailedCondition::Path { expected, found: request.path });
         }
-        if let Some(wanted) = &self.header
-            && !has_header(request, wanted)
+        if let Some(expected) = &self.header
+            && !has_header(request, expected)
         {
-            let named = request.headers.iter().find(|(name, _)| *name == &*wanted.name);
-            return Some(FailedCondition::Header { wanted, found: named.map(|(_, value)| *value) });
+            let named = request.headers.iter().find(|(name, _)| *name == &*expected.name);
+            return Some(FailedCondition::Header {
+                expected,
+                found: named.map(|(_, value)| *value),
+            });
         }
-        if let Some(wanted) = self.class
-            && wanted != request.class
+        if let Some(expected) = self.class
+            && expected != request.class
         {
-            let (wanted, found) = (wanted.as_str(), request.class.as_str());
-            return Some(FailedCondition::Class { wanted, found });
+            let (expected, found) = (expected.as_str(), request.class.as_str());
+            return Some(FailedCondition::Class { expected, found });
         }
-        if let Some(wanted) = self.service.as_deref()
-            && Some(wanted) != request.service
+        if let Some(expected) = self.service.as_deref()
+            && Some(expected) != request.service
         {
-            return Some(FailedCondition::Service { wanted, found: request.service });
+            return Some(FailedCondition::Service { expected, found: request.service });
         }
-        if let Some(wanted) = unequal(self.data_centre.as_deref(), request.data_centre) {
-            return Some(FailedCondition::DataCentre { wanted, found: request.data_centre });
+        if let Some(expected) = unequal(self.data_centre.as_deref(), request.data_centre) {
+            return Some(FailedCondition::DataCentre { expected, found: request.data_centre });
         }
         None
     }
@@ -85,10 +88,10 @@
         {
             return Some(FailedCondition::Floor { service });
         }
-        if let Some(wanted) = &self.queue_wait_at_least {
-            let found_ms = services.queue_wait_ms(&wanted.service);
-            if found_ms < wanted.wait_ms {
-                return Some(FailedCondition::QueueWait { wanted, found_ms });
+        if let Some(expected) = &self.queue_wait_at_least {
+            let found_ms = services.queue_wait_ms(&expected.service);
+            if found_ms < expected.wait_ms {
+                return Some(FailedCondition::QueueWait { expected, found_ms });
             }
         }
         None
@@ -117,33 +120,35 @@
 }
 
 impl FailedCondition<'_> {
-    /// Returns a text with the condition, the wanted and the found value.
+    /// Returns a text with the condition, the expected and the actual value.
     pub(super) fn describe(&self) -> String {
         match self {
-            FailedCondition::Customer { wanted, found } => {
-                describe_values("customer", wanted, found)
+            FailedCondition::Customer { expected, found } => {
+                describe_values("customer", expected, found)
             }
-            FailedCondition::Host { wanted, found } => describe_values("host", wanted, found),
-            FailedCondition::Method { wanted, found } => describe_values("method", wanted, found),
-            FailedCondition::Path { wanted, found } => {
-                describe_values("path_prefix", wanted, found)
+            FailedCondition::Host { expected, found } => describe_values("host", expected, found),
+            FailedCondition::Method { expected, found } => {
+                describe_values("method", expected, found)
             }
-            FailedCondition::Header { wanted, found } => {
-                let name = wanted.name.as_str();
-                describe_optional(&format!("header {name}"), &wanted.value, *found)
+            FailedCondition::Path { expected, found } => {
+                describe_values("path_prefix", expected, found)
             }
-            FailedCondition::Class { wanted, found } => describe_values("class", wanted, found),
-            FailedCondition::Service { wanted, found } => {
-                describe_optional("service", wanted, *found)
+            FailedCondition::Header { expected, found } => {
+                let name = expected.name.as_str();
+                describe_optional(&format!("header {name}"), &expected.value, *found)
             }
-            FailedCondition::DataCentre { wanted, found } => {
-                describe_values("data_centre", wanted, found)
+            FailedCondition::Class { expected, found } => describe_values("class", expected, found),
+            FailedCondition::Service { expected, found } => {
+                describe_optional("service", expected, *found)
+            }
+            FailedCondition::DataCentre { expected, found } => {
+                describe_values("data_centre", expected, found)
             }
             FailedCondition::Floor { service } => {
                 format!("service_at_floor wanted={service:?} found=not at its floor")
             }
-            FailedCondition::QueueWait { wanted, found_ms } => {
-                let QueueWaitCondition { service, wait_ms } = wanted;
+            FailedCondition::QueueWait { expected, found_ms } => {
+                let QueueWaitCondition { service, wait_ms } = expected;
                 let service = service.as_str();
                 format!("queue_wait_at_least {service:?} wanted_ms={wait_ms} found_ms={found_ms}")
             }
@@ -151,12 +156,12 @@
     }
 }
 
-fn unequal<'a>(wanted: Option<&'a str>, found: &str) -> Option<&'a str> {
-    wanted.filter(|wanted| *wanted != found)
+fn unequal<'a>(expected: Option<&'a str>, found: &str) -> Option<&'a str> {
+    expected.filter(|expected| *expected != found)
 }
 
-fn has_header(request: &RequestAttributes<'_>, wanted: &HeaderCondition) -> bool {
-    let HeaderCondition { name, value } = wanted;
+fn has_header(request: &RequestAttributes<'_>, expected: &HeaderCondition) -> bool {
+    let HeaderCondition { name, value } = expected;
     request.headers.iter().any(|header| *header == (name.as_str(), value.as_str()))
 }
 
@@ -168,13 +173,13 @@
     }
 }
 
-fn describe_values(condition: &str, wanted: &str, found: &str) -> String {
-    format!("{condition} wanted={wanted:?} found={found:?}")
+fn describe_values(condition: &str, expected: &str, found: &str) -> String {
+    format!("{condition} wanted={expected:?} found={found:?}")
 }
 
-fn describe_optional(condition: &str, wanted: &str, found: Option<&str>) -> String {
+fn describe_optional(condition: &str, expected: &str, found: Option<&str>) -> String {
     match found {
-        Some(found) => describe_values(condition, wanted, found),
-        None => format!("{condition} wanted={wanted:?} found=none"),
+        Some(found) => describe_values(condition, expected, found),
+        None => format!("{condition} wanted={expected:?} found=none"),
     }
 }
--- a/crates/pistachiotrack-core/src/rule/index.rs
+++ b/crates/pistachiotrack-core/src/rule/index.rs
@@ -244,11 +244,11 @@
     /// Returns the combined hash of the conditions with a single value each, or
     /// `None` if the lookup can't match them.
     fn single_value_key(&self, mask: u8) -> Option<u64> {
-        let wanted = mask & !(PATH | HEADER);
-        if wanted & !self.present != 0 {
+        let required = mask & !(PATH | HEADER);
+        if required & !self.present != 0 {
             return None;
         }
-        let term = |condition: u8, hash: u64| if wanted & condition != 0 { hash } else { 0 };
+        let term = |condition: u8, hash: u64| if required & condition != 0 { hash } else { 0 };
         Some(
             term(CUSTOMER, self.customer)
                 ^ term(HOST, self.host)
--- a/crates/pistachiotrack-core/src/shard/action.rs
+++ b/crates/pistachiotrack-core/src/shard/action.rs
@@ -52,7 +52,7 @@
     /// Address of the endpoint.
     pub address: SocketAddr,
     /// VM that relays the request because this VM can't reach the endpoint.
-    pub via: Option<Name>,
+    pub relay: Option<Name>,
     /// Kind of connection to use.
     pub connection: ConnectionChoice,
     /// Time after which not even the first byte may be written.
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -198,7 +198,7 @@
                 continue;
             }
             let Some(pick) = self.pick(now, id, false) else { continue };
-            if pick.health_status != HealthState::Trial && self.retry_budget.take_for_hedge(now) {
+            if pick.health_state != HealthState::Trial && self.retry_budget.take_for_hedge(now) {
                 self.dispatch(now, id, pick);
             }
         }
@@ -263,10 +263,10 @@
 
     fn dispatch(&mut self, now: Time, id: RequestId, pick: Pick) {
         let attempt = self.next_attempt_id();
-        let give_up_at = self.give_up_at(now, id, pick.health_status);
-        let via = self.relay_for(&pick.name);
+        let give_up_at = self.give_up_at(now, id, pick.health_state);
+        let relay = self.relay_for(&pick.name);
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        let kind = if pick.health_status == HealthState::Trial {
+        let kind = if pick.health_state == HealthState::Trial {
             AttemptKind::Trial
         } else {
             AttemptKind::Request
@@ -274,15 +274,15 @@
         // A relay enforces the time limit itself, so that the timeout it reports counts as the
         // endpoint's.
         let deadline = pending.request.deadline;
-        let time_limit = give_up_at.filter(|_| via.is_some()).unwrap_or(deadline);
-        if let (Some(at), None) = (give_up_at, &via) {
+        let time_limit = give_up_at.filter(|_| relay.is_some()).unwrap_or(deadline);
+        if let (Some(at), None) = (give_up_at, &relay) {
             self.give_up_times.insert((at, attempt));
         }
         let wants_fresh = self.health.wants_fresh_connection(&pick.name);
         let connection = if wants_fresh {
             ConnectionChoice::Fresh
         } else {
-            connection_choice(pending, pick.health_status)
+            connection_choice(pending, pick.health_state)
         };
         if pending.tried.is_empty() {
             self.retry_budget.on_request(now);
@@ -306,7 +306,7 @@
                 request: Some(id),
                 customer: Some(pending.request.customer.clone()),
                 endpoint: pick.name.clone(),
-                via: via.clone(),
+                relay: relay.clone(),
                 kind,
                 dispatched_at: now,
                 time_limit,
@@ -329,7 +329,7 @@
                     .map(|seen| now.since(seen).as_millis() as u64),
             },
             address: pick.address,
-            via: via.clone(),
+            relay: relay.clone(),
             connection,
             not_after: pending.not_after,
             time_limit,
@@ -339,7 +339,7 @@
         if connection == ConnectionChoice::Fresh {
             self.health.on_fresh_connection(attempt);
         }
-        if via.is_some() {
+        if relay.is_some() {
             self.health.on_sent_via_relay(attempt);
         }
     }
@@ -385,7 +385,7 @@
     /// A hanging endpoint sends nothing until the deadline, when it is too late for a retry. An
     /// idempotent request that has another endpoint left is therefore given up halfway, unless
     /// half of its time is within the usual latencies.
-    fn give_up_at(&self, now: Time, id: RequestId, health_status: HealthState) -> Option<Time> {
+    fn give_up_at(&self, now: Time, id: RequestId, health_state: HealthState) -> Option<Time> {
         let pending = self.pending.get(&id)?;
         let deadline = pending.request.deadline;
         let can_retry = self.mechanisms.attempt_abandonment
@@ -398,7 +398,7 @@
         let half = remaining(deadline, now) / 2;
         let p95_limit = self.latency.p95().map(|p95| p95 * GIVE_UP_P95_FACTOR);
         let allowed = match p95_limit {
-            Some(p95_limit) if health_status == HealthState::Trial => half.min(p95_limit),
+            Some(p95_limit) if health_state == HealthState::Trial => half.min(p95_limit),
             Some(p95_limit) => half.max(p95_limit),
             None => half,
         };
@@ -427,7 +427,7 @@
             request: None,
             customer: None,
             endpoint,
-            via: None,
+            relay: None,
             kind: AttemptKind::Probe,
             dispatched_at: now,
             time_limit,
@@ -458,12 +458,12 @@
 /// repeated would be lost on it with an unknown outcome, so it gets a connection that has
 /// answered recently, or a new one if the endpoint is suspect. A retry after a failure on a
 /// pooled connection gets a new one, which distinguishes the two causes.
-fn connection_choice(pending: &PendingRequest, health_status: HealthState) -> ConnectionChoice {
+fn connection_choice(pending: &PendingRequest, health_state: HealthState) -> ConnectionChoice {
     let is_suspect = matches!(
-        health_status,
+        health_state,
         HealthState::Suspect | HealthState::HeldByFloor | HealthState::Trial
     );
-    if pending.needs_fresh_connection || health_status == HealthState::Trial {
+    if pending.needs_fresh_connection || health_state == HealthState::Trial {
         ConnectionChoice::Fresh
     } else if pending.request.idempotent {
         ConnectionChoice::Any
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct PoolEntry {
     pub(super) endpoint: Endpoint,
-    pub(super) health_status: HealthState,
+    pub(super) health_state: HealthState,
     pub(super) in_flight: u32,
     /// Share of its slots that may be used, as the health checker sets it.
     slot_share: f64,
@@ -86,7 +86,7 @@
             && !self.is_reserved_for_peers
             && !self.endpoint.leaving
             && self.slot_share > 0.0
-            && !matches!(self.health_status, HealthState::Ejected | HealthState::Draining)
+            && !matches!(self.health_state, HealthState::Ejected | HealthState::Draining)
     }
 }
 
@@ -175,7 +175,7 @@
         for endpoint in endpoints {
             let entry = self.endpoints.entry(endpoint.name.clone()).or_insert_with(|| PoolEntry {
                 endpoint: endpoint.clone(),
-                health_status: HealthState::Healthy,
+                health_state: HealthState::Healthy,
                 in_flight: 0,
                 slot_share: 1.0,
                 limit: 0,
@@ -222,7 +222,7 @@
         self.rate_limited_per_second = 0.0;
         let share = self.rate_share;
         for (name, entry) in &mut self.endpoints {
-            entry.health_status = health.state(name);
+            entry.health_state = health.state(name);
             if now >= entry.predecessor_until {
                 entry.predecessor_in_flight = 0;
             }
@@ -270,13 +270,13 @@
         self.endpoints
             .values()
             .filter(|entry| entry.accepts_requests())
-            .filter(|entry| idempotent || entry.health_status != HealthState::Trial)
+            .filter(|entry| idempotent || entry.health_state != HealthState::Trial)
             .count()
     }
 
     pub(super) fn has_free_slot(&self, now: Time) -> bool {
         let is_free = |entry: &PoolEntry| {
-            entry.is_free(now, self.rate_share) && entry.health_status != HealthState::Trial
+            entry.is_free(now, self.rate_share) && entry.health_state != HealthState::Trial
         };
         self.in_flight < self.in_flight_limit && self.endpoints.values().any(is_free)
     }
@@ -303,11 +303,11 @@
             if is_tried && !criteria.allow_already_tried {
                 continue;
             }
-            let is_trial = entry.health_status == HealthState::Trial;
+            let is_trial = entry.health_state == HealthState::Trial;
             if is_trial && (is_tried || !criteria.idempotent || !criteria.allow_trial) {
                 continue;
             }
-            let rank = match entry.health_status {
+            let rank = match entry.health_state {
                 HealthState::Suspect => 1,
                 HealthState::HeldByFloor => 2,
                 _ => 0,
@@ -465,7 +465,7 @@
     if are_limits_halved {
         limit = limit.min((all / TAKEOVER_DIVISOR).max(1));
     }
-    if mode == ShardMode::Careful || entry.health_status == HealthState::Trial {
+    if mode == ShardMode::Careful || entry.health_state == HealthState::Trial {
         limit = 1;
     }
     limit
--- a/crates/pistachiotrack-core/src/shard/pool/pick.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/pick.rs
@@ -27,7 +27,7 @@
 pub(in crate::shard) struct Pick {
     pub(in crate::shard) name: Name,
     pub(in crate::shard) address: SocketAddr,
-    pub(in crate::shard) health_status: HealthState,
+    pub(in crate::shard) health_state: HealthState,
     pub(in crate::shard) reason: SelectionReason,
 }
 
@@ -36,7 +36,7 @@
         Pick {
             name: entry.endpoint.name.clone(),
             address: entry.endpoint.address,
-            health_status: entry.health_status,
+            health_state: entry.health_state,
             reason,
         }
     }
--- a/crates/pistachiotrack-core/src/shard/pool/ranking.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/ranking.rs
@@ -82,7 +82,7 @@
         if is_overdue(entry, criteria, context) {
             return 1 + risk_rank;
         }
-        let is_trial = u64::from(entry.health_status == HealthState::Trial);
+        let is_trial = u64::from(entry.health_state == HealthState::Trial);
         match (context.is_exploring, entry.risk >= EXPLORE_MIN_RISK) {
             (true, true) => MAX_OVERDUE_RANK + entry.last_observed_at.map_or(0, Time::as_millis),
             (true, false) => u64::MAX - 1 + is_trial,
@@ -152,7 +152,7 @@
 
 fn is_eligible(entry: &PoolEntry, criteria: &PickCriteria<'_>, context: &SelectionContext) -> bool {
     let is_tried = criteria.tried.contains(&entry.endpoint.name);
-    let is_trial = entry.health_status == HealthState::Trial;
+    let is_trial = entry.health_state == HealthState::Trial;
     let is_barred_trial = is_trial && (is_tried || !criteria.idempotent || !criteria.allow_trial);
     let is_new_or_overdue =
         is_new_and_idle(entry, criteria) || is_overdue(entry, criteria, context);
--- a/crates/pistachiotrack-core/src/shard/relay.rs
+++ b/crates/pistachiotrack-core/src/shard/relay.rs
@@ -31,7 +31,7 @@
     /// Removes a relay that failed to relay an attempt. The next one is used; if none is left,
     /// the health checker is informed and asks for new ones.
     pub(super) fn on_relay_outcome(&mut self, now: Time, state: &AttemptState, outcome: Outcome) {
-        let (Outcome::RelayFailed { .. }, Some(failed)) = (outcome, &state.via) else { return };
+        let (Outcome::RelayFailed { .. }, Some(failed)) = (outcome, &state.relay) else { return };
         let Some(relays) = self.relays.get_mut(&state.endpoint) else { return };
         relays.retain(|relay| relay != failed);
         if relays.is_empty() {
--- a/crates/pistachiotrack-core/src/shard/state.rs
+++ b/crates/pistachiotrack-core/src/shard/state.rs
@@ -100,7 +100,7 @@
     pub(super) customer: Option<Name>,
     pub(super) endpoint: Name,
     /// VM that relayed it.
-    pub(super) via: Option<Name>,
+    pub(super) relay: Option<Name>,
     pub(super) kind: AttemptKind,
     pub(super) dispatched_at: Time,
     pub(super) time_limit: Time,
--- a/crates/pistachiotrack-core/tests/config_support/fleet.rs
+++ b/crates/pistachiotrack-core/tests/config_support/fleet.rs
@@ -46,7 +46,7 @@
     reported_versions: BTreeMap<u32, u64>,
     /// Times of the platform's last responses to the other VMs, as they reported.
     reported_responses: BTreeMap<u32, Time>,
-    platform_answered: Option<Time>,
+    last_platform_response: Option<Time>,
     pub(crate) pulls: u64,
     pub(crate) pulled_bytes: u64,
     pub(crate) accepted: Vec<Arc<Config>>,
@@ -67,7 +67,7 @@
 
 #[derive(Clone)]
 enum Event {
-    Report { from: usize, version: u64, platform_answered: Option<Time> },
+    Report { from: usize, version: u64, last_platform_response: Option<Time> },
     PullRequest { from: usize, request: Vec<u8> },
     PullResponse { from: Name, response: Vec<u8> },
 }
@@ -202,7 +202,7 @@
             watches: Vec::new(),
             reported_versions: BTreeMap::new(),
             reported_responses: BTreeMap::new(),
-            platform_answered: None,
+            last_platform_response: None,
             pulls: 0,
             pulled_bytes: 0,
             accepted: Vec::new(),
@@ -243,8 +243,8 @@
         if let Some(version) = self.nodes[from].sync.version()
             && !self.nodes[from].paused
         {
-            let platform_answered = self.nodes[from].platform_answered;
-            self.send(from, to, Event::Report { from, version, platform_answered });
+            let last_platform_response = self.nodes[from].last_platform_response;
+            self.send(from, to, Event::Report { from, version, last_platform_response });
         }
     }
 
@@ -303,7 +303,7 @@
             return;
         }
         match event {
-            Event::Report { from, version, platform_answered } => {
+            Event::Report { from, version, last_platform_response } => {
                 if self.nodes[from].partition != self.nodes[to].partition {
                     return;
                 }
@@ -311,7 +311,7 @@
                 self.nodes[to].reported_versions.insert(from as u32, version);
                 self.nodes[to]
                     .reported_responses
-                    .extend(platform_answered.map(|at| (from as u32, at)));
+                    .extend(last_platform_response.map(|at| (from as u32, at)));
                 let actions = self.nodes[to].sync.on_peer_version(self.now, &peer, version);
                 self.perform(to, actions);
             }
@@ -374,7 +374,7 @@
                     continue;
                 }
             };
-            self.nodes[index].platform_answered = Some(self.now);
+            self.nodes[index].last_platform_response = Some(self.now);
             let is_newer = actions.iter().any(|it| matches!(it, ConfigAction::Activate(_)));
             self.perform(index, actions);
             if is_newer && self.announces_changes {
--- a/crates/pistachiotrack-core/tests/relays.rs
+++ b/crates/pistachiotrack-core/tests/relays.rs
@@ -22,8 +22,8 @@
     harness.attempts[&attempt].dispatch.endpoint.clone()
 }
 
-fn via(harness: &Harness, attempt: AttemptId) -> Option<Name> {
-    harness.attempts[&attempt].dispatch.via.clone()
+fn relay_of(harness: &Harness, attempt: AttemptId) -> Option<Name> {
+    harness.attempts[&attempt].dispatch.relay.clone()
 }
 
 fn state(harness: &Harness, endpoint: &str) -> Name {
@@ -32,7 +32,7 @@
 }
 
 fn is_cut(harness: &Harness, attempt: AttemptId, cut: &[&str]) -> bool {
-    via(harness, attempt).is_none() && cut.contains(&&*endpoint(harness, attempt))
+    relay_of(harness, attempt).is_none() && cut.contains(&&*endpoint(harness, attempt))
 }
 
 /// Serves one request while the owner's path to some endpoints is broken.
@@ -224,7 +224,8 @@
     }
     for unreachable in cut {
         let relayed = harness.attempts.values().filter(|record| {
-            record.dispatch.endpoint == name(unreachable) && record.dispatch.via == Some(name("w1"))
+            record.dispatch.endpoint == name(unreachable)
+                && record.dispatch.relay == Some(name("w1"))
         });
         assert!(relayed.count() > 20, "{unreachable}");
         assert_eq!(&*state(&harness, unreachable), "healthy");
@@ -239,7 +240,7 @@
     let mut harness = relayed_harness(3, &["w1", "w2"]);
     let id = send_to_e0(&mut harness, false);
     let attempt = harness.attempt(id);
-    assert_eq!(via(&harness, attempt), Some(name("w1")));
+    assert_eq!(relay_of(&harness, attempt), Some(name("w1")));
     harness.outcome(attempt, Outcome::RelayFailed { sent: true });
     assert_eq!(harness.refusal(id), Some((Execution::Unknown, Reason::AnswerLost)));
     assert_eq!(harness.attempts_of(id).len(), 1);
@@ -277,7 +278,7 @@
     assert!(gaps.len() >= 4 && gaps[..4].windows(2).all(|pair| pair[1] > pair[0]), "{gaps:?}");
     assert!(tries.len() <= 7, "{tries:?}");
     let id = send_to_e0(&mut harness, true);
-    assert_eq!(via(&harness, harness.attempt(id)), Some(name("w1")));
+    assert_eq!(relay_of(&harness, harness.attempt(id)), Some(name("w1")));
     harness.answer(harness.attempt(id));
 
     while harness.probes.is_empty() {
@@ -285,7 +286,7 @@
     }
     harness.probe_outcome(answered(200));
     let id = send_to_e0(&mut harness, true);
-    assert_eq!(via(&harness, harness.attempt(id)), None);
+    assert_eq!(relay_of(&harness, harness.attempt(id)), None);
     harness.answer(harness.attempt(id));
     check(&harness);
 }
@@ -298,7 +299,7 @@
     let mut harness = relayed_harness(3, &["w1", "w2"]);
     for (relay, sent) in [("w1", true), ("w2", false)] {
         let id = send_to_e0(&mut harness, true);
-        assert_eq!(via(&harness, harness.attempt(id)), Some(name(relay)));
+        assert_eq!(relay_of(&harness, harness.attempt(id)), Some(name(relay)));
         assert!(harness.path_checks.is_empty());
         harness.outcome(harness.attempt(id), Outcome::RelayFailed { sent });
         harness.answer(harness.attempt(id));
@@ -308,7 +309,7 @@
     assert_eq!(harness.path_checks, [name("e0")]);
     set_relays(&mut harness, "e0", &["w3"]);
     let id = send_to_e0(&mut harness, true);
-    assert_eq!(via(&harness, harness.attempt(id)), Some(name("w3")));
+    assert_eq!(relay_of(&harness, harness.attempt(id)), Some(name("w3")));
     harness.outcome(harness.attempt(id), Outcome::RelayFailed { sent: false });
     harness.answer(harness.attempt(id));
 
@@ -328,7 +329,7 @@
 fn a_paused_relay_does_not_count_against_the_endpoint() {
     let mut harness = relayed_harness(3, &["w1", "w2"]);
     let held = fill_e0(&mut harness);
-    assert!(held.iter().all(|attempt| via(&harness, *attempt).is_some()));
+    assert!(held.iter().all(|attempt| relay_of(&harness, *attempt).is_some()));
     for _ in 0..150 {
         serve(&mut harness, &["e0"]);
     }
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -76,9 +76,9 @@
     }
 }
 
-fn outcome(kind: u8, is_via: bool) -> Outcome {
+fn outcome(kind: u8, is_relayed: bool) -> Outcome {
     let fresh_connection = kind & 0x80 != 0;
-    if is_via && kind & 0x70 == 0 {
+    if is_relayed && kind & 0x70 == 0 {
         return Outcome::RelayFailed { sent: kind & 1 == 0 };
     }
     match kind % 12 {
@@ -106,7 +106,7 @@
         harness.send(1_000, |_| {});
         for attempt in harness.in_flight() {
             let dispatch = &harness.attempts[&attempt].dispatch;
-            if dispatch.endpoint == cut.name && dispatch.via.is_none() {
+            if dispatch.endpoint == cut.name && dispatch.relay.is_none() {
                 harness.outcome(attempt, Outcome::ConnectFailed);
             }
         }
@@ -127,10 +127,10 @@
         }
         Step::Outcome { pick, kind, draining } => {
             let Some(attempt) = choose(&harness.in_flight(), pick) else { return };
-            let is_via = harness.attempts[&attempt].dispatch.via.is_some();
+            let is_relayed = harness.attempts[&attempt].dispatch.relay.is_some();
             harness.outcome_with(
                 attempt,
-                outcome(kind, is_via),
+                outcome(kind, is_relayed),
                 EndpointReport { in_flight: None, draining, ..EndpointReport::default() },
             );
         }
--- a/crates/pistachiotrack-core/tests/shard_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shard_support/mod.rs
@@ -339,8 +339,8 @@
             self.tick(1_000);
         }
         for (id, record) in &self.requests {
-            let wanted = usize::from(!record.cancelled);
-            if record.final_actions.len() < wanted {
+            let min_final_actions = usize::from(!record.cancelled);
+            if record.final_actions.len() < min_final_actions {
                 self.violations.push(format!("{id:?} has no final action"));
             }
         }
--- a/crates/pistachiotrack-standins/src/fleet.rs
+++ b/crates/pistachiotrack-standins/src/fleet.rs
@@ -90,9 +90,9 @@
 
     /// Requests the status of all daemons; omits those that don't answer.
     pub async fn statuses(&self) -> Vec<Status> {
-        let asked =
+        let requests =
             self.daemons.iter().map(|daemon| self.admin.status(daemon.settings().admin_address));
-        join_all(asked).await.into_iter().filter_map(Result::ok).collect()
+        join_all(requests).await.into_iter().filter_map(Result::ok).collect()
     }
 
     /// Waits until `ready` holds for all daemons and returns the time it took.
--- a/crates/pistachiotrackd/src/attempt.rs
+++ b/crates/pistachiotrackd/src/attempt.rs
@@ -59,7 +59,7 @@
         time_left: remaining(inbound.deadline, context.clock.now()),
     };
     let head = request_head(&context, &inbound, metadata);
-    let (pool, result) = match &dispatch.via {
+    let (pool, result) = match &dispatch.relay {
         None => {
             let target = Target {
                 address: dispatch.address,
@@ -84,7 +84,7 @@
     let result = result.map(|answer| (read(&answer), answer));
     let mut end = AttemptEnd {
         endpoint: dispatch.endpoint.clone(),
-        address: dispatch.via.is_none().then_some(dispatch.address),
+        address: dispatch.relay.is_none().then_some(dispatch.address),
         selection: dispatch.selection,
         elapsed: context.clock.now().since(started_at),
         outcome: Outcome::NotSent,
@@ -99,7 +99,7 @@
                 "event=attempt_failed request={} endpoint={} via={} error={error:?}",
                 inbound.fleet_id,
                 end.endpoint,
-                dispatch.via.as_deref().unwrap_or_default()
+                dispatch.relay.as_deref().unwrap_or_default()
             );
             end.outcome = outcome;
         }
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -331,8 +331,8 @@
     /// Blocks or unblocks direct connections from this VM to an endpoint, as a
     /// firewall that rejects them would; for tests.
     #[doc(hidden)]
-    pub fn set_path_cut(&self, endpoint: SocketAddr, is_cut: bool) {
-        self.context.endpoints.set_blocked(endpoint, is_cut);
+    pub fn set_path_blocked(&self, endpoint: SocketAddr, is_blocked: bool) {
+        self.context.endpoints.set_blocked(endpoint, is_blocked);
     }
 
     /// Serves until the process receives SIGTERM or SIGINT, or a newer daemon
--- a/crates/pistachiotrackd/tests/relayed_requests.rs
+++ b/crates/pistachiotrackd/tests/relayed_requests.rs
@@ -91,7 +91,7 @@
     let booking = Endpoint::answering("booked").await;
     let mut fleet = ThreeVmFleet::start(&[&booking]).await;
     assert_eq!(fleet.send(booking_request()).await.body(), "booked");
-    fleet.owner.set_path_cut(booking.address, true);
+    fleet.owner.set_path_blocked(booking.address, true);
     let mut answered = 1;
     for _ in 0..20 {
         let booked = fleet.book_until_answered().await;
@@ -110,7 +110,7 @@
         assert!(!request.headers().contains_key(header::HOP));
     }
 
-    fleet.owner.set_path_cut(booking.address, false);
+    fleet.owner.set_path_blocked(booking.address, false);
     for other in &mut fleet.others {
         other.kill().await;
     }
@@ -132,7 +132,7 @@
     })
     .await;
     let mut fleet = ThreeVmFleet::start(&[&booking]).await;
-    fleet.owner.set_path_cut(booking.address, true);
+    fleet.owner.set_path_blocked(booking.address, true);
     fleet.book_until_answered().await;
     release.send_replace(false);
     let before = booking.received().len();
@@ -166,7 +166,7 @@
     })
     .await;
     let fleet = ThreeVmFleet::start(&[&booking]).await;
-    fleet.owner.set_path_cut(booking.address, true);
+    fleet.owner.set_path_blocked(booking.address, true);
     fleet.book_until_answered().await;
     sender.send_replace(true);
     let refused = fleet.send(booking_request()).await;
@@ -184,7 +184,7 @@
     })
     .await;
     let fleet = ThreeVmFleet::start(&[&booking]).await;
-    fleet.owner.set_path_cut(booking.address, true);
+    fleet.owner.set_path_blocked(booking.address, true);
     let start = std::time::Instant::now();
     loop {
         match client::send(fleet.owner.caller_address(), booking_request()).await {
@@ -212,7 +212,7 @@
     })
     .await;
     let fleet = ThreeVmFleet::start(&[&booking]).await;
-    fleet.owner.set_path_cut(booking.address, true);
+    fleet.owner.set_path_blocked(booking.address, true);
     fleet.book_until_answered().await;
     release.send_replace(false);
     let before = booking.received().len();
