--- a/crates/pistachiotrack-core/src/config_sync.rs
+++ b/crates/pistachiotrack-core/src/config_sync.rs
@@ -401,7 +401,7 @@
     }
 
     fn start_pull(&mut self, now: Time) -> Vec<ConfigAction> {
-        self.pull_client.wants_full |= self.version().is_none();
+        self.pull_client.needs_full |= self.version().is_none();
         let timeouts = PullTimeouts {
             delta: Duration::from_millis(self.settings.delta_timeout_ms),
             full: Duration::from_millis(self.settings.pull_timeout_ms),
@@ -413,7 +413,7 @@
         let pull = PullRequest {
             deployment: self.deployment.clone(),
             requester: self.me.clone(),
-            base: self.store.active_version().filter(|_| !self.pull_client.wants_full),
+            base: self.store.active_version().filter(|_| !self.pull_client.needs_full),
             newer_than: self.version(),
         };
         match postcard::to_stdvec(&pull) {
@@ -437,7 +437,7 @@
                 let candidate = self.store.apply_deltas(payloads);
                 // Either the base differs from the peer's under the same version, or
                 // the delta is damaged. Only the full configuration helps.
-                self.pull_client.wants_full = candidate.is_none();
+                self.pull_client.needs_full = candidate.is_none();
                 candidate
             }
         }
--- a/crates/pistachiotrack-core/src/config_sync/pull_client.rs
+++ b/crates/pistachiotrack-core/src/config_sync/pull_client.rs
@@ -10,9 +10,9 @@
 
 /// Maximum number of peers tracked as holders of a newer version.
 const MAX_HOLDERS: usize = 64;
-/// Delay before a peer with an unusable response is asked again.
+/// Delay before a peer with an unusable response is sent another request.
 const UNUSABLE_DELAY: Duration = Duration::from_secs(1);
-/// Delay before a peer that didn't respond is asked again.
+/// Delay before a peer that didn't respond is sent another request.
 const UNRESPONSIVE_DELAY: Duration = Duration::from_millis(400);
 /// Time after which a pull is abandoned in favour of a peer that has announced a version
 /// meanwhile, if the previous pull timed out as well.
@@ -28,7 +28,7 @@
     holders: FxHashMap<Name, Holder>,
     in_flight: Option<InFlight>,
     /// Whether the next request asks for the full configuration.
-    pub(super) wants_full: bool,
+    pub(super) needs_full: bool,
     rejected: Option<RejectedVersion>,
     consecutive_timeouts: u32,
 }
@@ -105,7 +105,7 @@
     }
 
     /// Records that a peer at its bandwidth limit redirected this VM to other holders.
-    /// They are just receiving the version, so they are asked after a delay, which is
+    /// They are just receiving the version, so they are queried after a delay, which is
     /// randomized so that requests don't coincide.
     pub(super) fn on_redirect(
         &mut self,
@@ -142,10 +142,10 @@
     /// Removes the peers that have nothing newer than `active`.
     pub(super) fn on_activated(&mut self, active: u64) {
         self.holders.retain(|_, holder| holder.version > active);
-        self.wants_full = false;
+        self.needs_full = false;
     }
 
-    /// Starts a pull and returns the peer to ask, unless one is in flight already.
+    /// Starts a pull and returns the peer to query, unless one is in flight already.
     pub(super) fn start(
         &mut self,
         now: Time,
@@ -160,7 +160,7 @@
         // With a long timeout, a lost message would use up much of the time in which a
         // change has to arrive. With a short one, a full configuration over a slow
         // link would be requested from many peers.
-        let use_full_timeout = self.wants_full || self.consecutive_timeouts == MAX_SHORT_TIMEOUTS;
+        let use_full_timeout = self.needs_full || self.consecutive_timeouts == MAX_SHORT_TIMEOUTS;
         let timeout = if use_full_timeout { timeouts.full } else { timeouts.delta };
         self.in_flight =
             Some(InFlight { peer: vm.name.clone(), started: now, until: now + timeout });
@@ -239,7 +239,7 @@
     }
 
     /// Delays further pulls of a version whose content was rejected, exponentially.
-    /// Every peer may have the same content, and each would be asked in turn.
+    /// Every peer may have the same content, and each would be queried in turn.
     pub(super) fn back_off_version(&mut self, now: Time, version: u64) {
         let previous = self.rejected.filter(|rejected| rejected.version == version);
         let rejections =
@@ -248,7 +248,7 @@
         self.rejected = Some(RejectedVersion { version, rejections, until });
     }
 
-    /// Returns the newest version among the peers that may be asked now.
+    /// Returns the newest version among the peers that may be queried now.
     pub(super) fn newest_available(&self, now: Time) -> Option<u64> {
         let available = self.holders.values().filter(|holder| now >= holder.not_before);
         available.map(|holder| holder.version).max()
--- a/crates/pistachiotrack-core/src/config_sync/settings.rs
+++ b/crates/pistachiotrack-core/src/config_sync/settings.rs
@@ -21,7 +21,7 @@
     pub standby_backoff_ms: u64,
     /// Time after which the platform ends a pending watch.
     pub watch_timeout_ms: u64,
-    /// Timeout of a pull of deltas, after which another peer is asked.
+    /// Timeout of a pull of deltas, after which another peer is queried.
     pub delta_timeout_ms: u64,
     /// Timeout of a pull of the full configuration, or of a pull after several timeouts.
     pub pull_timeout_ms: u64,
--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -108,7 +108,7 @@
     Failures,
     /// Answers were late or missing.
     Slow,
-    /// Neither this VM nor the VMs that were asked could reach it.
+    /// Neither this VM nor the VMs that were queried could reach it.
     Unreachable,
     /// Another endpoint answered at its address.
     Replaced,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Answer of other VMs that were asked whether they reach an endpoint.
+/// Answer of other VMs that were queried whether they reach an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathAnswer {
     /// Other VMs reach it: this VM's path is broken.
@@ -173,7 +173,7 @@
         /// The endpoint.
         endpoint: Name,
     },
-    /// Other VMs are to be asked whether they reach the endpoint.
+    /// Other VMs must be queried whether they reach the endpoint.
     CheckPath {
         /// The endpoint.
         endpoint: Name,
--- a/crates/pistachiotrack-core/src/health/state.rs
+++ b/crates/pistachiotrack-core/src/health/state.rs
@@ -39,12 +39,12 @@
     SlowStart { since: Time },
 }
 
-/// State of asking other VMs whether they reach an endpoint.
+/// State of the query to other VMs whether they reach an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PathCheck {
-    /// No VM was asked.
+    /// No VM was queried.
     NotRequested,
-    /// Other VMs were asked at this time.
+    /// Other VMs were queried at this time.
     Requested(Time),
     /// Other VMs don't reach it either, or none answered.
     Confirmed(Time),
--- a/crates/pistachiotrack-core/src/membership/table.rs
+++ b/crates/pistachiotrack-core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of known members, with indexes for fast look-ups.
+//! The table of known members, with indexes for fast lookups.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
--- a/crates/pistachiotrack-core/src/shard/completion.rs
+++ b/crates/pistachiotrack-core/src/shard/completion.rs
@@ -129,9 +129,9 @@
     /// wasn't meant for. A trial is started by the fleet itself and never counts against the
     /// caller.
     ///
-    /// Requests that another endpoint turned away count as well: when endpoints restart under
+    /// Requests that another endpoint rejected count as well: when endpoints restart under
     /// other names and the VMs have not been informed yet, a hundred requests in ten seconds can
-    /// be turned away at the old addresses, and resending them all would exceed the service's
+    /// be rejected at the old addresses, and resending them all would exceed the service's
     /// retry limit.
     fn try_take_retry(&mut self, now: Time, state: &AttemptState, outcome: Outcome) -> bool {
         let never_arrived = matches!(
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -18,7 +18,7 @@
     BodyEnd { pick: u8, end: u8, stored: u8 },
     Probe { kind: u8 },
     Cancel { pick: u8 },
-    Witnesses { count: u8 },
+    Relays { count: u8 },
     Tick { ms: u8 },
     Pause { ms: u16 },
     Config { variant: u8 },
@@ -48,7 +48,7 @@
             },
             50 => Step::Probe { kind: u8::arbitrary(g) },
             51..=53 => Step::Cancel { pick: u8::arbitrary(g) },
-            54 => Step::Witnesses { count: u8::arbitrary(g) },
+            54 => Step::Relays { count: u8::arbitrary(g) },
             55..=59 => Step::Tick { ms: u8::arbitrary(g) },
             60 => Step::Pause { ms: u16::arbitrary(g) % 3_000 },
             61 => Step::Config { variant: u8::arbitrary(g) },
@@ -166,7 +166,7 @@
             let Some(id) = choose(&open, pick) else { return };
             harness.cancel(id);
         }
-        Step::Witnesses { count } => {
+        Step::Relays { count } => {
             fail_connects(harness, usize::from(count) % 4);
             let relays: Vec<Name> = (0..count % 4).map(|vm| Name::from(format!("w{vm}"))).collect();
             for checked in std::mem::take(&mut harness.path_checks) {
--- a/crates/pistachiotrack-core/tests/shared_shard.rs
+++ b/crates/pistachiotrack-core/tests/shared_shard.rs
@@ -394,7 +394,7 @@
 }
 
 /// Endpoints restart under other names, the VMs have not been informed yet, and everything sent
-/// to them is turned away. If each of these requests were resent regardless of the limit, the
+/// to them is rejected. If each of these requests were resent regardless of the limit, the
 /// fleet would send more retries than the service allows; beyond it, callers get a refusal that
 /// says their request was not run.
 #[test]
--- a/crates/pistachiotrackd/src/fleet.rs
+++ b/crates/pistachiotrackd/src/fleet.rs
@@ -57,8 +57,8 @@
 /// Interval of ownership updates without a membership or configuration change;
 /// needed for changes that hysteresis delays.
 const OWNERSHIP_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval at which the connection pools are swept.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which expired idle connections are closed.
+const POOL_CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Arguments of the fleet actor.
 pub(crate) struct FleetArgs {
@@ -92,7 +92,7 @@
     active: Option<Arc<ActiveConfig>>,
     published_revision: Option<u64>,
     ownership_updated: Time,
-    last_sweep: Time,
+    last_pool_cleanup: Time,
 }
 
 impl Actor for Fleet {
@@ -120,11 +120,11 @@
         let watch_wait = Duration::from_millis(sync_settings.watch_timeout_ms);
         let source = context.source.clone().unwrap_or_else(|| {
             let platform = Platform::new(settings, Arc::clone(&context.traffic));
-            let list_reads = ListReadSchedule::new(sync_settings.clone(), seed);
+            let list_schedule = ListReadSchedule::new(sync_settings.clone(), seed);
             tokio::spawn(platform.clone().maintain_vm_list(
                 actor_ref.clone(),
                 is_watching,
-                list_reads,
+                list_schedule,
             ));
             Arc::new(platform)
         });
@@ -145,7 +145,7 @@
             active: None,
             published_revision: None,
             ownership_updated: now,
-            last_sweep: now,
+            last_pool_cleanup: now,
         })
     }
 }
@@ -291,8 +291,8 @@
         if now.since(self.ownership_updated) >= OWNERSHIP_UPDATE_INTERVAL {
             self.update_ownership(now);
         }
-        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
-            self.last_sweep = now;
+        if now.since(self.last_pool_cleanup) >= POOL_CLEANUP_INTERVAL {
+            self.last_pool_cleanup = now;
             self.context.endpoints.close_expired();
             self.context.peers.close_expired();
         }
--- a/crates/pistachiotrackd/src/path_check.rs
+++ b/crates/pistachiotrackd/src/path_check.rs
@@ -14,12 +14,12 @@
 };
 
 /// Time limit for an answer.
-const ASK_TIMEOUT: Duration = Duration::from_millis(800);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Asks other VMs whether they reach an endpoint.
+/// Queries other VMs whether they reach an endpoint.
 ///
 /// If only this VM's path to an endpoint is broken, the endpoint must not be ejected as faulty.
-/// The VMs that are asked are in other data centres if there are any, and reach the endpoint by
+/// The queried VMs are in other data centres if there are any, and reach the endpoint by
 /// other paths.
 #[derive(Clone, Debug)]
 pub(crate) struct PathCheck {
@@ -28,14 +28,18 @@
 }
 
 impl PathCheck {
-    /// Creates a check that asks the VMs of `view`.
+    /// Creates a check that queries the VMs of `view`.
     pub(crate) fn new(me: Vm, view: watch::Receiver<Arc<FleetView>>) -> PathCheck {
         PathCheck { me, view }
     }
 
-    /// Asks the other VMs and returns their combined answer, with the first VM that reaches the
+    /// Queries the other VMs and returns their combined answer, with the first VM that reaches the
     /// endpoint, if any.
-    pub(crate) async fn ask(&self, endpoint: Name, address: SocketAddr) -> (PathAnswer, Vec<Name>) {
+    pub(crate) async fn query(
+        &self,
+        endpoint: Name,
+        address: SocketAddr,
+    ) -> (PathAnswer, Vec<Name>) {
         let Ok(question) = postcard::to_stdvec(&ReachRequest { endpoint, address }) else {
             return (PathAnswer::NoAnswer, Vec::new());
         };
@@ -60,8 +64,8 @@
         (answer, Vec::new())
     }
 
-    /// Returns the VMs to ask: from two data centres, not from this VM's own if there are others,
-    /// and different ones for each endpoint and asking VM.
+    /// Returns the VMs to query: from two data centres, not from this VM's own if there are others,
+    /// and different ones for each endpoint and querying VM.
     fn probing_vms(&self, endpoint: SocketAddr) -> Vec<Vm> {
         let view = Arc::clone(&self.view.borrow());
         let mut alive: Vec<&Vm> = view
@@ -83,6 +87,6 @@
 
 async fn ask_one(vm: &Vm, question: Vec<u8>) -> Option<ReachResponse> {
     let answer =
-        peer_client::send_request(vm.peer_address, REACH_PATH, question, ASK_TIMEOUT).await;
+        peer_client::send_request(vm.peer_address, REACH_PATH, question, QUERY_TIMEOUT).await;
     postcard::from_bytes(&answer.ok()?).ok()
 }
--- a/crates/pistachiotrackd/src/peer_client.rs
+++ b/crates/pistachiotrackd/src/peer_client.rs
@@ -16,10 +16,10 @@
     #[error(transparent)]
     Call(#[from] CallError),
     /// The request can't be built.
-    #[error("request: {0}")]
+    #[error("request can't be built: {0}")]
     Request(#[from] hyper::http::Error),
     /// The response has an unexpected status.
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(StatusCode),
     /// No response arrived in time.
     #[error("no response within {}ms", .0.as_millis())]
--- a/crates/pistachiotrackd/src/platform.rs
+++ b/crates/pistachiotrackd/src/platform.rs
@@ -39,19 +39,19 @@
     #[error(transparent)]
     Call(#[from] CallError),
     /// The request can't be built.
-    #[error("request: {0}")]
+    #[error("request can't be built: {0}")]
     Request(#[from] hyper::http::Error),
     /// The value can't be decoded.
-    #[error("value: {0}")]
+    #[error("value can't be decoded: {0}")]
     Value(#[from] serde_json::Error),
     /// The compressed value can't be decoded.
     #[error(transparent)]
     Gzip(#[from] GzipError),
     /// The response has an unsupported content coding.
-    #[error("content-encoding {0:?}")]
+    #[error("unsupported content-encoding {0:?}")]
     Encoding(String),
     /// The response has an unexpected status.
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(StatusCode),
     /// No response arrived in time.
     #[error("no response in time")]
--- a/crates/pistachiotrackd/src/registry.rs
+++ b/crates/pistachiotrackd/src/registry.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RegistryError {
     /// The registry no longer has the changes since the revision.
-    #[error("history is gone")]
+    #[error("changes since the last read revision are no longer available")]
     HistoryGone,
     /// The registry can't be reached, rejects the request or sends an unexpected response.
     #[error(transparent)]
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -343,7 +343,7 @@
                 let Some(shard) = self.actor_ref.upgrade() else { return Vec::new() };
                 let check = self.path_check.clone();
                 tokio::spawn(async move {
-                    let (answer, relays) = check.ask(endpoint.clone(), address).await;
+                    let (answer, relays) = check.query(endpoint.clone(), address).await;
                     // A stopped shard needs no answer.
                     let _ = shard.tell(PathChecked { endpoint, answer, relays }).try_send();
                 });
--- a/crates/pistachiotrackd/src/shard_update_link.rs
+++ b/crates/pistachiotrackd/src/shard_update_link.rs
@@ -36,7 +36,7 @@
 const SHARD_DATAGRAM_TAG: u8 = 0x82;
 /// Minimum interval of log lines about dropped datagrams.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Number of dispatchers that are asked for a snapshot.
+/// Number of dispatchers that a snapshot is requested from.
 const SNAPSHOT_SOURCES: usize = 2;
 /// Endpoint estimates in one datagram of a snapshot: each takes about 20 bytes of the
 /// maximum of 1,200.
@@ -101,16 +101,16 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ShardDatagramError {
     /// It has another protocol version.
-    #[error("version {0:#x}, not {SHARD_DATAGRAM_TAG:#x}")]
+    #[error("datagram has version {0:#x}, expected {SHARD_DATAGRAM_TAG:#x}")]
     Version(u8),
     /// It is empty or exceeds the maximum length.
-    #[error("{0} bytes")]
+    #[error("datagram has an invalid length of {0} bytes")]
     Length(usize),
     /// It can't be decoded.
-    #[error("can't be decoded: {0}")]
+    #[error("datagram can't be decoded: {0}")]
     Unreadable(#[from] postcard::Error),
     /// It comes from another deployment, or from this VM.
-    #[error("sent by {0}")]
+    #[error("datagram comes from unexpected sender {0}")]
     Sender(Name),
 }
 
