--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Sort key: whether the endpoint was already tried, rank of its health status, load, and a
+/// Sort key: whether the endpoint was already tried, rank of its health state, load, and a
 /// random tie-break. The least is selected.
 type PickOrder = (bool, u32, u32, u32);
 
@@ -104,7 +104,7 @@
     in_flight: u32,
     in_flight_limit: u32,
     capacity: u32,
-    /// Requests per second that endpoints with a rate limit accept from all VMs in view.
+    /// Requests per second that endpoints with a rate limit accept from all visible VMs.
     rate_limited_per_second: f64,
     rate_share: RateShare,
     /// Slots of attempts that ended without an answer, by the time at which they are released.
--- a/crates/pistachiotrack-core/tests/admission.rs
+++ b/crates/pistachiotrack-core/tests/admission.rs
@@ -169,29 +169,29 @@
         .quickcheck(property as fn(Vec<(u8, u8, u8)>) -> bool);
 }
 
-/// Returns a world whose only slot is occupied; requests usually take 100 ms.
-fn busy_world() -> Harness {
-    let mut world = Harness::new(config(1, 1, &[("a", 3), ("b", 1)]));
+/// Returns a harness whose only slot is occupied; requests usually take 100 ms.
+fn busy_harness() -> Harness {
+    let mut harness = Harness::new(config(1, 1, &[("a", 3), ("b", 1)]));
     for _ in 0..40 {
-        let id = world.send(10_000, |_| {});
-        world.now += Duration::from_millis(100);
-        world.answer(world.attempt(id));
+        let id = harness.send(10_000, |_| {});
+        harness.now += Duration::from_millis(100);
+        harness.answer(harness.attempt(id));
     }
-    world.send(10_000, |_| {});
-    world
+    harness.send(10_000, |_| {});
+    harness
 }
 
 // A request whose expected wait exceeds its deadline is refused at once, so that the caller can
 // go elsewhere without waiting in vain.
 #[test]
 fn request_that_would_miss_its_deadline_is_refused_at_once() {
-    let mut world = busy_world();
+    let mut harness = busy_harness();
     for _ in 0..5 {
-        world.send(10_000, |_| {});
+        harness.send(10_000, |_| {});
     }
-    let id = world.send(300, |request| request.idempotent = false);
-    assert_eq!(world.refusal(id), Some((Execution::NotRun, Reason::WaitTooLong)));
-    let Some(ShardAction::Refuse { refusal, .. }) = world.requests[&id].final_actions.first()
+    let id = harness.send(300, |request| request.idempotent = false);
+    assert_eq!(harness.refusal(id), Some((Execution::NotRun, Reason::WaitTooLong)));
+    let Some(ShardAction::Refuse { refusal, .. }) = harness.requests[&id].final_actions.first()
     else {
         panic!("not refused");
     };
@@ -202,33 +202,33 @@
 // admitted; the least urgent request of the first customer is refused instead.
 #[test]
 fn full_queue_evicts_from_the_customer_with_the_largest_backlog() {
-    let mut world = busy_world();
-    let backlog: Vec<RequestId> = (0..8).map(|_| world.send(10_000, |_| {})).collect();
-    let more = world.send(10_000, |_| {});
-    assert_eq!(world.refusal(more), Some((Execution::NotRun, Reason::QueueFull)));
-    let other = world.send(10_000, |request| request.customer = Name::from("b"));
-    assert!(world.requests[&other].final_actions.is_empty());
-    let refused = backlog.iter().filter(|id| world.refusal(**id).is_some()).count();
+    let mut harness = busy_harness();
+    let backlog: Vec<RequestId> = (0..8).map(|_| harness.send(10_000, |_| {})).collect();
+    let more = harness.send(10_000, |_| {});
+    assert_eq!(harness.refusal(more), Some((Execution::NotRun, Reason::QueueFull)));
+    let other = harness.send(10_000, |request| request.customer = Name::from("b"));
+    assert!(harness.requests[&other].final_actions.is_empty());
+    let refused = backlog.iter().filter(|id| harness.refusal(**id).is_some()).count();
     assert_eq!(refused, 1);
 }
 
 // A request whose deadline passes in the queue is refused as not run and isn't dispatched.
 #[test]
 fn request_expires_in_the_queue() {
-    let mut world = busy_world();
-    let id = world.send(1_000, |request| request.idempotent = false);
-    world.tick(950);
-    assert_eq!(world.refusal(id), Some((Execution::NotRun, Reason::DeadlinePassed)));
+    let mut harness = busy_harness();
+    let id = harness.send(1_000, |request| request.idempotent = false);
+    harness.tick(950);
+    assert_eq!(harness.refusal(id), Some((Execution::NotRun, Reason::DeadlinePassed)));
 }
 
 // When all endpoints leave, waiting requests are refused at once.
 #[test]
 fn queue_is_refused_when_no_endpoint_is_left() {
-    let mut world = busy_world();
-    let id = world.send(10_000, |_| {});
-    let mut empty = world.config.clone();
+    let mut harness = busy_harness();
+    let id = harness.send(10_000, |_| {});
+    let mut empty = harness.config.clone();
     empty.services[0].endpoints[0].leaving = true;
-    world.configure(empty);
-    assert_eq!(world.refusal(id), Some((Execution::NotRun, Reason::NoEndpoint)));
-    assert_eq!(world.violations, Vec::<String>::new());
+    harness.configure(empty);
+    assert_eq!(harness.refusal(id), Some((Execution::NotRun, Reason::NoEndpoint)));
+    assert_eq!(harness.violations, Vec::<String>::new());
 }
--- a/crates/pistachiotrack-core/tests/relays.rs
+++ b/crates/pistachiotrack-core/tests/relays.rs
@@ -31,7 +31,7 @@
     status.into_iter().find(|status| status.endpoint == name(endpoint)).unwrap().state
 }
 
-fn is_cut(harness: &Harness, attempt: AttemptId, cut: &[&str]) -> bool {
+fn is_unreachable(harness: &Harness, attempt: AttemptId, cut: &[&str]) -> bool {
     relay_of(harness, attempt).is_none() && cut.contains(&&*endpoint(harness, attempt))
 }
 
@@ -39,7 +39,7 @@
 fn serve(harness: &mut Harness, cut: &[&str]) {
     let id = harness.send(5_000, |_| {});
     while let Some(attempt) = in_flight(harness, id) {
-        if is_cut(harness, attempt, cut) {
+        if is_unreachable(harness, attempt, cut) {
             harness.outcome(attempt, Outcome::ConnectFailed);
         } else {
             harness.now += Duration::from_millis(SERVICE_MS);
@@ -52,8 +52,8 @@
 
 fn end_probes(harness: &mut Harness, cut: &[&str]) {
     for _ in 0..harness.probes.len() {
-        let is_cut = cut.contains(&&*harness.probes[0].1);
-        harness.probe_outcome(if is_cut { Outcome::ConnectFailed } else { answered(200) });
+        let is_unreachable = cut.contains(&&*harness.probes[0].1);
+        harness.probe_outcome(if is_unreachable { Outcome::ConnectFailed } else { answered(200) });
     }
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// Breaks the owner's path to `e0` and serves requests until the shard has the path checked.
-fn cut_path_until_checked(harness: &mut Harness) {
+fn block_path_until_checked(harness: &mut Harness) {
     for _ in 0..300 {
         serve(harness, &["e0"]);
         if !harness.path_checks.is_empty() {
@@ -85,7 +85,7 @@
     for _ in 0..20 {
         serve(&mut harness, &[]);
     }
-    cut_path_until_checked(&mut harness);
+    block_path_until_checked(&mut harness);
     set_relays(&mut harness, "e0", relays);
     harness
 }
@@ -161,7 +161,7 @@
                 break;
             }
             for attempt in new {
-                if is_cut(&harness, attempt, cut) {
+                if is_unreachable(&harness, attempt, cut) {
                     harness.outcome(attempt, Outcome::ConnectFailed);
                 } else {
                     due.push((now_ms + SERVICE_MS, attempt));
--- a/crates/pistachiotrack-core/tests/shard_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shard_support/mod.rs
@@ -193,7 +193,7 @@
                 _ => State::MaybeRun,
             };
             let endpoint = record.dispatch.endpoint.clone();
-            self.note_report(endpoint, outcome, report);
+            self.record_report(endpoint, outcome, report);
         }
         let actions = self.shard.on_outcome(self.now, attempt, outcome, report);
         self.check(actions);
@@ -205,7 +205,7 @@
             return;
         }
         let (probe, endpoint) = self.probes.remove(0);
-        self.note_report(endpoint, outcome, EndpointReport::default());
+        self.record_report(endpoint, outcome, EndpointReport::default());
         let actions = self.shard.on_outcome(self.now, probe, outcome, EndpointReport::default());
         self.check(actions);
         if matches!(outcome, Outcome::Answered { .. }) {
@@ -214,7 +214,7 @@
         }
     }
 
-    fn note_report(&mut self, endpoint: Name, outcome: Outcome, report: EndpointReport) {
+    fn record_report(&mut self, endpoint: Name, outcome: Outcome, report: EndpointReport) {
         let is_configured =
             self.config.services[0].endpoints.iter().any(|known| known.name == endpoint);
         if !is_configured || !matches!(outcome, Outcome::Answered { .. } | Outcome::Shed) {
--- a/crates/pistachiotrack-standins/src/soak.rs
+++ b/crates/pistachiotrack-standins/src/soak.rs
@@ -95,8 +95,8 @@
         };
         let rest = arguments.finish();
         anyhow::ensure!(rest.is_empty(), "unknown option {:?}", rest[0]);
-        anyhow::ensure!(settings.vms > 0, "--vms: 0 is not above 0");
-        anyhow::ensure!(settings.seconds > 0, "--seconds: 0 is not above 0");
+        anyhow::ensure!(settings.vms > 0, "--vms must be above 0");
+        anyhow::ensure!(settings.seconds > 0, "--seconds must be above 0");
         Ok(settings)
     }
 }
--- a/crates/pistachiotrackd/src/exchange.rs
+++ b/crates/pistachiotrackd/src/exchange.rs
@@ -225,7 +225,7 @@
     if sent {
         return ExchangeError::Broken { fresh };
     }
-    if connection.guard.was_blocked() {
+    if connection.guard.was_too_late() {
         return ExchangeError::TooLate;
     }
     ExchangeError::ClosedUnsent
--- a/crates/pistachiotrackd/src/fleet.rs
+++ b/crates/pistachiotrackd/src/fleet.rs
@@ -465,13 +465,13 @@
         match change {
             OwnershipChange::Gained(shard) => {
                 log::info!("event=shard_gained shard={}", shard_name(&shard));
-                self.context.shards.own(&shard, config);
+                self.context.shards.become_owner(&shard, config);
             }
             OwnershipChange::Lost { shard, to } => {
                 log::info!("event=shard_lost shard={} to={to}", shard_name(&shard));
                 let to = self.membership.member(&to).map(|member| member.vm.clone());
                 let mode = ShardMode::without_ownership(config.service(&shard.service));
-                self.context.shards.disown(&shard, to, mode);
+                self.context.shards.release_ownership(&shard, to, mode);
             }
         }
     }
--- a/crates/pistachiotrackd/src/guarded_stream.rs
+++ b/crates/pistachiotrackd/src/guarded_stream.rs
@@ -38,7 +38,7 @@
     gate: PauseGate,
     not_after_us: AtomicU64,
     state: AtomicU8,
-    blocked: AtomicBool,
+    too_late: AtomicBool,
 }
 
 impl ExchangeGuard {
@@ -49,7 +49,7 @@
             gate,
             not_after_us: AtomicU64::new(0),
             state: AtomicU8::new(NOT_WRITTEN),
-            blocked: AtomicBool::new(false),
+            too_late: AtomicBool::new(false),
         })
     }
 
@@ -68,8 +68,8 @@
     }
 
     /// Returns whether the first write failed because it came too late.
-    pub(crate) fn was_blocked(&self) -> bool {
-        self.blocked.load(Ordering::Acquire)
+    pub(crate) fn was_too_late(&self) -> bool {
+        self.too_late.load(Ordering::Acquire)
     }
 
     /// Returns whether the next write is the first of the exchange.
@@ -80,7 +80,7 @@
         let now = self.clock.now();
         let too_late = now.as_micros() > self.not_after_us.load(Ordering::Acquire);
         if too_late || self.gate.is_closed(now) {
-            self.blocked.store(true, Ordering::Release);
+            self.too_late.store(true, Ordering::Release);
             return Err(io::Error::other("time limit for sending has passed"));
         }
         self.state
--- a/crates/pistachiotrackd/src/path_check.rs
+++ b/crates/pistachiotrackd/src/path_check.rs
@@ -40,15 +40,15 @@
         endpoint: Name,
         address: SocketAddr,
     ) -> (PathAnswer, Vec<Name>) {
-        let Ok(question) = postcard::to_stdvec(&ReachRequest { endpoint, address }) else {
+        let Ok(request) = postcard::to_stdvec(&ReachRequest { endpoint, address }) else {
             return (PathAnswer::NoAnswer, Vec::new());
         };
         let mut queries: FuturesUnordered<_> = self
             .probing_vms(address)
             .into_iter()
             .map(|vm| {
-                let question = question.clone();
-                async move { (ask_one(&vm, question).await, vm.name) }
+                let request = request.clone();
+                async move { (query_vm(&vm, request).await, vm.name) }
             })
             .collect();
         let mut answer = PathAnswer::NoAnswer;
@@ -85,8 +85,8 @@
     }
 }
 
-async fn ask_one(vm: &Vm, question: Vec<u8>) -> Option<ReachResponse> {
+async fn query_vm(vm: &Vm, request: Vec<u8>) -> Option<ReachResponse> {
     let answer =
-        peer_client::send_request(vm.peer_address, REACH_PATH, question, QUERY_TIMEOUT).await;
+        peer_client::send_request(vm.peer_address, REACH_PATH, request, QUERY_TIMEOUT).await;
     postcard::from_bytes(&answer.ok()?).ok()
 }
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -84,7 +84,7 @@
     pub(crate) endpoints: Arc<ConnectionPool>,
     /// Table in which the shard publishes its status.
     pub(crate) statuses: ShardStatusTable,
-    /// Asks other VMs whether they reach an endpoint.
+    /// Queries other VMs whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
     /// Sends updates to the other dispatchers of the shard.
     pub(crate) update_link: Arc<ShardUpdateLink>,
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -128,13 +128,13 @@
     }
 
     /// Starts a shard as its owner, or makes this VM the owner of a running one.
-    pub(crate) fn own(&self, shard: &ShardId, config: &Arc<Config>) {
+    pub(crate) fn become_owner(&self, shard: &ShardId, config: &Arc<Config>) {
         let actor = self.find_or_start(shard, config, ShardMode::Owner);
         let _ = actor.tell(SetMode(ShardMode::Owner)).try_send();
     }
 
     /// Changes the mode of a shard that another VM owns now, and hands the shard over to that VM.
-    pub(crate) fn disown(&self, shard: &ShardId, to: Option<Vm>, mode: ShardMode) {
+    pub(crate) fn release_ownership(&self, shard: &ShardId, to: Option<Vm>, mode: ShardMode) {
         if let Some(to) = to {
             self.hand_over(shard, to, None);
         }
--- a/crates/pistachiotrackd/tests/peer_result.rs
+++ b/crates/pistachiotrackd/tests/peer_result.rs
@@ -13,7 +13,7 @@
 
 const REQUEST: &str = "vm-01-1a23-7";
 
-fn refusal_word(execution: Execution) -> PeerRefusal {
+fn new_refusal(execution: Execution) -> PeerRefusal {
     let decision =
         RefusalDecision { execution, reason: Reason::QueueFull, retry_after_ms: Some(40) };
     let refusal = Copies::from(Undispatched::on_arrival()).refuse_with(decision);
@@ -27,7 +27,7 @@
 #[test]
 fn a_peer_result_is_read_back_and_removed_from_the_headers() {
     for execution in [Execution::NotRun, Execution::Unknown] {
-        let result = refusal_word(execution);
+        let result = new_refusal(execution);
         let mut fields = HeaderMap::new();
         PeerResult::Refused(result.clone()).write_to(&mut fields);
         assert_eq!(take(&mut fields, REQUEST), PeerAnswer::Refused(result));
@@ -44,7 +44,7 @@
 #[test]
 fn only_a_valid_peer_result_for_this_request_reports_not_run() {
     let mut other = HeaderMap::new();
-    PeerResult::Refused(refusal_word(Execution::NotRun)).write_to(&mut other);
+    PeerResult::Refused(new_refusal(Execution::NotRun)).write_to(&mut other);
     assert_eq!(take(&mut other, "vm-01-1a23-8"), PeerAnswer::Unverified);
 
     let large = "x".repeat(64 << 10);
--- a/crates/pistachiotrackd/tests/relayed_requests.rs
+++ b/crates/pistachiotrackd/tests/relayed_requests.rs
@@ -87,7 +87,7 @@
 /// to it is cut, but other VMs reach it: bookings are relayed through one of those, and sent
 /// directly again once the path works.
 #[tokio::test]
-async fn bookings_are_relayed_while_the_owners_path_is_cut() {
+async fn bookings_are_relayed_while_the_owners_path_is_blocked() {
     let booking = Endpoint::answering("booked").await;
     let mut fleet = ThreeVmFleet::start(&[&booking]).await;
     assert_eq!(fleet.send(booking_request()).await.body(), "booked");
--- a/crates/pistachiotrackd/tests/testenv/network_path.rs
+++ b/crates/pistachiotrackd/tests/testenv/network_path.rs
@@ -41,13 +41,13 @@
         tokio::spawn(forward_datagrams(socket, vm_address));
         let (dropped_up_to, _) = watch::channel(0);
         let connections = Arc::new(AtomicU32::new(0));
-        let (cut, is_cut) = watch::channel(false);
+        let (cut, is_dropping) = watch::channel(false);
         let (held, is_held) = watch::channel(false);
         let (dropped, count) = (dropped_up_to.clone(), Arc::clone(&connections));
         tokio::spawn(async move {
             loop {
                 let (from, _) = listener.accept().await.unwrap();
-                if *is_cut.borrow() {
+                if *is_dropping.borrow() {
                     continue;
                 }
                 let number = count.fetch_add(1, Ordering::SeqCst) + 1;
