--- a/crates/pistachiotrack-core/src/membership/gossip.rs
+++ b/crates/pistachiotrack-core/src/membership/gossip.rs
@@ -66,13 +66,13 @@
         }
         let mut queued: Vec<&mut Queued> = self.updates.values_mut().collect();
         queued.sort_by_key(|queued| queued.sent);
-        let mut left = room;
+        let mut remaining_room = room;
         let mut taken = Vec::new();
         for queued in queued {
-            if queued.bytes > left {
+            if queued.bytes > remaining_room {
                 continue;
             }
-            left -= queued.bytes;
+            remaining_room -= queued.bytes;
             queued.sent += 1;
             taken.push(queued.as_of(now));
         }
--- a/crates/pistachiotrack-core/src/membership/probe.rs
+++ b/crates/pistachiotrack-core/src/membership/probe.rs
@@ -118,11 +118,11 @@
             .take(self.settings.verify_burst)
             .cloned()
             .collect();
-        let left = self.settings.verify_burst - suspected.len();
+        let remaining = self.settings.verify_burst - suspected.len();
         for name in suspected {
             self.probe(now, &name, actions);
         }
-        for _ in 0..left {
+        for _ in 0..remaining {
             let Some(name) = self.table.next_to_verify() else { break };
             self.probe(now, &name, actions);
         }
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -93,22 +93,22 @@
 
     fn admit(&mut self, now: Time, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        let left = remaining(pending.request.deadline, now);
-        if left.is_zero() {
+        let time_left = remaining(pending.request.deadline, now);
+        if time_left.is_zero() {
             return self.refuse(now, id, Reason::DeadlinePassed, None);
         }
         let answer_time = self.latency.p95().or(self.slot_time.value()).unwrap_or_default();
         pending.not_after =
-            now + (left - (answer_time.mul_f64(ANSWER_RESERVE_P95_FACTOR)).min(left / 2));
+            now + (time_left - (answer_time.mul_f64(ANSWER_RESERVE_P95_FACTOR)).min(time_left / 2));
         let (customer, class) = (pending.request.customer.clone(), pending.request.class);
         if self.pool.usable_endpoints(pending.request.idempotent) == 0 {
             let retry_after_ms = self.jittered_retry_after_ms(NO_ENDPOINT_RETRY_AFTER);
             return self.refuse(now, id, Reason::NoEndpoint, retry_after_ms);
         }
         let wait = self.expected_wait(now, &customer, class);
-        let needed = wait + (answer_time * ADMISSION_RESERVE_P95_FACTOR).min(left / 2);
-        if !wait.is_zero() && needed > left {
-            let retry_after_ms = self.jittered_retry_after_ms(needed - left);
+        let needed = wait + (answer_time * ADMISSION_RESERVE_P95_FACTOR).min(time_left / 2);
+        if !wait.is_zero() && needed > time_left {
+            let retry_after_ms = self.jittered_retry_after_ms(needed - time_left);
             return self.refuse(now, id, Reason::WaitTooLong, retry_after_ms);
         }
         let is_full = self.queue.len() >= self.queue_limit;
@@ -206,13 +206,13 @@
 
     fn pick(&mut self, now: Time, id: RequestId, allow_already_tried: bool) -> Option<Pick> {
         let pending = self.pending.get(&id)?;
-        let left = remaining(pending.request.deadline, now);
+        let time_left = remaining(pending.request.deadline, now);
         let needed = self
             .slot_time
             .value()
             .map_or(DEFAULT_TRIAL_TIME_LEFT, |slot_time| slot_time * TRIAL_SLOT_TIME_FACTOR);
         let allow_trial =
-            pending.tried.is_empty() && left >= needed && self.pool.usable_endpoints(true) > 1;
+            pending.tried.is_empty() && time_left >= needed && self.pool.usable_endpoints(true) > 1;
         self.pool.pick(PickCriteria {
             idempotent: pending.request.idempotent,
             allow_trial,
--- a/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/rate_limits.rs
@@ -16,7 +16,7 @@
         self.rate_share = rate_share;
     }
 
-    /// Returns the requests per second that all VMs in view can send to endpoints with a rate
+    /// Returns the requests per second that all visible VMs can send to endpoints with a rate
     /// limit.
     pub(in crate::shard) fn rate_limited_per_second(&self) -> f64 {
         self.rate_limited_per_second
--- a/crates/pistachiotrack-core/src/shard/rate_limits.rs
+++ b/crates/pistachiotrack-core/src/shard/rate_limits.rs
@@ -81,20 +81,20 @@
     ///
     /// A VM that is no dispatcher receives no updates on what the others send, and leaves such
     /// endpoints to them. A VM that sees fewer dispatchers than expected may be partitioned from
-    /// them, and uses only the share of those in view.
-    pub(super) fn rate_share(&mut self, in_view: VisibleDispatchers) -> RateShare {
+    /// them, and uses only the share of the visible ones.
+    pub(super) fn rate_share(&mut self, visible: VisibleDispatchers) -> RateShare {
         let Some(budget) = self.retry_budget.fleet() else {
             let is_careful = self.pool.mode() == ShardMode::Careful;
             let part = if is_careful { CAREFUL_SHARE } else { 1.0 };
             return RateShare { fraction: part, is_sole_sender: true };
         };
-        if in_view.count == 0 {
+        if visible.count == 0 {
             return RateShare::default();
         }
         let expected = f64::from(budget.expected().max(1));
-        let part = (f64::from(in_view.count) / expected).min(1.0);
-        let part = if in_view.is_member { part } else { 0.0 };
-        RateShare { fraction: part, is_sole_sender: in_view.count == 1 }
+        let part = (f64::from(visible.count) / expected).min(1.0);
+        let part = if visible.is_member { part } else { 0.0 };
+        RateShare { fraction: part, is_sole_sender: visible.count == 1 }
     }
 }
 
--- a/crates/pistachiotrack-core/src/shard/retry_budget.rs
+++ b/crates/pistachiotrack-core/src/shard/retry_budget.rs
@@ -102,11 +102,11 @@
 impl Shard {
     /// Applies the set of dispatchers that this VM sees; returns whether this VM has just become
     /// one of them and has to request a snapshot.
-    pub fn set_dispatchers(&mut self, now: Time, in_view: VisibleDispatchers) -> bool {
-        self.dispatchers = in_view.count.max(1);
-        let share = self.rate_share(in_view);
+    pub fn set_dispatchers(&mut self, now: Time, visible: VisibleDispatchers) -> bool {
+        self.dispatchers = visible.count.max(1);
+        let share = self.rate_share(visible);
         self.pool.set_rate_share(share);
-        self.retry_budget.fleet().is_some_and(|budget| budget.set_visible_dispatchers(now, in_view))
+        self.retry_budget.fleet().is_some_and(|budget| budget.set_visible_dispatchers(now, visible))
     }
 }
 
--- a/crates/pistachiotrack-core/tests/at_most_once.rs
+++ b/crates/pistachiotrack-core/tests/at_most_once.rs
@@ -10,12 +10,12 @@
 };
 use shard_support::{Harness, answered, config, shard_id};
 
-fn world() -> Harness {
+fn harness() -> Harness {
     Harness::new(config(3, 1, &[("a", 1)]))
 }
 
-fn book(world: &mut Harness, key: Option<&str>, repeat: bool) -> RequestId {
-    world.send(1_000, |request| {
+fn book(harness: &mut Harness, key: Option<&str>, repeat: bool) -> RequestId {
+    harness.send(1_000, |request| {
         request.idempotent = false;
         request.key = key.map(Name::from);
         request.repeat = repeat;
@@ -32,11 +32,11 @@
         Outcome::TimedOut { fresh_connection: true },
     ];
     for outcome in unknown_outcomes {
-        let mut world = world();
-        let id = book(&mut world, None, false);
-        world.outcome(world.attempt(id), outcome);
-        assert_eq!(world.refusal(id), Some((Execution::Unknown, Reason::AnswerLost)));
-        assert_eq!(world.attempts_of(id).len(), 1);
+        let mut harness = harness();
+        let id = book(&mut harness, None, false);
+        harness.outcome(harness.attempt(id), outcome);
+        assert_eq!(harness.refusal(id), Some((Execution::Unknown, Reason::AnswerLost)));
+        assert_eq!(harness.attempts_of(id).len(), 1);
     }
 }
 
@@ -45,19 +45,19 @@
 #[test]
 fn booking_is_retried_only_if_certainly_not_run() {
     for outcome in [Outcome::Shed, Outcome::ConnectFailed, Outcome::NotSent] {
-        let mut world = world();
-        let id = book(&mut world, None, false);
-        world.outcome(world.attempt(id), outcome);
-        world.answer(world.attempt(id));
-        assert!(world.is_delivered(id), "{outcome:?}");
-
-        let id = book(&mut world, None, false);
-        while world.requests[&id].final_actions.is_empty() {
-            world.outcome(world.attempt(id), outcome);
-            world.tick(50);
+        let mut harness = harness();
+        let id = book(&mut harness, None, false);
+        harness.outcome(harness.attempt(id), outcome);
+        harness.answer(harness.attempt(id));
+        assert!(harness.is_delivered(id), "{outcome:?}");
+
+        let id = book(&mut harness, None, false);
+        while harness.requests[&id].final_actions.is_empty() {
+            harness.outcome(harness.attempt(id), outcome);
+            harness.tick(50);
         }
-        assert_eq!(world.refusal(id).unwrap().0, Execution::NotRun, "{outcome:?}");
-        assert_eq!(world.violations, Vec::<String>::new());
+        assert_eq!(harness.refusal(id).unwrap().0, Execution::NotRun, "{outcome:?}");
+        assert_eq!(harness.violations, Vec::<String>::new());
     }
 }
 
@@ -65,30 +65,32 @@
 // requests get the same answer.
 #[test]
 fn duplicate_waits_for_the_original_and_gets_its_answer() {
-    let mut world = world();
-    let first = book(&mut world, Some("k"), false);
-    let second = book(&mut world, Some("k"), true);
-    world.outcome(world.attempt(first), answered(201));
-    world.store(first, b"booked");
-    world.body_end(world.attempt(first), BodyEnd::Complete);
-    let third = book(&mut world, Some("k"), true);
-    assert!(world.is_delivered(first) && world.is_replayed(second) && world.is_replayed(third));
-    assert_eq!(world.attempts.len(), 1);
-    assert_eq!(world.violations, Vec::<String>::new());
+    let mut harness = harness();
+    let first = book(&mut harness, Some("k"), false);
+    let second = book(&mut harness, Some("k"), true);
+    harness.outcome(harness.attempt(first), answered(201));
+    harness.store(first, b"booked");
+    harness.body_end(harness.attempt(first), BodyEnd::Complete);
+    let third = book(&mut harness, Some("k"), true);
+    assert!(
+        harness.is_delivered(first) && harness.is_replayed(second) && harness.is_replayed(third)
+    );
+    assert_eq!(harness.attempts.len(), 1);
+    assert_eq!(harness.violations, Vec::<String>::new());
 }
 
 // The answer wasn't stored. A duplicate is answered with "unknown", since the booking may have run,
 // and is never run itself.
 #[test]
 fn duplicate_of_an_answer_not_stored_is_unknown() {
-    let mut world = world();
-    let first = book(&mut world, Some("k"), false);
-    let joined = book(&mut world, Some("k"), false);
-    world.answer(world.attempt(first));
-    world.tick(500);
-    let late = book(&mut world, Some("k"), false);
+    let mut harness = harness();
+    let first = book(&mut harness, Some("k"), false);
+    let joined = book(&mut harness, Some("k"), false);
+    harness.answer(harness.attempt(first));
+    harness.tick(500);
+    let late = book(&mut harness, Some("k"), false);
     for id in [joined, late] {
-        assert_eq!(world.refusal(id), Some((Execution::Unknown, Reason::Duplicate)));
+        assert_eq!(harness.refusal(id), Some((Execution::Unknown, Reason::Duplicate)));
     }
 }
 
@@ -96,13 +98,13 @@
 // those that waited and later ones.
 #[test]
 fn duplicate_of_an_unknown_outcome_is_unknown() {
-    let mut world = world();
-    let first = book(&mut world, Some("k"), false);
-    let joined = book(&mut world, Some("k"), false);
-    world.outcome(world.attempt(first), Outcome::Broken { fresh_connection: true });
-    let late = book(&mut world, Some("k"), true);
+    let mut harness = harness();
+    let first = book(&mut harness, Some("k"), false);
+    let joined = book(&mut harness, Some("k"), false);
+    harness.outcome(harness.attempt(first), Outcome::Broken { fresh_connection: true });
+    let late = book(&mut harness, Some("k"), true);
     for id in [joined, late] {
-        assert_eq!(world.refusal(id), Some((Execution::Unknown, Reason::Duplicate)));
+        assert_eq!(harness.refusal(id), Some((Execution::Unknown, Reason::Duplicate)));
     }
 }
 
@@ -110,16 +112,16 @@
 // runs.
 #[test]
 fn duplicate_runs_if_the_original_was_certainly_not_run() {
-    let mut world = world();
-    let first = book(&mut world, Some("k"), false);
-    let joined = book(&mut world, Some("k"), false);
-    while world.requests[&first].final_actions.is_empty() {
-        world.outcome(world.attempt(first), Outcome::ConnectFailed);
+    let mut harness = harness();
+    let first = book(&mut harness, Some("k"), false);
+    let joined = book(&mut harness, Some("k"), false);
+    while harness.requests[&first].final_actions.is_empty() {
+        harness.outcome(harness.attempt(first), Outcome::ConnectFailed);
     }
-    assert_eq!(world.refusal(first).unwrap().0, Execution::NotRun);
-    world.answer(world.attempt(joined));
-    assert!(world.is_delivered(joined));
-    assert_eq!(world.violations, Vec::<String>::new());
+    assert_eq!(harness.refusal(first).unwrap().0, Execution::NotRun);
+    harness.answer(harness.attempt(joined));
+    assert!(harness.is_delivered(joined));
+    assert_eq!(harness.violations, Vec::<String>::new());
 }
 
 // The caller disconnects while its booking is in flight. The outcome isn't known until the attempt
@@ -127,15 +129,15 @@
 #[test]
 fn key_is_kept_after_the_caller_disconnects() {
     for (outcome, runs) in [(Outcome::Cancelled, false), (Outcome::NotSent, true)] {
-        let mut world = world();
-        let first = book(&mut world, Some("k"), false);
-        let attempt = world.attempt(first);
-        world.cancel(first);
-        let second = book(&mut world, Some("k"), false);
-        assert!(world.attempts_of(second).is_empty(), "the original may still run");
-        world.outcome(attempt, outcome);
-        assert_eq!(world.attempts_of(second).len(), usize::from(runs), "{outcome:?}");
-        assert_eq!(world.violations, Vec::<String>::new());
+        let mut harness = harness();
+        let first = book(&mut harness, Some("k"), false);
+        let attempt = harness.attempt(first);
+        harness.cancel(first);
+        let second = book(&mut harness, Some("k"), false);
+        assert!(harness.attempts_of(second).is_empty(), "the original may still run");
+        harness.outcome(attempt, outcome);
+        assert_eq!(harness.attempts_of(second).len(), usize::from(runs), "{outcome:?}");
+        assert_eq!(harness.violations, Vec::<String>::new());
     }
 }
 
@@ -143,35 +145,36 @@
 // ran, so the repeat isn't run.
 #[test]
 fn repeat_without_a_record_is_never_run() {
-    let mut world = world();
+    let mut harness = harness();
     for key in [None, Some("k")] {
-        let id = book(&mut world, key, true);
-        assert_eq!(world.refusal(id), Some((Execution::Unknown, Reason::NoRecord)));
+        let id = book(&mut harness, key, true);
+        assert_eq!(harness.refusal(id), Some((Execution::Unknown, Reason::NoRecord)));
     }
-    assert!(world.attempts.is_empty());
+    assert!(harness.attempts.is_empty());
 }
 
 // After a hand-over, a duplicate at the successor gets the stored answer of the original, or
 // "unknown" if the original was still in flight.
 #[test]
 fn keys_are_handed_over() {
-    let mut world = world();
-    let done = book(&mut world, Some("done"), false);
-    world.outcome(world.attempt(done), answered(201));
-    world.body_end(world.attempt(done), BodyEnd::Complete);
-    world.store(done, b"booked");
-    book(&mut world, Some("running"), false);
-    let hand_over = world.shard.hand_over(world.now);
-    let mut successor = Shard::new(world.now, shard_id(), &world.config, ShardSettings::default());
-    successor.on_hand_over(world.now, &hand_over);
-
-    let mut duplicate = world.requests[&done].request.clone();
+    let mut harness = harness();
+    let done = book(&mut harness, Some("done"), false);
+    harness.outcome(harness.attempt(done), answered(201));
+    harness.body_end(harness.attempt(done), BodyEnd::Complete);
+    harness.store(done, b"booked");
+    book(&mut harness, Some("running"), false);
+    let hand_over = harness.shard.hand_over(harness.now);
+    let mut successor =
+        Shard::new(harness.now, shard_id(), &harness.config, ShardSettings::default());
+    successor.on_hand_over(harness.now, &hand_over);
+
+    let mut duplicate = harness.requests[&done].request.clone();
     duplicate.id = RequestId(100);
-    let actions = successor.on_request(world.now, duplicate.clone());
+    let actions = successor.on_request(harness.now, duplicate.clone());
     assert!(matches!(&actions[..], [ShardAction::Replay { .. }]), "{actions:?}");
     duplicate.id = RequestId(101);
     duplicate.key = Some(Name::from("running"));
-    let actions = successor.on_request(world.now, duplicate);
+    let actions = successor.on_request(harness.now, duplicate);
     let [ShardAction::Refuse { refusal, .. }] = &actions[..] else { panic!("{actions:?}") };
     assert_eq!(refusal.execution, Execution::Unknown);
 }
@@ -181,13 +184,13 @@
 #[test]
 fn shard_with_a_request_in_flight_or_a_key_is_not_idle() {
     for (key, idle_after) in [(None, true), (Some("k"), false)] {
-        let mut world = world();
-        assert!(world.shard.is_idle());
-        let id = book(&mut world, key, false);
-        assert!(!world.shard.is_idle());
-        world.outcome(world.attempt(id), answered(201));
-        assert!(!world.shard.is_idle());
-        world.body_end(world.attempt(id), BodyEnd::Complete);
-        assert_eq!(world.shard.is_idle(), idle_after, "{key:?}");
+        let mut harness = harness();
+        assert!(harness.shard.is_idle());
+        let id = book(&mut harness, key, false);
+        assert!(!harness.shard.is_idle());
+        harness.outcome(harness.attempt(id), answered(201));
+        assert!(!harness.shard.is_idle());
+        harness.body_end(harness.attempt(id), BodyEnd::Complete);
+        assert_eq!(harness.shard.is_idle(), idle_after, "{key:?}");
     }
 }
--- a/crates/pistachiotrack-core/tests/health_recovery.rs
+++ b/crates/pistachiotrack-core/tests/health_recovery.rs
@@ -161,18 +161,18 @@
         simulation.health.on_report(simulation.now, &name, leaving);
         simulation.run(100, |_| Reply::GOOD);
     }
-    let standings = |simulation: &Simulation| {
+    let states = |simulation: &Simulation| {
         (0..6).map(|endpoint| simulation.state(endpoint)).collect::<Vec<_>>()
     };
     let mut expected = vec![HealthState::Draining; 6];
     expected[3] = HealthState::Healthy;
-    assert_eq!(standings(&simulation), expected);
+    assert_eq!(states(&simulation), expected);
     let name = simulation.names[3].clone();
     for _ in 0..30 {
         let before = simulation.dispatched.clone();
         simulation.health.on_report(simulation.now, &name, leaving);
         simulation.run(1_000, |_| Reply::GOOD);
-        assert_eq!(standings(&simulation), expected);
+        assert_eq!(states(&simulation), expected);
         assert!(simulation.dispatched[3] > before[3]);
         assert_eq!(simulation.dispatched.iter().sum::<u64>() - simulation.dispatched[3], {
             before.iter().sum::<u64>() - before[3]
@@ -293,8 +293,8 @@
     };
     simulation.run(4_000, faulty);
     assert_eq!(simulation.health.last_ejection_reason("e0"), Some(EjectReason::Failures));
-    let standings: Vec<HealthState> = (0..3).map(|endpoint| simulation.state(endpoint)).collect();
-    assert_eq!(standings, [HealthState::Ejected, HealthState::Ejected, HealthState::HeldByFloor]);
+    let states: Vec<HealthState> = (0..3).map(|endpoint| simulation.state(endpoint)).collect();
+    assert_eq!(states, [HealthState::Ejected, HealthState::Ejected, HealthState::HeldByFloor]);
     assert!(simulation.health.at_floor());
 
     let mut all = configured_endpoints(6);
--- a/crates/pistachiotrackd/src/forward.rs
+++ b/crates/pistachiotrackd/src/forward.rs
@@ -113,8 +113,9 @@
     async fn send_with_retry(&self, mut copies: Copies, copy: OutstandingCopy) -> Forwarded {
         let Forward { context, owner, inbound, .. } = self;
         let mut first = pin!(self.exchange(ConnectionChoice::RecentlyUsed, copy));
-        let left = remaining(inbound.deadline, context.clock.now());
-        let retry_delay = context.forwards.retry_delay(&inbound.route.shard).unwrap_or(left / 2);
+        let time_left = remaining(inbound.deadline, context.clock.now());
+        let retry_delay =
+            context.forwards.retry_delay(&inbound.route.shard).unwrap_or(time_left / 2);
         if let Ok(end) = tokio::time::timeout(retry_delay, first.as_mut()).await {
             return self.conclude(copies, end);
         }
--- a/crates/pistachiotrackd/src/inbound.rs
+++ b/crates/pistachiotrackd/src/inbound.rs
@@ -100,8 +100,8 @@
     received: Time,
 ) -> Result<Option<Time>, std::num::ParseIntError> {
     let Some(text) = headers::text(fields, header::DEADLINE_MS) else { return Ok(None) };
-    let left = Duration::from_millis(text.trim().parse()?);
-    Ok(Some(received + left.min(MAX_DEADLINE)))
+    let time_left = Duration::from_millis(text.trim().parse()?);
+    Ok(Some(received + time_left.min(MAX_DEADLINE)))
 }
 
 /// Returns the path and query of a request, also if the caller sent an absolute URI.
--- a/crates/pistachiotrackd/src/peer_service.rs
+++ b/crates/pistachiotrackd/src/peer_service.rs
@@ -53,7 +53,7 @@
     context.traffic.received(topic, Locality::Unknown, body.len());
     let response = match path {
         CONFIG_PATH => pull(&fleet, body).await,
-        HAND_OVER_PATH => take_hand_over(&context, &body),
+        HAND_OVER_PATH => receive_hand_over(&context, &body),
         _ => reach(&context, &body).await,
     };
     if let Ok(response) = &response {
@@ -76,7 +76,7 @@
     }
 }
 
-fn take_hand_over(context: &Context, message: &[u8]) -> Result<Vec<u8>, StatusCode> {
+fn receive_hand_over(context: &Context, message: &[u8]) -> Result<Vec<u8>, StatusCode> {
     let hand_over: ShardHandOver =
         postcard::from_bytes(message).map_err(|_| StatusCode::BAD_REQUEST)?;
     let view = context.view();
