--- a/crates/pistachiotrack-core/tests/config_pull_peers.rs
+++ b/crates/pistachiotrack-core/tests/config_pull_peers.rs
@@ -14,7 +14,7 @@
 const NOW: Time = Time::from_millis(60_000);
 /// Timeout of a pull.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which any peer may be asked again.
+/// Time after which any peer may be queried again.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// A peer in the data centre of VM 0, and one in another data centre.
 const NEAR: u32 = 3;
--- a/crates/pistachiotrack-core/tests/config_sync.rs
+++ b/crates/pistachiotrack-core/tests/config_sync.rs
@@ -390,8 +390,8 @@
     actions.into_iter().filter(|action| !matches!(action, ConfigAction::Watch { .. })).collect()
 }
 
-/// The peer asked first is paused and never responds. After the timeout the next one is
-/// asked, and a late response must be harmless.
+/// The peer queried first is paused and never responds. After the timeout the next one is
+/// queried, and a late response must be harmless.
 #[test]
 fn an_unresponsive_peer_is_replaced_by_the_next() {
     let mut holder = node_with(1, 6);
--- a/crates/pistachiotrack-core/tests/health_faults.rs
+++ b/crates/pistachiotrack-core/tests/health_faults.rs
@@ -140,7 +140,7 @@
 }
 
 /// The machine of an endpoint is off: no connection can be opened, and the VMs that
-/// were asked don't reach it either. The same if no VM answers.
+/// were queried don't reach it either. The same if no VM answers.
 #[test]
 fn ejects_an_unreachable_endpoint_after_asking() {
     for answer in [Some(PathAnswer::UnreachableByOthers), Some(PathAnswer::NoAnswer), None] {
--- a/crates/pistachiotrack-core/tests/replaced_endpoint.rs
+++ b/crates/pistachiotrack-core/tests/replaced_endpoint.rs
@@ -4,7 +4,7 @@
 //! the first. The second rejects requests for the first, which would be selected again and
 //! again, as it has no load and no evidence against it: requests would be retried elsewhere
 //! or refused for seconds. Such a rejection must not be handled as a connection that can't
-//! be opened, because other VMs that are asked about the path do reach the address.
+//! be opened, because other VMs that are queried about the path do reach the address.
 
 mod shared_support;
 
