--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -482,8 +482,8 @@
 
 /// Returns the shard's share of the service's floor, rounded up.
 fn shard_floor(service: &Service, shard_endpoints: usize) -> u32 {
-    let endpoint_count = service.endpoints.len().max(1) as u64;
-    (u64::from(service.floor) * shard_endpoints as u64).div_ceil(endpoint_count) as u32
+    let all = service.endpoints.len().max(1) as u64;
+    (u64::from(service.floor) * shard_endpoints as u64).div_ceil(all) as u32
 }
 
 fn state_name(state: HealthState) -> &'static str {
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -459,16 +459,16 @@
     if !entry.accepts_requests() || entry.endpoint.slots == 0 {
         return 0;
     }
-    let total_slots = entry.endpoint.slots;
-    let mut limit = ((f64::from(total_slots) * entry.slot_share) as u32).clamp(1, total_slots);
+    let all = entry.endpoint.slots;
+    let mut limit = ((f64::from(all) * entry.slot_share) as u32).clamp(1, all);
     limit = limit.min(entry.adaptive_limit.value().max(1));
     if are_limits_halved {
-        limit = limit.min((total_slots / TAKEOVER_DIVISOR).max(1));
+        limit = limit.min((all / TAKEOVER_DIVISOR).max(1));
     }
     if mode == ShardMode::Careful || entry.health_state == HealthState::Trial {
         limit = 1;
     }
     limit
-        .min(total_slots.saturating_sub(entry.predecessor_in_flight))
+        .min(all.saturating_sub(entry.predecessor_in_flight))
         .saturating_sub(entry.peer_in_flight())
 }
--- a/crates/pistachiotrackd/tests/testenv/platform.rs
+++ b/crates/pistachiotrackd/tests/testenv/platform.rs
@@ -44,7 +44,8 @@
     None,
     /// Every read is refused.
     Unavailable,
-    /// Every read is answered at once with the present value, also if that is older than the requested one.
+    /// Every read is answered at once with the present value, also if that is older than the
+    /// requested one.
     AnswersStale,
 }
 
