--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -486,8 +486,8 @@
     (u64::from(service.floor) * shard_endpoints as u64).div_ceil(all) as u32
 }
 
-fn state_name(standing: HealthState) -> &'static str {
-    match standing {
+fn state_name(state: HealthState) -> &'static str {
+    match state {
         HealthState::Healthy => "healthy",
         HealthState::Suspect => "suspect",
         HealthState::HeldByFloor => "held_by_floor",
--- a/crates/pistachiotrack-core/tests/shard_fuzz.rs
+++ b/crates/pistachiotrack-core/tests/shard_fuzz.rs
@@ -18,7 +18,7 @@
     BodyEnd { pick: u8, end: u8, stored: u8 },
     Probe { kind: u8 },
     Cancel { pick: u8 },
-    Witnesses { count: u8 },
+    Relays { count: u8 },
     Tick { ms: u8 },
     Pause { ms: u16 },
     Config { variant: u8 },
@@ -48,7 +48,7 @@
             },
             50 => Step::Probe { kind: u8::arbitrary(g) },
             51..=53 => Step::Cancel { pick: u8::arbitrary(g) },
-            54 => Step::Witnesses { count: u8::arbitrary(g) },
+            54 => Step::Relays { count: u8::arbitrary(g) },
             55..=59 => Step::Tick { ms: u8::arbitrary(g) },
             60 => Step::Pause { ms: u16::arbitrary(g) % 3_000 },
             61 => Step::Config { variant: u8::arbitrary(g) },
@@ -76,9 +76,9 @@
     }
 }
 
-fn outcome(kind: u8, is_via: bool) -> Outcome {
+fn outcome(kind: u8, is_relayed: bool) -> Outcome {
     let fresh_connection = kind & 0x80 != 0;
-    if is_via && kind & 0x70 == 0 {
+    if is_relayed && kind & 0x70 == 0 {
         return Outcome::RelayFailed { sent: kind & 1 == 0 };
     }
     match kind % 12 {
@@ -106,7 +106,7 @@
         harness.send(1_000, |_| {});
         for attempt in harness.in_flight() {
             let dispatch = &harness.attempts[&attempt].dispatch;
-            if dispatch.endpoint == cut.name && dispatch.via.is_none() {
+            if dispatch.endpoint == cut.name && dispatch.relay.is_none() {
                 harness.outcome(attempt, Outcome::ConnectFailed);
             }
         }
@@ -127,10 +127,10 @@
         }
         Step::Outcome { pick, kind, draining } => {
             let Some(attempt) = choose(&harness.in_flight(), pick) else { return };
-            let is_via = harness.attempts[&attempt].dispatch.via.is_some();
+            let is_relayed = harness.attempts[&attempt].dispatch.relay.is_some();
             harness.outcome_with(
                 attempt,
-                outcome(kind, is_via),
+                outcome(kind, is_relayed),
                 EndpointReport { in_flight: None, draining, ..EndpointReport::default() },
             );
         }
@@ -166,7 +166,7 @@
             let Some(id) = choose(&open, pick) else { return };
             harness.cancel(id);
         }
-        Step::Witnesses { count } => {
+        Step::Relays { count } => {
             fail_connects(harness, usize::from(count) % 4);
             let relays: Vec<Name> = (0..count % 4).map(|vm| Name::from(format!("w{vm}"))).collect();
             for checked in std::mem::take(&mut harness.path_checks) {
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -84,7 +84,7 @@
     pub(crate) endpoints: Arc<ConnectionPool>,
     /// Table in which the shard publishes its status.
     pub(crate) statuses: ShardStatusTable,
-    /// Asks other VMs whether they reach an endpoint.
+    /// Queries other VMs whether they reach an endpoint.
     pub(crate) path_check: PathCheck,
     /// Sends updates to the other dispatchers of the shard.
     pub(crate) update_link: Arc<ShardUpdateLink>,
@@ -343,7 +343,7 @@
                 let Some(shard) = self.actor_ref.upgrade() else { return Vec::new() };
                 let check = self.path_check.clone();
                 tokio::spawn(async move {
-                    let (answer, relays) = check.ask(endpoint.clone(), address).await;
+                    let (answer, relays) = check.query(endpoint.clone(), address).await;
                     // A stopped shard needs no answer.
                     let _ = shard.tell(PathChecked { endpoint, answer, relays }).try_send();
                 });
