--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -129,8 +129,8 @@
     dispatch_deadlines: BTreeSet<(Time, RequestId)>,
     /// Requests in flight by the time at which a hedge is due.
     hedge_times: BTreeSet<(Time, RequestId)>,
-    /// Attempts by the time at which they are given up in favour of a retry.
-    give_up_times: BTreeSet<(Time, AttemptId)>,
+    /// Attempts by the time at which they are abandoned in favour of a retry.
+    abandon_times: BTreeSet<(Time, AttemptId)>,
     /// For each endpoint that only this VM can't reach, the VMs that can relay requests to it.
     relays: FxHashMap<Name, Vec<Name>>,
     keys: KeyTable,
@@ -184,7 +184,7 @@
             attempts: FxHashMap::default(),
             dispatch_deadlines: BTreeSet::new(),
             hedge_times: BTreeSet::new(),
-            give_up_times: BTreeSet::new(),
+            abandon_times: BTreeSet::new(),
             relays: FxHashMap::default(),
             keys: KeyTable::new(KeySettings::default()),
             retry_budget,
@@ -434,7 +434,7 @@
         self.refuse_expired(now);
         self.dispatch_queue(now);
         self.dispatch_hedges(now);
-        self.give_up_due(now);
+        self.abandon_due(now);
         self.broadcast_updates(now);
         std::mem::take(&mut self.pending_actions)
     }
--- a/crates/pistachiotrack-core/src/shard/action.rs
+++ b/crates/pistachiotrack-core/src/shard/action.rs
@@ -75,7 +75,7 @@
     },
     /// Ends an attempt without an answer early, to be reported as
     /// [`Outcome::TimedOut`](crate::request::Outcome::TimedOut).
-    GiveUp {
+    Abandon {
         /// Request of the attempt.
         request: RequestId,
         /// The attempt.
--- a/crates/pistachiotrack-core/src/shard/completion.rs
+++ b/crates/pistachiotrack-core/src/shard/completion.rs
@@ -138,7 +138,7 @@
             outcome,
             Outcome::ConnectFailed | Outcome::NotSent | Outcome::RelayFailed { sent: false }
         );
-        if never_arrived || state.is_given_up {
+        if never_arrived || state.is_abandoned {
             return true;
         }
         if state.kind == AttemptKind::Trial {
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -29,8 +29,8 @@
 /// Time that it must have left while the average slot time is unknown.
 const DEFAULT_TRIAL_TIME_LEFT: Duration = Duration::from_millis(500);
 /// Multiple of the 95th percentile of the answer time after which an attempt that can be retried
-/// is given up.
-const GIVE_UP_P95_FACTOR: u32 = 4;
+/// is abandoned.
+const ABANDON_P95_FACTOR: u32 = 4;
 /// Highest risk that a request accepts while it can wait; an endpoint without any observations is
 /// below it.
 const MAX_RISK_WHILE_WAITING: f64 = 0.25;
@@ -39,8 +39,8 @@
 const LOW_RISK_WAIT_SHARES: (f64, f64) = (0.5, 0.85);
 /// Queue length up to which requests always wait for a low-risk endpoint.
 const LOW_RISK_WAIT_QUEUE_LEN: usize = 8;
-/// Interval at which an attempt without an answer is checked again if it couldn't be given up.
-const GIVE_UP_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which an attempt without an answer is checked again if it couldn't be abandoned.
+const ABANDON_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Minimum age of an attempt at which a hedge is sent.
 const MIN_HEDGE_AGE: Duration = Duration::from_millis(2);
 /// Minimum time that a refused caller is asked to wait.
@@ -263,7 +263,7 @@
 
     fn dispatch(&mut self, now: Time, id: RequestId, pick: Pick) {
         let attempt = self.next_attempt_id();
-        let give_up_at = self.give_up_at(now, id, pick.health_state);
+        let abandon_at = self.abandon_at(now, id, pick.health_state);
         let relay = self.relay_for(&pick.name);
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let kind = if pick.health_state == HealthState::Trial {
@@ -274,9 +274,9 @@
         // A relay enforces the time limit itself, so that the timeout it reports counts as the
         // endpoint's.
         let deadline = pending.request.deadline;
-        let time_limit = give_up_at.filter(|_| relay.is_some()).unwrap_or(deadline);
-        if let (Some(at), None) = (give_up_at, &relay) {
-            self.give_up_times.insert((at, attempt));
+        let time_limit = abandon_at.filter(|_| relay.is_some()).unwrap_or(deadline);
+        if let (Some(at), None) = (abandon_at, &relay) {
+            self.abandon_times.insert((at, attempt));
         }
         let wants_fresh = self.health.wants_fresh_connection(&pick.name);
         let connection = if wants_fresh {
@@ -311,7 +311,7 @@
                 dispatched_at: now,
                 time_limit,
                 answered: false,
-                is_given_up: false,
+                is_abandoned: false,
                 class,
                 unreported: None,
             },
@@ -344,26 +344,26 @@
         }
     }
 
-    /// Gives up attempts that have had no answer for long, if they can be retried.
+    /// Abandons attempts that have had no answer for long, if they can be retried.
     ///
-    /// The retry is taken from the budget before the attempt is given up, and an attempt without
+    /// The retry is taken from the budget before the attempt is abandoned, and an attempt without
     /// a retry continues. Otherwise an attempt could be aborted with no time, retry or endpoint
     /// left for another, and the caller would get "unknown" long before the deadline while the
     /// endpoint is still working.
-    pub(super) fn give_up_due(&mut self, now: Time) {
-        while let Some((at, attempt)) = self.give_up_times.first().copied() {
+    pub(super) fn abandon_due(&mut self, now: Time) {
+        while let Some((at, attempt)) = self.abandon_times.first().copied() {
             if at > now {
                 return;
             }
-            self.give_up_times.pop_first();
+            self.abandon_times.pop_first();
             let Some(request) = self.unanswered_request(now, attempt) else { continue };
             if self.pool.usable_endpoints(true) > 1 && self.retry_budget.take(now) {
                 if let Some(state) = self.attempts.get_mut(&attempt) {
-                    state.is_given_up = true;
+                    state.is_abandoned = true;
                 }
-                self.pending_actions.push(ShardAction::GiveUp { request, attempt });
+                self.pending_actions.push(ShardAction::Abandon { request, attempt });
             } else {
-                self.give_up_times.insert((now + GIVE_UP_RECHECK_INTERVAL, attempt));
+                self.abandon_times.insert((now + ABANDON_RECHECK_INTERVAL, attempt));
             }
         }
     }
@@ -380,12 +380,12 @@
         may_follow.then_some(request)
     }
 
-    /// Returns the time at which an attempt is given up, if it can be retried.
+    /// Returns the time at which an attempt is abandoned, if it can be retried.
     ///
     /// A hanging endpoint sends nothing until the deadline, when it is too late for a retry. An
-    /// idempotent request that has another endpoint left is therefore given up halfway, unless
+    /// idempotent request that has another endpoint left is therefore abandoned halfway, unless
     /// half of its time is within the usual latencies.
-    fn give_up_at(&self, now: Time, id: RequestId, health_state: HealthState) -> Option<Time> {
+    fn abandon_at(&self, now: Time, id: RequestId, health_state: HealthState) -> Option<Time> {
         let pending = self.pending.get(&id)?;
         let deadline = pending.request.deadline;
         let can_retry = self.mechanisms.attempt_abandonment
@@ -396,14 +396,14 @@
             return None;
         }
         let half = remaining(deadline, now) / 2;
-        let p95_limit = self.latency.p95().map(|p95| p95 * GIVE_UP_P95_FACTOR);
+        let p95_limit = self.latency.p95().map(|p95| p95 * ABANDON_P95_FACTOR);
         let allowed = match p95_limit {
             Some(p95_limit) if health_state == HealthState::Trial => half.min(p95_limit),
             Some(p95_limit) => half.max(p95_limit),
             None => half,
         };
-        let give_up_at = now + allowed;
-        (give_up_at < pending.not_after).then_some(give_up_at)
+        let abandon_at = now + allowed;
+        (abandon_at < pending.not_after).then_some(abandon_at)
     }
 
     /// Sends a health check if a slot is free for it.
@@ -432,7 +432,7 @@
             dispatched_at: now,
             time_limit,
             answered: false,
-            is_given_up: false,
+            is_abandoned: false,
             class: Class::Batch,
             unreported: None,
         };
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -368,7 +368,7 @@
 
     /// Releases a slot at `until`.
     ///
-    /// When a connection breaks or an attempt is given up, the endpoint may still be processing
+    /// When a connection breaks or an attempt is abandoned, the endpoint may still be processing
     /// it; reusing the slot immediately would give the endpoint more requests than it has slots.
     /// Processing that continues ends within about the average slot time.
     pub(super) fn release_later(&mut self, name: &Name, until: Time) {
--- a/crates/pistachiotrack-core/src/shard/state.rs
+++ b/crates/pistachiotrack-core/src/shard/state.rs
@@ -106,8 +106,8 @@
     pub(super) time_limit: Time,
     /// Whether the head of the answer has arrived.
     pub(super) answered: bool,
-    /// Whether it was given up for a retry, which has already been taken from the budget.
-    pub(super) is_given_up: bool,
+    /// Whether it was abandoned for a retry, which has already been taken from the budget.
+    pub(super) is_abandoned: bool,
     pub(super) class: Class,
     /// Its result and the time of it, until the other VMs are informed.
     pub(super) unreported: Option<(AttemptResult, Time)>,
--- a/crates/pistachiotrack-core/tests/shard.rs
+++ b/crates/pistachiotrack-core/tests/shard.rs
@@ -124,41 +124,41 @@
 // An endpoint hangs: it accepts requests and never answers. If the attempt were kept until the
 // deadline, no time would be left for another endpoint.
 #[test]
-fn attempt_that_can_be_retried_is_given_up_early() {
+fn attempt_that_can_be_retried_is_abandoned_early() {
     let mut harness = harness(2, 1);
     let lookup = harness.send(1_000, |_| {});
     let booking = harness.send(1_000, |request| request.idempotent = false);
     let (silent, other) = (harness.attempt(lookup), harness.attempt(booking));
     assert_eq!(harness.attempts[&silent].dispatch.time_limit, harness.deadline(1_000));
     harness.tick(590);
-    assert!(harness.attempts[&silent].given_up);
-    assert!(!harness.attempts[&other].given_up);
+    assert!(harness.attempts[&silent].abandoned);
+    assert!(!harness.attempts[&other].abandoned);
     harness.answer(other);
     harness.outcome(silent, Outcome::TimedOut { fresh_connection: true });
     assert_eq!(harness.attempts_of(lookup).len(), 2);
 }
 
-// Answers take a quarter of a second. A lookup is still being processed when it would be given
-// up, and too little time is left then for another endpoint. Given up, it would be lost shortly
-// before its answer, and the caller would get "unknown" unnecessarily.
+// Answers take a quarter of a second. A lookup is still being processed when it would be
+// abandoned, and too little time is left then for another endpoint. Abandoned, it would be lost
+// shortly before its answer, and the caller would get "unknown" unnecessarily.
 #[test]
-fn attempt_is_not_given_up_without_time_for_another() {
+fn attempt_is_not_abandoned_without_time_for_another() {
     let mut harness = harness(2, 1);
     serve(&mut harness, 40, 240);
     let lookup = harness.send(1_000, |_| {});
     let attempt = harness.attempt(lookup);
     for _ in 0..99 {
         harness.tick(10);
-        assert!(!harness.attempts[&attempt].given_up, "at {:?}", harness.now);
+        assert!(!harness.attempts[&attempt].abandoned, "at {:?}", harness.now);
     }
     assert_eq!(harness.attempts[&attempt].dispatch.time_limit, harness.deadline(10));
 }
 
 // A VM stops and lets its requests complete, while so many have failed that no retry is left. It
-// must not give up a lookup that an endpoint is processing halfway through its time, which would
+// must not abandon a lookup that an endpoint is processing halfway through its time, which would
 // answer "unknown" although the answer would have arrived.
 #[test]
-fn attempt_is_not_given_up_without_a_retry_left() {
+fn attempt_is_not_abandoned_without_a_retry_left() {
     let mut harness = harness(2, 40);
     let lookup = harness.send(1_000, |_| {});
     let attempt = harness.attempt(lookup);
@@ -173,7 +173,7 @@
     }
     assert!(retries < 20, "the budget is never empty");
     harness.tick(50);
-    assert!(!harness.attempts[&attempt].given_up);
+    assert!(!harness.attempts[&attempt].abandoned);
     harness.answer(attempt);
     assert!(harness.is_delivered(lookup));
 }
--- a/crates/pistachiotrack-core/tests/shard_support/mod.rs
+++ b/crates/pistachiotrack-core/tests/shard_support/mod.rs
@@ -100,7 +100,7 @@
     pub(crate) dispatch: Dispatch,
     pub(crate) state: State,
     pub(crate) cancelled: bool,
-    pub(crate) given_up: bool,
+    pub(crate) abandoned: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -365,14 +365,14 @@
                     });
                     self.expect(known, || format!("{attempt:?} cancelled without need"));
                 }
-                ShardAction::GiveUp { attempt, .. } => {
+                ShardAction::Abandon { attempt, .. } => {
                     let record = self.attempts.get_mut(&attempt);
                     let is_silent = record.is_some_and(|record| {
-                        let is_first = !record.given_up && !record.cancelled;
-                        record.given_up = true;
+                        let is_first = !record.abandoned && !record.cancelled;
+                        record.abandoned = true;
                         is_first && record.state == State::InFlight
                     });
-                    self.expect(is_silent, || format!("{attempt:?} given up without need"));
+                    self.expect(is_silent, || format!("{attempt:?} abandoned without need"));
                 }
                 ShardAction::Deliver { request, attempt } => {
                     let begun = self.attempts.get(&attempt).is_some_and(|record| {
@@ -437,7 +437,7 @@
                 dispatch: dispatch.clone(),
                 state: State::InFlight,
                 cancelled: false,
-                given_up: false,
+                abandoned: false,
             },
         );
         self.check_endpoint(&dispatch);
--- a/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
+++ b/crates/pistachiotrack-standins/src/experiment/overload/balancer.rs
@@ -115,7 +115,7 @@
             time_limit: dispatch.time_limit,
         }),
         ShardAction::Cancel { attempt, .. } => Some(Command::Cancel { key: (vm, attempt) }),
-        ShardAction::GiveUp { attempt, .. } => Some(Command::Abandon { key: (vm, attempt) }),
+        ShardAction::Abandon { attempt, .. } => Some(Command::Abandon { key: (vm, attempt) }),
         ShardAction::Deliver { request, .. } => Some(Command::Deliver { request }),
         ShardAction::Refuse { request, refusal } => {
             Some(Command::Refuse { request, execution: refusal.execution })
--- a/crates/pistachiotrackd/src/request_task.rs
+++ b/crates/pistachiotrackd/src/request_task.rs
@@ -192,7 +192,7 @@
         match command {
             Command::Dispatch(dispatch) => return self.dispatch(dispatch),
             Command::Cancel(attempt) => self.cancel(attempt),
-            Command::GiveUp(attempt) => {
+            Command::Abandon(attempt) => {
                 let running = self.running.iter().find(|running| running.attempt == attempt);
                 running.inspect(|running| running.abandon.trigger());
             }
@@ -410,7 +410,7 @@
                         EndpointReport::default(),
                     );
                 }
-                Command::Cancel(_) | Command::GiveUp(_) => {}
+                Command::Cancel(_) | Command::Abandon(_) => {}
                 Command::Deliver(_) | Command::Replay(_) | Command::Refuse(_) => {
                     self.finished = true;
                 }
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -55,7 +55,7 @@
     /// Ends an attempt by closing its connection.
     Cancel(AttemptId),
     /// Abandons an attempt as if its time limit had passed.
-    GiveUp(AttemptId),
+    Abandon(AttemptId),
     /// Sends the answer of an attempt to the caller; final.
     Deliver(AttemptId),
     /// Sends the answer of an earlier request; final.
@@ -320,8 +320,8 @@
             ShardAction::Cancel { request, attempt } => {
                 self.command(request, Command::Cancel(attempt));
             }
-            ShardAction::GiveUp { request, attempt } => {
-                self.command(request, Command::GiveUp(attempt));
+            ShardAction::Abandon { request, attempt } => {
+                self.command(request, Command::Abandon(attempt));
             }
             ShardAction::Deliver { request, attempt } => {
                 self.finish(request, Command::Deliver(attempt));
