--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -396,7 +396,7 @@
 
     /// Returns whether the next request to an endpoint should use a new
     /// connection, to distinguish a silent connection from a faulty endpoint.
-    pub fn wants_fresh_connection(&self, endpoint: &str) -> bool {
+    pub fn needs_fresh_connection(&self, endpoint: &str) -> bool {
         self.endpoint_state(endpoint).is_some_and(|state| {
             let on_trial = matches!(state.phase, Phase::Trial { .. });
             on_trial || state.evidence.ambiguous_total() >= evidence::OBSERVATION_CAP / 2.0
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -278,8 +278,8 @@
         if let (Some(at), None) = (abandon_at, &relay) {
             self.abandon_times.insert((at, attempt));
         }
-        let wants_fresh = self.health.wants_fresh_connection(&pick.name);
-        let connection = if wants_fresh {
+        let needs_fresh = self.health.needs_fresh_connection(&pick.name);
+        let connection = if needs_fresh {
             ConnectionChoice::Fresh
         } else {
             connection_choice(pending, pick.health_state)
--- a/crates/pistachiotrack-core/tests/health_simulation/mod.rs
+++ b/crates/pistachiotrack-core/tests/health_simulation/mod.rs
@@ -165,7 +165,7 @@
     ) {
         let name = &self.names[endpoint];
         let is_probe = kind == AttemptKind::Probe;
-        let fresh = is_probe || self.health.wants_fresh_connection(name);
+        let fresh = is_probe || self.health.needs_fresh_connection(name);
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
         self.health.on_dispatch(self.now, attempt, name, Class::Standard, kind);
--- a/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/detector.rs
@@ -46,7 +46,7 @@
     fn on_report(&mut self, _now: Time, _endpoint: usize, _report: EndpointReport) {}
     fn on_tick(&mut self, now: Time) -> Vec<Effect>;
     fn access(&self, now: Time, endpoint: usize) -> Access;
-    fn wants_fresh_connection(&self, _endpoint: usize) -> bool {
+    fn needs_fresh_connection(&self, _endpoint: usize) -> bool {
         false
     }
 }
@@ -140,8 +140,8 @@
         }
     }
 
-    fn wants_fresh_connection(&self, endpoint: usize) -> bool {
-        self.health.wants_fresh_connection(&self.names[endpoint])
+    fn needs_fresh_connection(&self, endpoint: usize) -> bool {
+        self.health.needs_fresh_connection(&self.names[endpoint])
     }
 }
 
--- a/crates/pistachiotrack-standins/src/experiment/detect/run.rs
+++ b/crates/pistachiotrack-standins/src/experiment/detect/run.rs
@@ -256,7 +256,7 @@
     fn send(&mut self, request: u64, vm: usize, endpoint: usize, kind: AttemptKind) {
         let is_probe = kind == AttemptKind::Probe;
         let needs_fresh_connection =
-            is_probe || self.detectors[vm].wants_fresh_connection(endpoint);
+            is_probe || self.detectors[vm].needs_fresh_connection(endpoint);
         let pooled = if needs_fresh_connection { None } else { self.pools[vm][endpoint].pop() };
         let (has_fresh_connection, is_silent) = (pooled.is_none(), pooled.unwrap_or(false));
         let attempt = self.next_attempt;
