--- a/crates/pistachiotrack-core/src/health.rs
+++ b/crates/pistachiotrack-core/src/health.rs
@@ -51,13 +51,13 @@
     /// [`Health::risk`], and don't eject it.
     pub failures_only_lower_rank: bool,
     /// Enabled mechanisms.
-    pub mechanisms: FeatureFlags,
+    pub feature_flags: FeatureFlags,
 }
 
 impl Default for HealthSettings {
     fn default() -> HealthSettings {
-        let mechanisms = FeatureFlags::default();
-        HealthSettings { sensitivity: 0.5, failures_only_lower_rank: false, mechanisms }
+        let feature_flags = FeatureFlags::default();
+        HealthSettings { sensitivity: 0.5, failures_only_lower_rank: false, feature_flags }
     }
 }
 
@@ -231,7 +231,7 @@
 pub struct Health {
     threshold: f64,
     failures_only_lower_rank: bool,
-    mechanisms: FeatureFlags,
+    feature_flags: FeatureFlags,
     floor: usize,
     endpoints: Vec<EndpointState>,
     positions: FxHashMap<Name, usize>,
@@ -258,13 +258,13 @@
         let mut health = Health {
             threshold: evidence::threshold(settings.sensitivity),
             failures_only_lower_rank: settings.failures_only_lower_rank,
-            mechanisms: settings.mechanisms,
+            feature_flags: settings.feature_flags,
             floor: 0,
             endpoints: Vec::new(),
             positions: FxHashMap::default(),
             attempts: FxHashMap::default(),
             baseline: Baseline::default(),
-            episode_model: EpisodeModel::new(settings.mechanisms.failure_times),
+            episode_model: EpisodeModel::new(settings.feature_flags.failure_times),
             common_evidence: 0.0,
             last_tick: now,
             next_id: 0,
@@ -378,7 +378,7 @@
             Phase::InRotation | Phase::HeldByFloor => 1.0,
             Phase::Ejected { .. } | Phase::PathBroken { .. } => 0.0,
             Phase::Trial { .. } => TRIAL_SHARE,
-            Phase::SlowStart { .. } if !self.mechanisms.slow_start => 1.0,
+            Phase::SlowStart { .. } if !self.feature_flags.slow_start => 1.0,
             Phase::SlowStart { since } => {
                 let progress = now.since(since).as_secs_f64() / SLOW_START.as_secs_f64();
                 (SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * progress).min(1.0)
--- a/crates/pistachiotrack-core/src/health/risk.rs
+++ b/crates/pistachiotrack-core/src/health/risk.rs
@@ -53,7 +53,7 @@
     /// Returns the part of the risk that is specific to the endpoint: the probability
     /// of failure at an endpoint outside of episodes is subtracted.
     pub fn avoidable_risk(&self, now: Time, endpoint: &str) -> f64 {
-        if !self.mechanisms.risk_ranking {
+        if !self.feature_flags.risk_ranking {
             return 0.0;
         }
         (self.risk(now, endpoint) - self.episode_model.healthy_failure_probability()).max(0.0)
--- a/crates/pistachiotrack-core/src/health/rotation.rs
+++ b/crates/pistachiotrack-core/src/health/rotation.rs
@@ -90,7 +90,7 @@
 
     /// Ejects an endpoint if the evidence against it suffices.
     pub(super) fn evaluate(&mut self, now: Time, position: usize, actions: &mut Vec<HealthAction>) {
-        if !self.endpoints[position].in_rotation() || !self.mechanisms.ejection {
+        if !self.endpoints[position].in_rotation() || !self.feature_flags.ejection {
             return;
         }
         let ambiguous_suffices = self.ambiguous_evidence_persists(now, position);
--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -103,13 +103,13 @@
     /// Data centre of this VM; endpoints there are preferred.
     pub data_centre: Option<Name>,
     /// Mechanisms that are switched on.
-    pub mechanisms: FeatureFlags,
+    pub feature_flags: FeatureFlags,
 }
 
 impl Default for ShardSettings {
     fn default() -> ShardSettings {
-        let mechanisms = FeatureFlags::default();
-        ShardSettings { mode: ShardMode::Owner, seed: 1, data_centre: None, mechanisms }
+        let feature_flags = FeatureFlags::default();
+        ShardSettings { mode: ShardMode::Owner, seed: 1, data_centre: None, feature_flags }
     }
 }
 
@@ -148,7 +148,7 @@
     ended_attempts: Vec<(Name, EndedAttempt, Time)>,
     /// While set and not reached, requests wait for a snapshot that was requested from other VMs.
     snapshot_deadline: Option<Time>,
-    mechanisms: FeatureFlags,
+    feature_flags: FeatureFlags,
     pending_actions: Vec<ShardAction>,
 }
 
@@ -160,10 +160,10 @@
     pub fn new(now: Time, id: ShardId, config: &Config, settings: ShardSettings) -> Shard {
         let service = config.service(&id.service);
         let endpoints = service.map(|service| endpoints(service, &id)).unwrap_or_default();
-        let mut pool = Pool::new(settings.mode, settings.seed, settings.mechanisms);
+        let mut pool = Pool::new(settings.mode, settings.seed, settings.feature_flags);
         pool.set_endpoints(endpoints.iter().copied());
         let mut health_settings =
-            HealthSettings { mechanisms: settings.mechanisms, ..HealthSettings::default() };
+            HealthSettings { feature_flags: settings.feature_flags, ..HealthSettings::default() };
         if let Some(service) = service {
             health_settings.sensitivity = service.sensitivity;
             health_settings.failures_only_lower_rank = service.is_shared();
@@ -196,7 +196,7 @@
             failure_rate: ServiceFailureRate::default(),
             ended_attempts: Vec::new(),
             snapshot_deadline: None,
-            mechanisms: settings.mechanisms,
+            feature_flags: settings.feature_flags,
             pending_actions: Vec::new(),
         };
         shard.set_service(now, config);
--- a/crates/pistachiotrack-core/src/shard/dispatch.rs
+++ b/crates/pistachiotrack-core/src/shard/dispatch.rs
@@ -219,7 +219,7 @@
             tried: &pending.tried,
             max_risk: self.max_risk(now, pending),
             now,
-            is_failure_rate_high: self.mechanisms.coverage_on_failures
+            is_failure_rate_high: self.feature_flags.coverage_on_failures
                 && self.failure_rate.is_high(),
             allow_already_tried,
         })
@@ -238,7 +238,7 @@
             LOW_RISK_WAIT_SHARES.1
         };
         let low_risk_wait = pending.not_after.since(pending.arrived).mul_f64(share);
-        let waits_for_low_risk = self.mechanisms.wait_for_proven_endpoints
+        let waits_for_low_risk = self.feature_flags.wait_for_proven_endpoints
             && now.since(pending.arrived) < low_risk_wait
             && (self.queue.len() <= LOW_RISK_WAIT_QUEUE_LEN
                 || self.low_risk_drain_time() <= low_risk_wait);
@@ -294,7 +294,7 @@
         let class = pending.request.class;
         if pending.request.idempotent
             && pending.request.hedge
-            && self.mechanisms.hedges
+            && self.feature_flags.hedges
             && pending.in_flight.len() == 1
             && let Some(age) = self.latency.p95()
         {
@@ -388,7 +388,7 @@
     fn abandon_at(&self, now: Time, id: RequestId, health_state: HealthState) -> Option<Time> {
         let pending = self.pending.get(&id)?;
         let deadline = pending.request.deadline;
-        let can_retry = self.mechanisms.attempt_abandonment
+        let can_retry = self.feature_flags.attempt_abandonment
             && pending.request.idempotent
             && pending.possible_runs + 1 < pending.request.max_attempts
             && self.pool.usable_endpoints(true) > 1;
--- a/crates/pistachiotrack-core/src/shard/pool.rs
+++ b/crates/pistachiotrack-core/src/shard/pool.rs
@@ -114,14 +114,14 @@
     changed_endpoints: Vec<Name>,
     /// Whether endpoints are ranked by their risk.
     is_ranked_by_risk: bool,
-    mechanisms: FeatureFlags,
+    feature_flags: FeatureFlags,
     /// Data centre of this VM.
     local_data_centre: Option<Name>,
     rng: Pcg32,
 }
 
 impl Pool {
-    pub(super) fn new(mode: ShardMode, seed: u64, mechanisms: FeatureFlags) -> Pool {
+    pub(super) fn new(mode: ShardMode, seed: u64, feature_flags: FeatureFlags) -> Pool {
         Pool {
             endpoints: BTreeMap::new(),
             by_key: FxHashMap::default(),
@@ -136,7 +136,7 @@
             next_serial: 0,
             changed_endpoints: Vec::new(),
             is_ranked_by_risk: false,
-            mechanisms,
+            feature_flags,
             local_data_centre: None,
             rng: Pcg32::seed_from_u64(seed),
         }
@@ -186,7 +186,7 @@
                 risk: 0.0,
                 last_observed_at: None,
                 last_sent: Time::ZERO,
-                is_untried: self.mechanisms.new_endpoints_first,
+                is_untried: self.feature_flags.new_endpoints_first,
                 rate: None,
                 is_reserved_for_peers: false,
                 peer_counts: Vec::new(),
@@ -391,7 +391,7 @@
     }
 
     pub(super) fn on_shed(&mut self, now: Time, name: &str, round: Duration) {
-        let adapts = self.mechanisms.adaptive_limits;
+        let adapts = self.feature_flags.adaptive_limits;
         if let Some(entry) = self.endpoints.get_mut(name).filter(|_| adapts) {
             entry.adaptive_limit.on_shed(now, round);
         }
--- a/crates/pistachiotrack-core/src/shard/pool/ranking.rs
+++ b/crates/pistachiotrack-core/src/shard/pool/ranking.rs
@@ -41,7 +41,7 @@
     /// detected by a failure. Requests that may run again explore the other endpoints.
     pub(super) fn pick_by_risk(&mut self, criteria: PickCriteria<'_>) -> Option<Pick> {
         let context = SelectionContext {
-            is_exploring: self.mechanisms.exploration
+            is_exploring: self.feature_flags.exploration
                 && criteria.idempotent
                 && criteria.tried.is_empty()
                 && self.rng.next_u32().is_multiple_of(EXPLORE_ONE_IN),
@@ -99,7 +99,7 @@
     /// any two seconds, those with the lowest risk first. While the failure rate is high, all of
     /// them do, since then the endpoints in use can't be the right ones.
     fn overdue_since(&self, criteria: &PickCriteria<'_>) -> Option<Time> {
-        if !self.mechanisms.coverage {
+        if !self.feature_flags.coverage {
             return None;
         }
         let after = if criteria.idempotent { OVERDUE_AFTER.0 } else { OVERDUE_AFTER.1 };
@@ -115,7 +115,7 @@
     }
 
     fn risk_rank(&self, entry: &PoolEntry, idempotent: bool) -> u64 {
-        let is_remote = self.mechanisms.local_endpoints_first
+        let is_remote = self.feature_flags.local_endpoints_first
             && self
                 .local_data_centre
                 .as_ref()
--- a/crates/pistachiotrack-core/src/shard/retry_budget.rs
+++ b/crates/pistachiotrack-core/src/shard/retry_budget.rs
@@ -34,7 +34,7 @@
             let count_id = hash::fnv(&start_seed.to_le_bytes()) as u32;
             let expected = expected_dispatchers(config, service);
             let mut budget = FleetRetryBudget::new(now, limit, expected, count_id);
-            budget.set_divides_remaining(settings.mechanisms.retry_division);
+            budget.set_divides_remaining(settings.feature_flags.retry_division);
             retry_budget = ShardRetryBudget::Fleet(budget);
         }
         retry_budget.configure(now, config, service);
--- a/crates/pistachiotrack-core/src/shard/updates.rs
+++ b/crates/pistachiotrack-core/src/shard/updates.rs
@@ -180,7 +180,7 @@
     /// within a round trip. It doesn't help in the first second after the loss of all VMs, when
     /// no VM has observations.
     pub fn on_snapshot_requested(&mut self, now: Time) {
-        self.snapshot_deadline = self.mechanisms.snapshot_wait.then(|| now + SNAPSHOT_WAIT);
+        self.snapshot_deadline = self.feature_flags.snapshot_wait.then(|| now + SNAPSHOT_WAIT);
     }
 
     pub(super) fn awaits_snapshot(&self, now: Time) -> bool {
--- a/crates/pistachiotrackd/src/daemon.rs
+++ b/crates/pistachiotrackd/src/daemon.rs
@@ -183,7 +183,7 @@
             non_owner_idle: Duration::from_millis(settings.limits.careful_idle_ms),
             seed,
             data_centre: me.data_centre.clone(),
-            mechanisms: settings.mechanisms,
+            feature_flags: settings.feature_flags,
         });
         let context = Arc::new(Context {
             me,
--- a/crates/pistachiotrackd/src/settings.rs
+++ b/crates/pistachiotrackd/src/settings.rs
@@ -85,8 +85,8 @@
     #[serde(default)]
     pub limits: Limits,
     /// Switches of decision mechanisms; only experiments turn one off.
-    #[serde(default)]
-    pub mechanisms: FeatureFlags,
+    #[serde(rename = "mechanisms", default)]
+    pub feature_flags: FeatureFlags,
 }
 
 /// Hardware of a VM; VMs with higher capacity are preferred as dispatchers.
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -77,7 +77,7 @@
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
     /// Enabled mechanisms.
-    pub(crate) mechanisms: FeatureFlags,
+    pub(crate) feature_flags: FeatureFlags,
     /// Clock of the process.
     pub(crate) clock: Clock,
     /// Connections to endpoints.
@@ -127,7 +127,7 @@
             mode: args.mode,
             seed: args.seed,
             data_centre: Some(args.data_centre),
-            mechanisms: args.mechanisms,
+            feature_flags: args.feature_flags,
         };
         let now = args.clock.now();
         let mut shard = Shard::new(now, args.id.clone(), &args.config, settings);
--- a/crates/pistachiotrackd/src/shard_table.rs
+++ b/crates/pistachiotrackd/src/shard_table.rs
@@ -67,7 +67,7 @@
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
     /// Enabled mechanisms.
-    pub(crate) mechanisms: FeatureFlags,
+    pub(crate) feature_flags: FeatureFlags,
 }
 
 /// Actors of the shards that run on this VM.
@@ -111,7 +111,7 @@
             mode,
             seed: shared.seed,
             data_centre: shared.data_centre.clone(),
-            mechanisms: shared.mechanisms,
+            feature_flags: shared.feature_flags,
             clock: shared.clock,
             endpoints: Arc::clone(&shared.endpoints),
             statuses: Arc::clone(&self.statuses),
