--- a/crates/pistachiotrack-core/src/shard.rs
+++ b/crates/pistachiotrack-core/src/shard.rs
@@ -103,13 +103,13 @@
     /// Data centre of this VM; endpoints there are preferred.
     pub data_centre: Option<Name>,
     /// Mechanisms that are switched on.
-    pub mechanisms: FeatureFlags,
+    pub feature_flags: FeatureFlags,
 }
 
 impl Default for ShardSettings {
     fn default() -> ShardSettings {
-        let mechanisms = FeatureFlags::default();
-        ShardSettings { mode: ShardMode::Owner, seed: 1, data_centre: None, mechanisms }
+        let feature_flags = FeatureFlags::default();
+        ShardSettings { mode: ShardMode::Owner, seed: 1, data_centre: None, feature_flags }
     }
 }
 
@@ -129,8 +129,8 @@
     dispatch_deadlines: BTreeSet<(Time, RequestId)>,
     /// Requests in flight by the time at which a hedge is due.
     hedge_times: BTreeSet<(Time, RequestId)>,
-    /// Attempts by the time at which they are given up in favour of a retry.
-    give_up_times: BTreeSet<(Time, AttemptId)>,
+    /// Attempts by the time at which they are abandoned in favour of a retry.
+    abandon_times: BTreeSet<(Time, AttemptId)>,
     /// For each endpoint that only this VM can't reach, the VMs that can relay requests to it.
     relays: FxHashMap<Name, Vec<Name>>,
     keys: KeyTable,
@@ -148,7 +148,7 @@
     ended_attempts: Vec<(Name, EndedAttempt, Time)>,
     /// While set and not reached, requests wait for a snapshot that was requested from other VMs.
     snapshot_deadline: Option<Time>,
-    mechanisms: FeatureFlags,
+    feature_flags: FeatureFlags,
     pending_actions: Vec<ShardAction>,
 }
 
@@ -160,10 +160,10 @@
     pub fn new(now: Time, id: ShardId, config: &Config, settings: ShardSettings) -> Shard {
         let service = config.service(&id.service);
         let endpoints = service.map(|service| endpoints(service, &id)).unwrap_or_default();
-        let mut pool = Pool::new(settings.mode, settings.seed, settings.mechanisms);
+        let mut pool = Pool::new(settings.mode, settings.seed, settings.feature_flags);
         pool.set_endpoints(endpoints.iter().copied());
         let mut health_settings =
-            HealthSettings { mechanisms: settings.mechanisms, ..HealthSettings::default() };
+            HealthSettings { feature_flags: settings.feature_flags, ..HealthSettings::default() };
         if let Some(service) = service {
             health_settings.sensitivity = service.sensitivity;
             health_settings.failures_only_lower_rank = service.is_shared();
@@ -184,7 +184,7 @@
             attempts: FxHashMap::default(),
             dispatch_deadlines: BTreeSet::new(),
             hedge_times: BTreeSet::new(),
-            give_up_times: BTreeSet::new(),
+            abandon_times: BTreeSet::new(),
             relays: FxHashMap::default(),
             keys: KeyTable::new(KeySettings::default()),
             retry_budget,
@@ -196,7 +196,7 @@
             failure_rate: ServiceFailureRate::default(),
             ended_attempts: Vec::new(),
             snapshot_deadline: None,
-            mechanisms: settings.mechanisms,
+            feature_flags: settings.feature_flags,
             pending_actions: Vec::new(),
         };
         shard.set_service(now, config);
@@ -434,7 +434,7 @@
         self.refuse_expired(now);
         self.dispatch_queue(now);
         self.dispatch_hedges(now);
-        self.give_up_due(now);
+        self.abandon_due(now);
         self.broadcast_updates(now);
         std::mem::take(&mut self.pending_actions)
     }
--- a/crates/pistachiotrackd/src/shard_actor.rs
+++ b/crates/pistachiotrackd/src/shard_actor.rs
@@ -55,7 +55,7 @@
     /// Ends an attempt by closing its connection.
     Cancel(AttemptId),
     /// Abandons an attempt as if its time limit had passed.
-    GiveUp(AttemptId),
+    Abandon(AttemptId),
     /// Sends the answer of an attempt to the caller; final.
     Deliver(AttemptId),
     /// Sends the answer of an earlier request; final.
@@ -77,7 +77,7 @@
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
     /// Enabled mechanisms.
-    pub(crate) mechanisms: FeatureFlags,
+    pub(crate) feature_flags: FeatureFlags,
     /// Clock of the process.
     pub(crate) clock: Clock,
     /// Connections to endpoints.
@@ -127,7 +127,7 @@
             mode: args.mode,
             seed: args.seed,
             data_centre: Some(args.data_centre),
-            mechanisms: args.mechanisms,
+            feature_flags: args.feature_flags,
         };
         let now = args.clock.now();
         let mut shard = Shard::new(now, args.id.clone(), &args.config, settings);
@@ -320,8 +320,8 @@
             ShardAction::Cancel { request, attempt } => {
                 self.command(request, Command::Cancel(attempt));
             }
-            ShardAction::GiveUp { request, attempt } => {
-                self.command(request, Command::GiveUp(attempt));
+            ShardAction::Abandon { request, attempt } => {
+                self.command(request, Command::Abandon(attempt));
             }
             ShardAction::Deliver { request, attempt } => {
                 self.finish(request, Command::Deliver(attempt));
